--- a/drill/src/host.rs
+++ b/drill/src/host.rs
@@ -77,11 +77,17 @@
                 }
                 Ok(Record::Init { seed, config }) => {
                     let id = current.ok_or(HostError::Nobody { at })?;
-                    let config =
-                        settings::parse(config).map_err(|source| HostError::Config { at, source })?;
+                    let config = settings::parse(config)
+                        .map_err(|source| HostError::Config { at, source })?;
                     let balancer = Balancer::new(config.settings, seed, batch.now)
                         .map_err(|source| HostError::Settings { at, source })?;
-                    self.instances.insert(id, Instance { balancer, fields: config.fields });
+                    self.instances.insert(
+                        id,
+                        Instance {
+                            balancer,
+                            fields: config.fields,
+                        },
+                    );
                     continue;
                 }
                 record => record,
--- a/drill/src/settings.rs
+++ b/drill/src/settings.rs
@@ -9,7 +9,9 @@
 //! `tiers`, `tick_ns`, `limits.max_open`, `limits.streams_per_conn`, `limits.cpu_*`, `limits.peer_messages`,
 //! `rules.answer_slack_ns` (answers are given by the deadline itself) and the report value `errors_per_s`.
 
-use finchvale::{Class, Effect, Group, KindId, LoadReport, Reports, Rules, Settings, Tenant, ZoneId};
+use finchvale::{
+    Class, Effect, Group, KindId, LoadReport, Reports, Rules, Settings, Tenant, ZoneId,
+};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -231,9 +233,15 @@
 /// Reads an instance's settings. Unknown keys are skipped; unknown words are errors.
 pub fn parse(text: &[u8]) -> Result<Config, ConfigError> {
     let mut reader = serde_json::Deserializer::from_slice(text);
-    let doc: Doc = serde_path_to_error::deserialize(&mut reader)
-        .map_err(|e| ConfigError::Json { path: e.path().to_string(), problem: e.inner().to_string() })?;
-    reader.end().map_err(|e| ConfigError::Json { path: ".".into(), problem: e.to_string() })?;
+    let doc: Doc =
+        serde_path_to_error::deserialize(&mut reader).map_err(|e| ConfigError::Json {
+            path: e.path().to_string(),
+            problem: e.inner().to_string(),
+        })?;
+    reader.end().map_err(|e| ConfigError::Json {
+        path: ".".into(),
+        problem: e.to_string(),
+    })?;
     let fields: Vec<Field> = doc.report.fields.iter().map(|name| field(name)).collect();
     let ns = Duration::from_nanos;
     let classes = doc.profiles.iter().map(|p| Class {
@@ -255,15 +263,27 @@
         worth: p.importance,
         late_worth: p.late_worth,
         streamed: p.streaming,
-        zones: p.runs_in.as_ref().map(|open| open.iter().map(|&z| ZoneId(z)).collect()),
-        kinds: p.kinds_open.as_ref().map(|open| open.iter().map(|&k| KindId(k)).collect()),
+        zones: p
+            .runs_in
+            .as_ref()
+            .map(|open| open.iter().map(|&z| ZoneId(z)).collect()),
+        kinds: p
+            .kinds_open
+            .as_ref()
+            .map(|open| open.iter().map(|&k| KindId(k)).collect()),
     });
     let settings = Settings {
         nodes: doc.balancers,
         zone: ZoneId(doc.zone),
         zones: u8::try_from(doc.zones.len().max(1)).unwrap_or(u8::MAX),
         classes: classes.collect(),
-        tenants: doc.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
+        tenants: doc
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                quota_per_s: t.quota_per_s,
+            })
+            .collect(),
         over_share_worth: doc.over_share_worth,
         worth_by_work: matches!(doc.worth_by, WorthBy::Work),
         weights_given: !matches!(doc.weights, Weights::Silent),
@@ -280,7 +300,10 @@
         second_copies: doc.limits.second_copies,
         conn_idle: ns(doc.limits.conn_idle_ns),
         connect_timeout: ns(doc.limits.connect_timeout_ns),
-        max_wait: doc.limits.retry_after.then(|| ns(doc.limits.max_retry_after_ns)),
+        max_wait: doc
+            .limits
+            .retry_after
+            .then(|| ns(doc.limits.max_retry_after_ns)),
         rules: Rules {
             drain_grace: ns(doc.rules.drain_grace_ns),
             cold_from: doc.rules.cold_from,
@@ -297,7 +320,11 @@
         kinds: doc.kinds,
         fields: doc.report.fields,
     };
-    Ok(Config { settings, fields, names })
+    Ok(Config {
+        settings,
+        fields,
+        names,
+    })
 }
 
 fn field(name: &str) -> Field {
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -2,8 +2,8 @@
 
 use crate::settings::Field;
 use finchvale::{
-    Action, Arrival, CellId, ClassId, Ended, Event, KindId, ListKind, LoadReport, Outcome, Probed, RequestId,
-    ServerEntry, ServerId, ServerState, TenantId, Time, TimerId, ZoneId,
+    Action, Arrival, CellId, ClassId, Ended, Event, KindId, ListKind, LoadReport, Outcome, Probed,
+    RequestId, ServerEntry, ServerId, ServerState, TenantId, Time, TimerId, ZoneId,
 };
 use std::time::Duration;
 
@@ -99,7 +99,9 @@
 }
 
 fn int<const N: usize>(bytes: &[u8], at: usize) -> u64 {
-    bytes[at..at + N].iter().fold(0, |v, b| v << 8 | u64::from(*b))
+    bytes[at..at + N]
+        .iter()
+        .fold(0, |v, b| v << 8 | u64::from(*b))
 }
 
 /// The length announced by a header, if it can be right.
@@ -121,10 +123,18 @@
         let count = int::<4>(frame, 12) as usize;
         let body = &frame[HEADER..];
         if count > body.len() / EVENT {
-            return Err(WireError::Count { count, len: frame.len() });
+            return Err(WireError::Count {
+                count,
+                len: frame.len(),
+            });
         }
         let (records, tail) = body.split_at(count * EVENT);
-        Ok(Batch { now: Time(int::<8>(frame, 4)), count, records, tail })
+        Ok(Batch {
+            now: Time(int::<8>(frame, 4)),
+            count,
+            records,
+            tail,
+        })
     }
 
     /// Number of records.
@@ -162,9 +172,11 @@
                 work: (r[36] & 1 != 0).then(|| ns(28)),
                 coming: false,
             })),
-            25 => {
-                Record::Event(Event::Begun { request: request(), attempt: u32::from(r[9]), latency: ns(14) })
-            }
+            25 => Record::Event(Event::Begun {
+                request: request(),
+                attempt: u32::from(r[9]),
+                latency: ns(14),
+            }),
             21 => Record::Event(Event::Ended(Ended {
                 request: request(),
                 attempt: u32::from(r[9]),
@@ -175,7 +187,9 @@
                 report: report(at, &r[25..42], fields)?,
             })),
             22 => Record::Event(Event::ClientGone { request: request() }),
-            17 => Record::Event(Event::Timer { timer: TimerId(int::<4>(r, 1) as u32) }),
+            17 => Record::Event(Event::Timer {
+                timer: TimerId(int::<4>(r, 1) as u32),
+            }),
             20 => Record::Event(Event::Probed(Probed {
                 latency: ns(1),
                 server: ServerId(int::<4>(r, 9) as u32),
@@ -196,7 +210,9 @@
     ) -> Result<&'a [u8], WireError> {
         let start = offset as usize;
         let end = start + count as usize * size;
-        self.tail.get(start..end).ok_or(WireError::Tail { at, field })
+        self.tail
+            .get(start..end)
+            .ok_or(WireError::Tail { at, field })
     }
 
     fn list(&self, at: usize, r: &[u8]) -> Result<Event, WireError> {
@@ -205,7 +221,13 @@
             1 => ListKind::Failed,
             2 => ListKind::Changes,
             3 => ListKind::Full,
-            other => return Err(WireError::Value { at, field: "kind", value: u64::from(other) }),
+            other => {
+                return Err(WireError::Value {
+                    at,
+                    field: "kind",
+                    value: u64::from(other),
+                })
+            }
         };
         let lines = self.tail_slice(at, "entries", int::<4>(r, 10), int::<4>(r, 14), ENTRY)?;
         let mut entries = Vec::with_capacity(lines.len() / ENTRY);
@@ -220,7 +242,11 @@
                     1 => ServerState::Ready,
                     2 => ServerState::Draining,
                     other => {
-                        return Err(WireError::Value { at, field: "mode", value: u64::from(other) });
+                        return Err(WireError::Value {
+                            at,
+                            field: "mode",
+                            value: u64::from(other),
+                        });
                     }
                 },
                 weight: f64::from(f32::from_bits(int::<4>(e, 9) as u32)),
@@ -241,7 +267,13 @@
         598 => Outcome::Broken,
         499 => Outcome::Cancelled,
         410 => Outcome::NotSent,
-        value => return Err(WireError::Value { at, field: "how", value }),
+        value => {
+            return Err(WireError::Value {
+                at,
+                field: "how",
+                value,
+            })
+        }
     })
 }
 
@@ -251,11 +283,18 @@
         return Ok(None);
     }
     if n > 4 || n > fields.len() {
-        return Err(WireError::Value { at, field: "server_stats", value: n as u64 });
+        return Err(WireError::Value {
+            at,
+            field: "server_stats",
+            value: n as u64,
+        });
     }
     let mut report = LoadReport::default();
     for (i, field) in fields[..n].iter().enumerate() {
-        field.put(f64::from(f32::from_bits(int::<4>(bytes, 1 + 4 * i) as u32)), &mut report);
+        field.put(
+            f64::from(f32::from_bits(int::<4>(bytes, 1 + 4 * i) as u32)),
+            &mut report,
+        );
     }
     Ok(Some(report))
 }
@@ -306,9 +345,18 @@
     pub fn action(&mut self, action: &Action) {
         let ns = |d: &Option<Duration>| d.map_or(0, |d| d.as_nanos() as u64).to_be_bytes();
         match action {
-            Action::Send { request, server, limit } => {
-                self.record(25, &[&request.0.to_be_bytes(), &server.0.to_be_bytes(), &ns(limit)])
-            }
+            Action::Send {
+                request,
+                server,
+                limit,
+            } => self.record(
+                25,
+                &[
+                    &request.0.to_be_bytes(),
+                    &server.0.to_be_bytes(),
+                    &ns(limit),
+                ],
+            ),
             Action::Refuse { request, wait, .. } => {
                 self.record(21, &[&request.0.to_be_bytes(), &ns(wait)]);
             }
--- a/drill/tests/wire.rs
+++ b/drill/tests/wire.rs
@@ -8,7 +8,12 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-const FIELDS: [Field; 4] = [Field::Utilization, Field::Throughput, Field::Backlog, Field::Outstanding];
+const FIELDS: [Field; 4] = [
+    Field::Utilization,
+    Field::Throughput,
+    Field::Backlog,
+    Field::Outstanding,
+];
 
 const SETTINGS: &str = r#"{"balancers": 4, "unheard_of": {"a": 1},
  "limits": {"may_cancel": true, "may_probe": false, "max_retry_after_ns": 1500000000, "retry_after": true,
@@ -25,7 +30,10 @@
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    digits.chunks(2).map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|d| u8::from_str_radix(std::str::from_utf8(d).unwrap(), 16).unwrap())
+        .collect()
 }
 
 fn padded(text: &str, size: usize) -> Vec<u8> {
@@ -36,7 +44,9 @@
 
 fn frame(now: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
-    let mut f = ((HEADER + body.len() + tail.len()) as u32).to_be_bytes().to_vec();
+    let mut f = ((HEADER + body.len() + tail.len()) as u32)
+        .to_be_bytes()
+        .to_vec();
     f.extend_from_slice(&now.to_be_bytes());
     f.extend_from_slice(&(records.len() as u32).to_be_bytes());
     f.extend_from_slice(&body);
@@ -57,52 +67,115 @@
 }
 
 fn init(text: &str) -> Vec<u8> {
-    padded(&format!("18 0000000000000007 00000000 {:08x}", text.len()), EVENT)
+    padded(
+        &format!("18 0000000000000007 00000000 {:08x}", text.len()),
+        EVENT,
+    )
 }
 
 #[test]
 fn empty_batch_as_on_the_wire_page() {
     let f = hex("00000010 00000001f568bf90 00000000");
-    assert_eq!(Host::default().answer(&f).unwrap(), hex("00000000 00000008"));
+    assert_eq!(
+        Host::default().answer(&f).unwrap(),
+        hex("00000000 00000008")
+    );
 }
 
 #[test]
 fn events_as_on_the_wire_page() {
-    let e = one("13 00068b685d3a91c4 0000 00 91f03b7c55d20a64 000000000e4e1c00 0000000000b71b00 01", &[])
-        .unwrap();
-    let Event::Arrival(a) = e else { panic!("{e:?}") };
-    assert_eq!((a.request.0, a.class.0, a.tenant.0), (0x0006_8b68_5d3a_91c4, 0, 0));
-    assert_eq!((a.remaining, a.work), (Duration::from_millis(240), Some(Duration::from_millis(12))));
+    let e = one(
+        "13 00068b685d3a91c4 0000 00 91f03b7c55d20a64 000000000e4e1c00 0000000000b71b00 01",
+        &[],
+    )
+    .unwrap();
+    let Event::Arrival(a) = e else {
+        panic!("{e:?}")
+    };
+    assert_eq!(
+        (a.request.0, a.class.0, a.tenant.0),
+        (0x0006_8b68_5d3a_91c4, 0, 0)
+    );
+    assert_eq!(
+        (a.remaining, a.work),
+        (Duration::from_millis(240), Some(Duration::from_millis(12)))
+    );
     let e = one(
         "15 00068b685d3a91c4 00 03124a07 00c8 00000000011a49a0 01 04 3f1eb852 430c0000 40400000 40e00000",
         &[],
     );
-    let Ok(Event::Ended(v)) = e else { panic!("{e:?}") };
-    assert_eq!((v.attempt, v.server.0, v.outcome, v.closed), (0, 0x0312_4a07, Outcome::Served, true));
+    let Ok(Event::Ended(v)) = e else {
+        panic!("{e:?}")
+    };
+    assert_eq!(
+        (v.attempt, v.server.0, v.outcome, v.closed),
+        (0, 0x0312_4a07, Outcome::Served, true)
+    );
     let report = v.report.unwrap();
     assert!((report.busy.unwrap() - 0.62).abs() < 1e-6);
-    assert_eq!((report.rate, report.waiting, report.held), (Some(140.0), Some(3.0), Some(7.0)));
-    let e = one("14 0000000000155cc0 2c9011f2 00c8 04 3f1eb852 430c0000 40400000 40e00000", &[]).unwrap();
+    assert_eq!(
+        (report.rate, report.waiting, report.held),
+        (Some(140.0), Some(3.0), Some(7.0))
+    );
+    let e = one(
+        "14 0000000000155cc0 2c9011f2 00c8 04 3f1eb852 430c0000 40400000 40e00000",
+        &[],
+    )
+    .unwrap();
     assert!(
         matches!(e, Event::Probed(p) if p.server.0 == 0x2c90_11f2 && p.latency == Duration::from_micros(1400))
     );
     let e = one("19 00068b685d3a91c4 00 03124a07 00000000008d24d0", &[]).unwrap();
-    assert!(matches!(e, Event::Begun { attempt: 0, latency, .. } if latency == Duration::from_micros(9250)));
-    assert!(matches!(one("11 0000004d", &[]).unwrap(), Event::Timer { timer: TimerId(0x4d) }));
+    assert!(
+        matches!(e, Event::Begun { attempt: 0, latency, .. } if latency == Duration::from_micros(9250))
+    );
+    assert!(matches!(
+        one("11 0000004d", &[]).unwrap(),
+        Event::Timer {
+            timer: TimerId(0x4d)
+        }
+    ));
     let e = one("16 00058cb70e6f2b19", &[]).unwrap();
-    assert!(matches!(e, Event::ClientGone { request: RequestId(0x0005_8cb7_0e6f_2b19) }));
+    assert!(matches!(
+        e,
+        Event::ClientGone {
+            request: RequestId(0x0005_8cb7_0e6f_2b19)
+        }
+    ));
     let tail = hex(
         "03124a07 00 00 0000 01 3f800000 0000000000000000 2c9011f2 01 02 0000 01 3fc00000 000000016b969d00",
     );
     let e = one("10 00 0000000000000029 00000000 00000002", &tail).unwrap();
-    let Event::List { kind: ListKind::Cached, entries } = e else { panic!("{e:?}") };
-    assert_eq!((entries.len(), entries[0].started, entries[1].started), (2, None, Some(Time(0x1_6b96_9d00))));
-    assert_eq!((entries[1].server.0, entries[1].zone.0, entries[1].weight), (0x2c90_11f2, 1, 1.5));
+    let Event::List {
+        kind: ListKind::Cached,
+        entries,
+    } = e
+    else {
+        panic!("{e:?}")
+    };
+    assert_eq!(
+        (entries.len(), entries[0].started, entries[1].started),
+        (2, None, Some(Time(0x1_6b96_9d00)))
+    );
+    assert_eq!(
+        (entries[1].server.0, entries[1].zone.0, entries[1].weight),
+        (0x2c90_11f2, 1, 1.5)
+    );
     assert_eq!((entries[0].kind, entries[1].kind), (KindId(0), KindId(2)));
-    let f = frame(1, &[padded("17 00000002 00000000 00000004", EVENT)], &hex("68692037"));
-    assert!(matches!(Batch::parse(&f).unwrap().record(0, &[]).unwrap(), Record::Note));
+    let f = frame(
+        1,
+        &[padded("17 00000002 00000000 00000004", EVENT)],
+        &hex("68692037"),
+    );
+    assert!(matches!(
+        Batch::parse(&f).unwrap().record(0, &[]).unwrap(),
+        Record::Note
+    ));
     let f = frame(1, &[padded("12", EVENT)], &[]);
-    assert!(matches!(Batch::parse(&f).unwrap().record(0, &[]).unwrap(), Record::PowerOff));
+    assert!(matches!(
+        Batch::parse(&f).unwrap().record(0, &[]).unwrap(),
+        Record::PowerOff
+    ));
 }
 
 #[test]
@@ -112,8 +185,15 @@
     let (first, second) = (ServerId(0x0312_4a07), RequestId(0x0005_8cb7_0e6f_2b19));
     let ns = Duration::from_nanos;
     r.on_behalf(3);
-    r.action(&Action::Send { request, server: first, limit: Some(Duration::from_millis(80)) });
-    r.action(&Action::SetTimer { at: Time(0x2_1336_2490), timer: TimerId(0x4d) });
+    r.action(&Action::Send {
+        request,
+        server: first,
+        limit: Some(Duration::from_millis(80)),
+    });
+    r.action(&Action::SetTimer {
+        at: Time(0x2_1336_2490),
+        timer: TimerId(0x4d),
+    });
     r.on_behalf(5);
     r.action(&Action::Log("two servers known".into()));
     let records = [
@@ -132,10 +212,26 @@
     for (action, bytes) in [
         (Action::Watch, "14 01"),
         (Action::Probe { server: first }, "17 03124a07"),
-        (Action::Cancel { request, attempt: 0 }, "13 00068b685d3a91c4 00"),
-        (Action::Fail { request: second, reason: Reason::NoTime }, "16 00058cb70e6f2b19"),
         (
-            Action::Refuse { request: second, wait: Some(ns(0x0ee6_b280)), reason: Reason::Shed },
+            Action::Cancel {
+                request,
+                attempt: 0,
+            },
+            "13 00068b685d3a91c4 00",
+        ),
+        (
+            Action::Fail {
+                request: second,
+                reason: Reason::NoTime,
+            },
+            "16 00058cb70e6f2b19",
+        ),
+        (
+            Action::Refuse {
+                request: second,
+                wait: Some(ns(0x0ee6_b280)),
+                reason: Reason::Shed,
+            },
             "15 00058cb70e6f2b19 000000000ee6b280",
         ),
     ] {
@@ -145,58 +241,151 @@
     }
     r.clear();
     r.give_in("index out of range");
-    let want = [hex("00000001 00000032"), padded("12 00000000 00000012", 24), b"index out of range".to_vec()]
-        .concat();
+    let want = [
+        hex("00000001 00000032"),
+        padded("12 00000000 00000012", 24),
+        b"index out of range".to_vec(),
+    ]
+    .concat();
     assert_eq!(r.frame(), want);
 }
 
 #[test]
 fn malformed_records_are_named() {
-    assert_eq!(one("63", &[]).unwrap_err(), WireError::Code { at: 0, code: 0x63 });
+    assert_eq!(
+        one("63", &[]).unwrap_err(),
+        WireError::Code { at: 0, code: 0x63 }
+    );
     let e = one("15 00 00 00 00 00 00 00 01 00 00000001 03e7", &[]).unwrap_err();
-    assert_eq!(e, WireError::Value { at: 0, field: "how", value: 999 });
+    assert_eq!(
+        e,
+        WireError::Value {
+            at: 0,
+            field: "how",
+            value: 999
+        }
+    );
     let e = one("10 09", &[]).unwrap_err();
-    assert_eq!(e, WireError::Value { at: 0, field: "kind", value: 9 });
+    assert_eq!(
+        e,
+        WireError::Value {
+            at: 0,
+            field: "kind",
+            value: 9
+        }
+    );
     let e = one("10 03 0000000000000001 00000000 00000002", &[0; 21]).unwrap_err();
-    assert_eq!(e, WireError::Tail { at: 0, field: "entries" });
+    assert_eq!(
+        e,
+        WireError::Tail {
+            at: 0,
+            field: "entries"
+        }
+    );
     let e = one("14 0000000000155cc0 2c9011f2 00c8 05", &[]).unwrap_err();
-    assert_eq!(e, WireError::Value { at: 0, field: "server_stats", value: 5 });
+    assert_eq!(
+        e,
+        WireError::Value {
+            at: 0,
+            field: "server_stats",
+            value: 5
+        }
+    );
     let short = hex("00000020 0000000000000001 00000001 00000000000000000000000000000000");
-    assert_eq!(Batch::parse(&short).unwrap_err(), WireError::Count { count: 1, len: 32 });
-    assert!(matches!(Batch::parse(&short[..20]), Err(WireError::Length(20))));
+    assert_eq!(
+        Batch::parse(&short).unwrap_err(),
+        WireError::Count { count: 1, len: 32 }
+    );
+    assert!(matches!(
+        Batch::parse(&short[..20]),
+        Err(WireError::Length(20))
+    ));
 }
 
 #[test]
 fn instances_start_die_and_share_nothing() {
     let tail = SETTINGS.as_bytes();
     let mut host = Host::default();
-    let knock = |id: u64| padded(&format!("13 {id:016x} 0000 00 0000000000000000 000000000e4e1c00"), EVENT);
-    assert!(matches!(host.answer(&frame(1, &[knock(1)], &[])), Err(HostError::Nobody { at: 0 })));
-    let e = host.answer(&frame(1, &[switch_to(3), knock(1)], &[])).unwrap_err();
-    assert!(matches!(e, HostError::Unstarted { at: 1, instance: 3 }), "{e}");
+    let knock = |id: u64| {
+        padded(
+            &format!("13 {id:016x} 0000 00 0000000000000000 000000000e4e1c00"),
+            EVENT,
+        )
+    };
+    assert!(matches!(
+        host.answer(&frame(1, &[knock(1)], &[])),
+        Err(HostError::Nobody { at: 0 })
+    ));
+    let e = host
+        .answer(&frame(1, &[switch_to(3), knock(1)], &[]))
+        .unwrap_err();
+    assert!(
+        matches!(e, HostError::Unstarted { at: 1, instance: 3 }),
+        "{e}"
+    );
     // Started without servers: the request is refused.
-    let reply = host.answer(&frame(2, &[switch_to(3), init(SETTINGS), knock(1)], tail)).unwrap();
+    let reply = host
+        .answer(&frame(2, &[switch_to(3), init(SETTINGS), knock(1)], tail))
+        .unwrap();
     assert_eq!((reply[8], reply[8 + 24]), (24, 21));
     // Killed: nothing more for it; started anew in one batch: it is empty again.
-    let e = host.answer(&frame(3, &[switch_to(3), padded("12", EVENT), knock(2)], &[])).unwrap_err();
-    assert!(matches!(e, HostError::Unstarted { at: 2, instance: 3 }), "{e}");
-    let batch = [switch_to(3), init(SETTINGS), padded("12", EVENT), init(SETTINGS), knock(2)];
+    let e = host
+        .answer(&frame(
+            3,
+            &[switch_to(3), padded("12", EVENT), knock(2)],
+            &[],
+        ))
+        .unwrap_err();
+    assert!(
+        matches!(e, HostError::Unstarted { at: 2, instance: 3 }),
+        "{e}"
+    );
+    let batch = [
+        switch_to(3),
+        init(SETTINGS),
+        padded("12", EVENT),
+        init(SETTINGS),
+        knock(2),
+    ];
     assert!(host.answer(&frame(4, &batch, tail)).is_ok());
 }
 
 #[test]
 fn settings_are_read_and_errors_named() {
     let c = parse(SETTINGS.as_bytes()).unwrap();
-    assert_eq!((c.settings.nodes, c.settings.zone.0, c.settings.classes.len()), (4, 1, 2));
+    assert_eq!(
+        (
+            c.settings.nodes,
+            c.settings.zone.0,
+            c.settings.classes.len()
+        ),
+        (4, 1, 2)
+    );
     assert!(c.settings.reports_rate);
-    let keyed = Effect::Keyed { group: Group::Cell, window: Duration::from_secs(3) };
+    let keyed = Effect::Keyed {
+        group: Group::Cell,
+        window: Duration::from_secs(3),
+    };
     assert_eq!(c.settings.classes[1].effect, keyed);
     assert_eq!(c.settings.classes[1].kinds, Some(vec![KindId(1)]));
-    assert_eq!(c.settings.classes[1].zones, Some(vec![ZoneId(0), ZoneId(1)]));
-    assert_eq!((&c.settings.classes[0].kinds, &c.settings.classes[0].zones), (&None, &None));
-    let bad = |from: &str, to: &str| parse(SETTINGS.replace(from, to).as_bytes()).unwrap_err().to_string();
+    assert_eq!(
+        c.settings.classes[1].zones,
+        Some(vec![ZoneId(0), ZoneId(1)])
+    );
+    assert_eq!(
+        (&c.settings.classes[0].kinds, &c.settings.classes[0].zones),
+        (&None, &None)
+    );
+    let bad = |from: &str, to: &str| {
+        parse(SETTINGS.replace(from, to).as_bytes())
+            .unwrap_err()
+            .to_string()
+    };
     let e = bad("\"guarded\"", "\"sometimes\"");
-    assert!(e.contains("profiles[1].effect") && e.contains("sometimes"), "{e}");
+    assert!(
+        e.contains("profiles[1].effect") && e.contains("sometimes"),
+        "{e}"
+    );
     assert!(bad("\"zone\": 1", "\"zone\": \"x\"").contains("zone"));
     assert!(bad("\"tenants\"", "tenants").contains("settings at"));
     let text = SETTINGS.replace("\"zone\": 1", "\"zone\": 7");
@@ -214,7 +403,11 @@
         .unwrap();
     child.stdin.take().unwrap().write_all(input).unwrap();
     let out = child.wait_with_output().unwrap();
-    (out.status.success(), out.stdout, String::from_utf8(out.stderr).unwrap())
+    (
+        out.status.success(),
+        out.stdout,
+        String::from_utf8(out.stderr).unwrap(),
+    )
 }
 
 #[test]
--- a/examples/by_hand.rs
+++ b/examples/by_hand.rs
@@ -47,7 +47,12 @@
 }
 
 /// Plays `rate` requests a second for two seconds; server 2 has half the capacity, server 3 fails if `failing`.
-fn play(balancer: &mut Balancer, from_ms: u64, rate: u64, failing: bool) -> Result<(), SettingsError> {
+fn play(
+    balancer: &mut Balancer,
+    from_ms: u64,
+    rate: u64,
+    failing: bool,
+) -> Result<(), SettingsError> {
     let mut chosen = [0u32; 4];
     let (mut refused, mut failed) = (0, 0);
     for k in 0..2 * rate {
@@ -70,14 +75,29 @@
                 Action::Send { server, .. } => {
                     chosen[server.0 as usize] += 1;
                     let bad = failing && server.0 == 3;
-                    let outcome = if bad { Outcome::Unreachable } else { Outcome::Served };
+                    let outcome = if bad {
+                        Outcome::Unreachable
+                    } else {
+                        Outcome::Served
+                    };
                     let capacity = if server.0 == 2 { 25.0 } else { 50.0 };
                     let busy = (rate as f64 / 4.0 / capacity).min(1.0);
-                    let report =
-                        LoadReport { busy: Some(busy), rate: Some(capacity * busy), ..LoadReport::default() };
+                    let report = LoadReport {
+                        busy: Some(busy),
+                        rate: Some(capacity * busy),
+                        ..LoadReport::default()
+                    };
                     let latency = Duration::from_millis(100);
                     let report = (!bad).then_some(report);
-                    let end = Ended { request, attempt, server, outcome, latency, closed: !bad, report };
+                    let end = Ended {
+                        request,
+                        attempt,
+                        server,
+                        outcome,
+                        latency,
+                        closed: !bad,
+                        report,
+                    };
                     attempt += 1;
                     balancer.handle(now, Event::Ended(end), &mut actions);
                 }
@@ -105,7 +125,14 @@
             started: None,
         })
         .collect();
-    balancer.handle(Time(0), Event::List { kind: ListKind::Full, entries }, &mut vec![]);
+    balancer.handle(
+        Time(0),
+        Event::List {
+            kind: ListKind::Full,
+            entries,
+        },
+        &mut vec![],
+    );
     println!("Four servers, number 2 of half the capacity: it is avoided in proportion.");
     play(&mut balancer, 1_000, 80, false)?;
     play(&mut balancer, 3_000, 80, false)?;
@@ -114,7 +141,9 @@
     println!("It is well again: its price drifts back.");
     play(&mut balancer, 7_000, 80, false)?;
     play(&mut balancer, 20_000, 80, false)?;
-    println!("Three times the traffic: what finds no place is refused, the class of little worth first.");
+    println!(
+        "Three times the traffic: what finds no place is refused, the class of little worth first."
+    );
     play(&mut balancer, 30_000, 240, false)?;
     Ok(())
 }
--- a/fault-control/src/lib.rs
+++ b/fault-control/src/lib.rs
@@ -92,8 +92,12 @@
     fn set_errors(&self, errors: &[i32]) {
         let byte = |number: &i32| u8::try_from(*number).expect("an error number below 256");
         let mut bytes = [0; ERRORS];
-        bytes.iter_mut().zip(errors).for_each(|(byte_of, number)| *byte_of = byte(number));
-        self.errors.store(u64::from_le_bytes(bytes), Ordering::SeqCst);
+        bytes
+            .iter_mut()
+            .zip(errors)
+            .for_each(|(byte_of, number)| *byte_of = byte(number));
+        self.errors
+            .store(u64::from_le_bytes(bytes), Ordering::SeqCst);
     }
 
     /// How many calls have failed so far.
@@ -109,7 +113,9 @@
     /// The error number that this call fails with, if it does. `random` draws a number.
     pub fn draw(&self, mut random: impl FnMut() -> u64) -> Option<i32> {
         let less = |count: &AtomicU64| {
-            count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1))
+            count.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
+                left.checked_sub(1)
+            })
         };
         if self.next.load(Ordering::SeqCst) > 0 && less(&self.skipped).is_ok() {
             return None;
@@ -173,7 +179,11 @@
         mut random: impl FnMut() -> u64,
         since: impl FnOnce() -> Duration,
     ) -> Option<Duration> {
-        let counted = self.next.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| left.checked_sub(1));
+        let counted = self
+            .next
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
+                left.checked_sub(1)
+            });
         let rate = self.rate.load(Ordering::Relaxed);
         let mut by_chance = || rate > 0 && random() % MILLION < rate;
         let far_enough = || nanoseconds(since()) >= self.gap.load(Ordering::Relaxed);
@@ -181,7 +191,9 @@
             return None;
         }
         self.begun.fetch_add(1, Ordering::SeqCst);
-        Some(Duration::from_nanos(self.nanoseconds.load(Ordering::SeqCst)))
+        Some(Duration::from_nanos(
+            self.nanoseconds.load(Ordering::SeqCst),
+        ))
     }
 }
 
@@ -213,7 +225,8 @@
 
     /// Sets the wall clock off from the system's by so many seconds.
     pub fn step_wall_clock(&self, seconds: i64) {
-        self.wall_clock.store(seconds * 1_000_000_000, Ordering::SeqCst);
+        self.wall_clock
+            .store(seconds * 1_000_000_000, Ordering::SeqCst);
     }
 
     /// By how much the wall clock is off, in nanoseconds.
@@ -241,7 +254,12 @@
 impl SharedControl {
     /// Creates the file, with no faults, or empties it.
     pub fn create(path: &Path) -> io::Result<Self> {
-        let file = File::options().read(true).write(true).create(true).truncate(true).open(path)?;
+        let file = File::options()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(path)?;
         file.set_len(size_of::<Control>() as u64)?;
         Ok(SharedControl(MmapRaw::map_raw(&file)?))
     }
--- a/fault-shim/src/lib.rs
+++ b/fault-shim/src/lib.rs
@@ -7,7 +7,9 @@
 mod next;
 
 use fault_control::{Call, Control, Pauses, VARIABLE};
-use libc::{c_char, c_int, c_uint, c_void, iovec, mode_t, pollfd, sockaddr, socklen_t, ssize_t, timespec};
+use libc::{
+    c_char, c_int, c_uint, c_void, iovec, mode_t, pollfd, sockaddr, socklen_t, ssize_t, timespec,
+};
 use std::ffi::CString;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::OnceLock;
@@ -38,8 +40,14 @@
             }
             let protection = libc::PROT_READ | libc::PROT_WRITE;
             let length = size_of::<Control>();
-            let memory =
-                libc::mmap(std::ptr::null_mut(), length, protection, libc::MAP_SHARED, file as c_int, 0);
+            let memory = libc::mmap(
+                std::ptr::null_mut(),
+                length,
+                protection,
+                libc::MAP_SHARED,
+                file as c_int,
+                0,
+            );
             libc::syscall(libc::SYS_close, file);
             (memory != libc::MAP_FAILED).then(|| &*memory.cast::<Control>())
         }
@@ -50,7 +58,10 @@
 fn random(control: &Control) -> u64 {
     static DRAWN: AtomicU64 = AtomicU64::new(0);
     let drawn = DRAWN.fetch_add(1, Ordering::Relaxed).wrapping_add(1);
-    let mut z = control.seed.load(Ordering::Relaxed).wrapping_add(drawn.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let mut z = control
+        .seed
+        .load(Ordering::Relaxed)
+        .wrapping_add(drawn.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
@@ -71,7 +82,9 @@
 
 /// How much of `length` a call moves.
 fn moved(length: usize) -> usize {
-    let Some(control) = control() else { return length };
+    let Some(control) = control() else {
+        return length;
+    };
     let rate = control.short_rate.load(Ordering::Relaxed);
     let short = rate > 0 && length > SHORT && random(control) % fault_control::MILLION < rate;
     if short {
@@ -93,14 +106,20 @@
 
 /// The monotonic clock, in nanoseconds.
 fn monotonic() -> u64 {
-    let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut time = timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     // SAFETY: The pointer is to a good structure of this function's.
     unsafe { next::clock_gettime(libc::CLOCK_MONOTONIC, &mut time) };
     (time.tv_sec * NANOSECONDS + time.tv_nsec) as u64
 }
 
 fn pause(time: Duration) {
-    let mut left = timespec { tv_sec: time.as_secs() as i64, tv_nsec: i64::from(time.subsec_nanos()) };
+    let mut left = timespec {
+        tv_sec: time.as_secs() as i64,
+        tv_nsec: i64::from(time.subsec_nanos()),
+    };
     // SAFETY: Both pointers are to one good structure of this function's.
     unsafe { while libc::nanosleep(&left, &mut left) != 0 {} }
 }
@@ -109,7 +128,13 @@
     let (mut domain, mut length) = (0 as c_int, size_of::<c_int>() as socklen_t);
     // SAFETY: The pointers are to an integer and to its length.
     let asked = unsafe {
-        libc::getsockopt(fd, libc::SOL_SOCKET, libc::SO_DOMAIN, (&raw mut domain).cast(), &mut length)
+        libc::getsockopt(
+            fd,
+            libc::SOL_SOCKET,
+            libc::SO_DOMAIN,
+            (&raw mut domain).cast(),
+            &mut length,
+        )
     };
     asked == 0 && domain == libc::AF_INET
 }
@@ -154,7 +179,10 @@
 
 /// Whether the process made a connection itself. Its end may show as an error that its peer knows nothing of.
 fn was_made(fd: c_int) -> bool {
-    usize::try_from(fd).ok().and_then(|at| MADE.get(at)).is_some_and(|made| made.load(Ordering::Relaxed))
+    usize::try_from(fd)
+        .ok()
+        .and_then(|at| MADE.get(at))
+        .is_some_and(|made| made.load(Ordering::Relaxed))
 }
 
 fn note_made(fd: c_int, made: bool) {
@@ -237,8 +265,10 @@
     let told = next::clock_gettime(clock, time);
     if let (libc::CLOCK_REALTIME, 0, Some(control)) = (clock, told, control()) {
         let shifted = (*time).tv_sec * NANOSECONDS + (*time).tv_nsec + control.wall_clock();
-        ((*time).tv_sec, (*time).tv_nsec) =
-            (shifted.div_euclid(NANOSECONDS), shifted.rem_euclid(NANOSECONDS));
+        ((*time).tv_sec, (*time).tv_nsec) = (
+            shifted.div_euclid(NANOSECONDS),
+            shifted.rem_euclid(NANOSECONDS),
+        );
     }
     told
 }
@@ -248,7 +278,12 @@
 /// # Safety
 /// As the C library's.
 #[no_mangle]
-pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: usize, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn recv(
+    fd: c_int,
+    buffer: *mut c_void,
+    length: usize,
+    flags: c_int,
+) -> ssize_t {
     if control().is_none() || !is_tcp(fd) {
         return next::recv(fd, buffer, length, flags);
     }
@@ -263,7 +298,12 @@
 /// # Safety
 /// As the C library's.
 #[no_mangle]
-pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, length: usize, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn send(
+    fd: c_int,
+    buffer: *const c_void,
+    length: usize,
+    flags: c_int,
+) -> ssize_t {
     if control().is_none() || !is_tcp(fd) {
         return next::send(fd, buffer, length, flags);
     }
@@ -312,7 +352,11 @@
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let reads = flags & libc::O_ACCMODE == libc::O_RDONLY;
-    match failure(if reads { Call::OpenRead } else { Call::OpenWrite }) {
+    match failure(if reads {
+        Call::OpenRead
+    } else {
+        Call::OpenWrite
+    }) {
         Some(number) => fail(number),
         None => next::open64(path, flags, mode as c_uint),
     }
--- a/fault-shim/tests/preloaded.rs
+++ b/fault-shim/tests/preloaded.rs
@@ -12,7 +12,11 @@
 }
 
 fn date(control: &Path) -> i64 {
-    let told = Command::new("date").arg("+%s").env("LD_PRELOAD", shim()).env(VARIABLE, control).output();
+    let told = Command::new("date")
+        .arg("+%s")
+        .env("LD_PRELOAD", shim())
+        .env(VARIABLE, control)
+        .output();
     let told = String::from_utf8(told.expect("its output").stdout).expect("text");
     told.trim().parse().expect("a number")
 }
@@ -34,8 +38,17 @@
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("fails");
     let control = SharedControl::create(&path).expect("a control file");
     control.faults(Call::OpenRead).fail_next(1, &[libc::ENFILE]);
-    let cat = || Command::new("cat").arg("/dev/null").env("LD_PRELOAD", shim()).env(VARIABLE, &path).output();
+    let cat = || {
+        Command::new("cat")
+            .arg("/dev/null")
+            .env("LD_PRELOAD", shim())
+            .env(VARIABLE, &path)
+            .output()
+    };
     assert!(control.faults(Call::OpenRead).left() == 1);
     let _ = cat().expect("its output");
-    assert_eq!(control.faults(Call::OpenRead).left() + control.faults(Call::OpenRead).failed(), 1);
+    assert_eq!(
+        control.faults(Call::OpenRead).left() + control.faults(Call::OpenRead).failed(),
+        1
+    );
 }
--- a/node/src/backend.rs
+++ b/node/src/backend.rs
@@ -114,7 +114,9 @@
 impl Connection {
     /// Whether the server has closed it or sent what nobody asked for, as far as the system knows by now.
     fn good(&self) -> bool {
-        !self.more.get() && self.sender.is_ready() && self.socket.upgrade().is_some_and(|s| gate::quiet(&s))
+        !self.more.get()
+            && self.sender.is_ready()
+            && self.socket.upgrade().is_some_and(|s| gate::quiet(&s))
     }
 }
 
@@ -148,7 +150,10 @@
     }
 
     fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
-        Err(std::io::Error::new(std::io::ErrorKind::InvalidData, problem.1))
+        Err(std::io::Error::new(
+            std::io::ErrorKind::InvalidData,
+            problem.1,
+        ))
     }
 
     fn more(&self) {
@@ -192,12 +197,22 @@
 
 impl Exchange {
     fn failed(outcome: Outcome) -> Self {
-        Exchange { outcome, report: None, answer: None, passing: None, connection: None, problem: None }
+        Exchange {
+            outcome,
+            report: None,
+            answer: None,
+            passing: None,
+            connection: None,
+            problem: None,
+        }
     }
 
     fn broken(error: &dyn Error) -> Self {
         let source = error.source().map(|s| format!(": {s}")).unwrap_or_default();
-        Exchange { problem: Some(format!("{error}{source}")), ..Exchange::failed(Outcome::Broken) }
+        Exchange {
+            problem: Some(format!("{error}{source}")),
+            ..Exchange::failed(Outcome::Broken)
+        }
     }
 }
 
@@ -301,14 +316,17 @@
     // ---- the list ----
     /// Brings the servers in line with a list and puts it in the balancer's terms.
     pub fn take_list(&self, now: Time, list: &ServerList, source: Source) -> Vec<ServerEntry> {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let mut starts = self.starts.borrow_mut();
         starts.hear(now, list.members.iter().map(Member::stamp));
         let mut by_name = self.by_name.borrow_mut();
         let mut by_id = self.by_id.borrow_mut();
         let word = self.word.borrow();
         if list.complete {
-            let named: rustc_hash::FxHashSet<&str> = list.members.iter().map(|m| m.id.as_str()).collect();
+            let named: rustc_hash::FxHashSet<&str> =
+                list.members.iter().map(|m| m.id.as_str()).collect();
             by_name.retain(|name, server| {
                 let stays = named.contains(name.as_str());
                 if !stays {
@@ -364,7 +382,9 @@
                     KindId(position(&self.names.kinds, &member.flavor)),
                     member.cell,
                 ));
-                let moved = member.host_port.is_some_and(|a| server.address.replace(a) != a);
+                let moved = member
+                    .host_port
+                    .is_some_and(|a| server.address.replace(a) != a);
                 // What was connected to the process before this one is dead, whether or not it says so.
                 let restarted = server.started.replace(started) != started;
                 // And what nothing new may go over is only in the way of others.
@@ -410,7 +430,10 @@
 
     /// Whether a server that operators have put back into use is warm again, as far as this process knows.
     pub fn warmed_up(&self, now: Time, name: &str, warm_up: Duration) -> bool {
-        self.starts.borrow().returned(name).is_some_and(|heard| now - heard >= warm_up)
+        self.starts
+            .borrow()
+            .returned(name)
+            .is_some_and(|heard| now - heard >= warm_up)
     }
 
     /// How many backends are left out.
@@ -446,17 +469,35 @@
         let (stream, more) = (Rc::new(stream), Rc::new(Cell::new(false)));
         let write_permit: Rc<WritePermit> = Rc::default();
         let socket = Rc::downgrade(&stream);
-        let gate = Gate::new(stream, Answers { more: more.clone(), permit: write_permit.clone() });
-        let made = http1::Builder::new().max_buf_size(MOST_BUFFERED).handshake(TokioIo::new(gate)).await;
+        let gate = Gate::new(
+            stream,
+            Answers {
+                more: more.clone(),
+                permit: write_permit.clone(),
+            },
+        );
+        let made = http1::Builder::new()
+            .max_buf_size(MOST_BUFFERED)
+            .handshake(TokioIo::new(gate))
+            .await;
         let (sender, connection) = made.map_err(|_| Outcome::Unreachable)?;
         let driver = tokio::task::spawn_local(drive(connection, permit)).abort_handle();
-        Ok(Connection { sender, driver, socket, more, permit: write_permit, generation })
+        Ok(Connection {
+            sender,
+            driver,
+            socket,
+            more,
+            permit: write_permit,
+            generation,
+        })
     }
 
     fn take_idle(&self, server: &Server) -> Option<Connection> {
         let mut idle = server.idle.borrow_mut();
         let rested = QUARANTINE..self.retire_after();
-        let at = idle.iter().rposition(|i| rested.contains(&i.since.elapsed()))?;
+        let at = idle
+            .iter()
+            .rposition(|i| rested.contains(&i.since.elapsed()))?;
         Some(idle.remove(at).connection)
     }
 
@@ -486,7 +527,11 @@
     fn close_longest_idle(&self) {
         let by_id = self.by_id.borrow();
         let idle = |s: &Rc<Server>| s.idle.borrow().first().map(|i| i.since);
-        if let Some((_, server)) = by_id.values().filter_map(|s| Some((idle(s)?, s))).min_by_key(|s| s.0) {
+        if let Some((_, server)) = by_id
+            .values()
+            .filter_map(|s| Some((idle(s)?, s)))
+            .min_by_key(|s| s.0)
+        {
             server.idle.borrow_mut().remove(0);
         }
     }
@@ -499,17 +544,24 @@
             && connection.generation == server.generation.get()
             && server.takes_new()
         {
-            server.idle.borrow_mut().push(Idle { connection, since: Instant::now() });
+            server.idle.borrow_mut().push(Idle {
+                connection,
+                since: Instant::now(),
+            });
         }
     }
 
     /// Closes connections that have been idle for long, for good.
     pub async fn retire_idle(&self) {
-        let mut every = tokio::time::interval((self.retire_after() / 8).max(Duration::from_millis(250)));
+        let mut every =
+            tokio::time::interval((self.retire_after() / 8).max(Duration::from_millis(250)));
         loop {
             every.tick().await;
             for server in self.by_id.borrow().values() {
-                server.idle.borrow_mut().retain(|i| i.since.elapsed() < self.retire_after());
+                server
+                    .idle
+                    .borrow_mut()
+                    .retain(|i| i.since.elapsed() < self.retire_after());
             }
         }
     }
@@ -527,7 +579,9 @@
     ) -> Exchange {
         let (head, body) = request.into_parts();
         // What can't be sent again isn't.
-        let Some(sending) = body.sending() else { return Exchange::failed(Outcome::NotSent) };
+        let Some(sending) = body.sending() else {
+            return Exchange::failed(Outcome::NotSent);
+        };
         let limit = until.saturating_duration_since(Instant::now());
         let mut request = Request::from_parts(head, sending);
         let time_runs = body.upload().is_none();
@@ -547,7 +601,8 @@
                     told: told.filter(|_| time_runs),
                     repeat_by: terms.repeat_by,
                 };
-                rules::may_begin(Instant::now(), &facts).inspect_err(|rule| stats.rules.withheld(*rule))
+                rules::may_begin(Instant::now(), &facts)
+                    .inspect_err(|rule| stats.rules.withheld(*rule))
             };
             // Connecting took time, in which anything may have changed; and some more passes before the writing.
             if check(None).is_err() {
@@ -556,16 +611,21 @@
             }
             let left = until.saturating_duration_since(reckoned);
             let left = HeaderValue::from_str(&format!("{}u", left.as_micros()));
-            request.headers_mut().insert("x-timeout", left.expect("digits are valid in a header"));
+            request
+                .headers_mut()
+                .insert("x-timeout", left.expect("digits are valid in a header"));
             let begun = progress.clone();
-            let at_the_write = move || check(Some(reckoned)).inspect(|()| begun.set(Progress::Written));
+            let at_the_write =
+                move || check(Some(reckoned)).inspect(|()| begun.set(Progress::Written));
             *connection.permit.check.borrow_mut() = Some(Box::new(at_the_write));
             self.exchange(connection, request, true).await
         };
         let Some(upload) = body.upload() else {
             return match timeout_at(until, exchange).await {
                 Ok(exchange) => exchange,
-                Err(_) if progress.get() == Progress::Written => Exchange::failed(Outcome::TimedOut),
+                Err(_) if progress.get() == Progress::Written => {
+                    Exchange::failed(Outcome::TimedOut)
+                }
                 // It was still connecting: nothing of it can have run.
                 Err(_) => Exchange::failed(Outcome::Unreachable),
             };
@@ -587,7 +647,10 @@
             Outcome::Broken | Outcome::TimedOut if upload.problem().is_some() => {
                 Exchange::failed(Outcome::NotSent)
             }
-            Outcome::Broken if !upload.whole() => Exchange { outcome: Outcome::Unreachable, ..exchange },
+            Outcome::Broken if !upload.whole() => Exchange {
+                outcome: Outcome::Unreachable,
+                ..exchange
+            },
             _ => exchange,
         }
     }
@@ -600,10 +663,14 @@
                 Err(outcome) => return Exchange::failed(outcome),
             };
             let request = Request::get("/stats").header("host", server.address.get().to_string());
-            let request = request.body(Sending::default()).expect("a fixed path and an address are valid");
+            let request = request
+                .body(Sending::default())
+                .expect("a fixed path and an address are valid");
             self.exchange(connection, request, false).await
         };
-        timeout(limit, exchange).await.unwrap_or_else(|_| Exchange::failed(Outcome::TimedOut))
+        timeout(limit, exchange)
+            .await
+            .unwrap_or_else(|_| Exchange::failed(Outcome::TimedOut))
     }
 
     async fn exchange(
@@ -617,14 +684,19 @@
             // Nothing of it was written: that was not allowed any more.
             Err(_) if connection.permit.refused.get() => return Exchange::failed(Outcome::NotSent),
             // Handed back unsent. Anything else may have reached the server, and may have run there.
-            Err(error) if error.message().is_some() => return Exchange::failed(Outcome::Unreachable),
+            Err(error) if error.message().is_some() => {
+                return Exchange::failed(Outcome::Unreachable)
+            }
             Err(error) => return Exchange::broken(error.error()),
         };
         let (head, mut body) = response.into_parts();
         let outcome = outcome(head.status, &head.headers);
         let served = outcome == Outcome::Served;
         let mut held = BytesMut::new();
-        let large = body.size_hint().exact().map(|length| length > HELD_BODY as u64);
+        let large = body
+            .size_hint()
+            .exact()
+            .map(|length| length > HELD_BODY as u64);
         let whole = match large {
             Some(true) => false,
             _ => {
@@ -655,12 +727,22 @@
             }
         };
         let report = match attempt {
-            true => head.headers.get(LOAD).and_then(|v| self.load_report(v.as_bytes())),
+            true => head
+                .headers
+                .get(LOAD)
+                .and_then(|v| self.load_report(v.as_bytes())),
             false if served => self.load_report(&held),
             false => None,
         };
         let answer = (attempt && served).then(|| Response::from_parts(head, body));
-        Exchange { outcome, report, answer, passing, connection, problem: None }
+        Exchange {
+            outcome,
+            report,
+            answer,
+            passing,
+            connection,
+            problem: None,
+        }
     }
 
     /// Reads a load report by the names of its fields; without any of them it is none.
@@ -693,7 +775,14 @@
     fn visit_map<A: MapAccess<'de>>(self, mut values: A) -> Result<LoadReport, A::Error> {
         let mut report = LoadReport::default();
         while let Some(name) = values.next_key::<Cow<str>>()? {
-            match self.0.names.fields.iter().position(|f| *f == name).and_then(|at| self.0.fields.get(at)) {
+            match self
+                .0
+                .names
+                .fields
+                .iter()
+                .position(|f| *f == name)
+                .and_then(|at| self.0.fields.get(at))
+            {
                 Some(field) => field.put(values.next_value()?, &mut report),
                 None => drop(values.next_value::<IgnoredAny>()?),
             }
@@ -704,10 +793,16 @@
 
 /// What an answer says of the request.
 fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let not_run = || headers.get(NOT_PROCESSED).is_some_and(|v| v.as_bytes() == b"1");
+    let not_run = || {
+        headers
+            .get(NOT_PROCESSED)
+            .is_some_and(|v| v.as_bytes() == b"1")
+    };
     match status {
         StatusCode::OK => Outcome::Served,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => Outcome::TurnedAway,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => {
+            Outcome::TurnedAway
+        }
         // A 503 without the mark proves nothing.
         _ => Outcome::Error,
     }
@@ -741,5 +836,9 @@
 
 /// Position of a name among those that the settings give; names they don't give share one of their own.
 fn position(names: &[String], name: &str) -> u8 {
-    names.iter().position(|n| n == name).and_then(|at| u8::try_from(at).ok()).unwrap_or(u8::MAX)
+    names
+        .iter()
+        .position(|n| n == name)
+        .and_then(|at| u8::try_from(at).ok())
+        .unwrap_or(u8::MAX)
 }
--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -45,7 +45,11 @@
             Outgoing::Passing(upload) => {
                 let reader = upload.readers.get() + 1;
                 upload.readers.set(reader);
-                Some(Sending::Passing { upload: upload.clone(), reader, begun: false })
+                Some(Sending::Passing {
+                    upload: upload.clone(),
+                    reader,
+                    begun: false,
+                })
             }
         }
     }
@@ -161,14 +165,21 @@
             self.moved.set((Instant::now(), false));
             match frame {
                 None => self.finish(Ok(())),
-                Some(Err(_)) => self.finish(Err((StatusCode::BAD_REQUEST, "the body is not whole"))),
+                Some(Err(_)) => {
+                    self.finish(Err((StatusCode::BAD_REQUEST, "the body is not whole")))
+                }
                 Some(Ok(frame)) => {
-                    let Ok(data) = frame.into_data() else { continue };
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
                     self.beyond.set(true);
                     *self.held.borrow_mut() = Bytes::new();
                     self.read.set(self.read.get() + data.len() as u64);
                     if self.read.get() > MOST_BODY {
-                        self.finish(Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")));
+                        self.finish(Err((
+                            StatusCode::PAYLOAD_TOO_LARGE,
+                            "the body is too large",
+                        )));
                         continue;
                     }
                     if rest.is_end_stream() {
@@ -208,7 +219,9 @@
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Polled {
         match self.get_mut() {
-            Sending::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            Sending::Whole(body) => Pin::new(body)
+                .poll_frame(cx)
+                .map_err(|never| match never {}),
             Sending::Passing { upload, reader, .. } if *reader != upload.readers.get() => {
                 Poll::Ready(Some(Err("another attempt has the body".into())))
             }
@@ -232,7 +245,9 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Sending::Whole(body) => body.size_hint(),
-            Sending::Passing { upload, .. } => upload.length.map_or_else(SizeHint::new, SizeHint::with_exact),
+            Sending::Passing { upload, .. } => upload
+                .length
+                .map_or_else(SizeHint::new, SizeHint::with_exact),
         }
     }
 }
@@ -258,7 +273,15 @@
     pub fn new(held: Bytes, rest: Incoming) -> (Self, oneshot::Receiver<Passed>) {
         let (end, ended) = oneshot::channel();
         let read = held.len() as u64;
-        (Passing { held, rest, read, end: Some(end) }, ended)
+        (
+            Passing {
+                held,
+                rest,
+                read,
+                end: Some(end),
+            },
+            ended,
+        )
     }
 
     fn finish(&mut self, end: Passed) {
@@ -283,7 +306,9 @@
                     return Poll::Ready(None);
                 }
                 Some(Ok(frame)) => {
-                    let Ok(data) = frame.into_data() else { continue };
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
                     self.read += data.len() as u64;
                     if self.read <= MOST_BODY {
                         if self.rest.is_end_stream() {
@@ -295,7 +320,10 @@
                 }
                 Some(Err(error)) => BodyError::from(error),
             };
-            let source = broken.source().map(|s| format!(": {s}")).unwrap_or_default();
+            let source = broken
+                .source()
+                .map(|s| format!(": {s}"))
+                .unwrap_or_default();
             self.finish(Passed::Broken(format!("{broken}{source}")));
             return Poll::Ready(Some(Err(broken)));
         }
@@ -303,7 +331,9 @@
 
     fn size_hint(&self) -> SizeHint {
         let rest = self.rest.size_hint().exact();
-        rest.map_or_else(SizeHint::new, |rest| SizeHint::with_exact(rest + self.held.len() as u64))
+        rest.map_or_else(SizeHint::new, |rest| {
+            SizeHint::with_exact(rest + self.held.len() as u64)
+        })
     }
 }
 
@@ -312,7 +342,10 @@
     while held.len() <= HELD_BODY {
         match poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx)).await {
             None => return Ok(true),
-            Some(frame) => frame?.into_data().iter().for_each(|data| held.extend_from_slice(data)),
+            Some(frame) => frame?
+                .into_data()
+                .iter()
+                .for_each(|data| held.extend_from_slice(data)),
         }
     }
     Ok(body.is_end_stream() && held.len() <= HELD_BODY)
--- a/node/src/calls.rs
+++ b/node/src/calls.rs
@@ -13,7 +13,10 @@
 pub fn may_pass(error: &io::Error) -> bool {
     !matches!(
         error.kind(),
-        ErrorKind::NotFound | ErrorKind::PermissionDenied | ErrorKind::InvalidInput | ErrorKind::Unsupported
+        ErrorKind::NotFound
+            | ErrorKind::PermissionDenied
+            | ErrorKind::InvalidInput
+            | ErrorKind::Unsupported
     )
 }
 
@@ -59,14 +62,20 @@
 
 /// Makes a call of the start until it succeeds, fails for good, or has failed for [`START_PATIENCE`]. The first failure is
 /// logged. Nothing else runs in the process yet, so that waiting holds up nothing.
-pub fn retry_at_start<T>(what: impl Display, mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_at_start<T>(
+    what: impl Display,
+    mut call: impl FnMut() -> io::Result<T>,
+) -> io::Result<T> {
     let by = Instant::now() + START_PATIENCE;
     let mut logged = false;
     loop {
         match call() {
             Err(error) if may_pass(&error) && Instant::now() < by => {
                 if !std::mem::replace(&mut logged, true) {
-                    let _ = writeln!(io::stderr(), "birchswitch: {what} failed, and is tried again: {error}");
+                    let _ = writeln!(
+                        io::stderr(),
+                        "birchswitch: {what} failed, and is tried again: {error}"
+                    );
                 }
                 std::thread::sleep(TRY_AGAIN);
             }
--- a/node/src/calls_tests.rs
+++ b/node/src/calls_tests.rs
@@ -6,11 +6,20 @@
 
 #[test]
 fn only_errors_of_resources_deserve_a_pause() {
-    for number in [libc::ECONNABORTED, libc::EINTR, libc::ENETUNREACH, libc::EHOSTUNREACH, libc::EPROTO] {
+    for number in [
+        libc::ECONNABORTED,
+        libc::EINTR,
+        libc::ENETUNREACH,
+        libc::EHOSTUNREACH,
+        libc::EPROTO,
+    ] {
         assert!(is_one_connections(&error(number)), "{number}");
     }
     for number in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
-        assert!(!is_one_connections(&error(number)) && is_shortage(&error(number)), "{number}");
+        assert!(
+            !is_one_connections(&error(number)) && is_shortage(&error(number)),
+            "{number}"
+        );
     }
 }
 
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -114,7 +114,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { memory_mb: 192, sockets: 1024 }
+        Limits {
+            memory_mb: 192,
+            sockets: 1024,
+        }
     }
 }
 
@@ -129,7 +132,9 @@
 
 impl ConfigText {
     /// Reads it by `read`.
-    pub fn from_env(read: impl FnOnce(&str) -> std::io::Result<String>) -> Result<ConfigText, ConfigError> {
+    pub fn from_env(
+        read: impl FnOnce(&str) -> std::io::Result<String>,
+    ) -> Result<ConfigText, ConfigError> {
         let path = variable("GW_CONFIG").ok_or(ConfigError::NoFile)?;
         match read(&path) {
             Ok(text) => Ok(ConfigText { path, text }),
@@ -149,22 +154,48 @@
 
 impl Config {
     /// The variables, where set, prevail over the file.
-    fn read(path: &str, text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
+    fn read(
+        path: &str,
+        text: &str,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
         let path = || path.to_owned();
-        let file: File =
-            serde_json::from_str(text).map_err(|source| ConfigError::Json { path: path(), source })?;
-        let site = settings::parse(file.settings.get().as_bytes())
-            .map_err(|source| ConfigError::Settings { path: path(), source })?;
-        site.settings.check().map_err(|source| ConfigError::Figures { path: path(), source })?;
+        let file: File = serde_json::from_str(text).map_err(|source| ConfigError::Json {
+            path: path(),
+            source,
+        })?;
+        let site = settings::parse(file.settings.get().as_bytes()).map_err(|source| {
+            ConfigError::Settings {
+                path: path(),
+                source,
+            }
+        })?;
+        site.settings
+            .check()
+            .map_err(|source| ConfigError::Figures {
+                path: path(),
+                source,
+            })?;
         // Both are checked wherever they are given: what is not used now may be at the next reading.
         let address = |key: &'static str, value: Option<String>| {
             let wanted = "an address and port";
             value
-                .map(|v| v.parse().map_err(|_| ConfigError::Senseless { what: key, value: v, wanted }))
+                .map(|v| {
+                    v.parse().map_err(|_| ConfigError::Senseless {
+                        what: key,
+                        value: v,
+                        wanted,
+                    })
+                })
                 .transpose()
         };
         let either = |name: &'static str, key: &'static str, in_file: Option<SocketAddr>| {
-            address(key, variable(name))?.or(in_file).ok_or(ConfigError::Missing { variable: name, key })
+            address(key, variable(name))?
+                .or(in_file)
+                .ok_or(ConfigError::Missing {
+                    variable: name,
+                    key,
+                })
         };
         let listen = either("GW_LISTEN", "listen", address("listen", file.listen)?)?;
         let discovery_in_file = address("discovery", file.discovery)?;
@@ -179,7 +210,11 @@
         let sockets = file.limits.sockets;
         if sockets < LEAST_SOCKETS {
             let (value, wanted) = (sockets.to_string(), "at least 64");
-            return Err(ConfigError::Senseless { what: "limits.sockets", value, wanted });
+            return Err(ConfigError::Senseless {
+                what: "limits.sockets",
+                value,
+                wanted,
+            });
         }
         Ok(Config {
             name: variable("GW_NAME").unwrap_or(file.name),
--- a/node/src/console.rs
+++ b/node/src/console.rs
@@ -52,7 +52,13 @@
         keeper: Rc<Keeper>,
         warm_up: Duration,
     ) -> Rc<Self> {
-        let console = Rc::new(Console { engine, phase, keeper, warm_up, look_failed: Cell::new(false) });
+        let console = Rc::new(Console {
+            engine,
+            phase,
+            keeper,
+            warm_up,
+            look_failed: Cell::new(false),
+        });
         console.apply();
         console
     }
@@ -91,7 +97,11 @@
         let word = self.keeper.word();
         self.engine.heed(&word);
         self.phase.send_if_modified(|phase| {
-            let drained = if word.draining { Phase::Draining } else { Phase::Serving };
+            let drained = if word.draining {
+                Phase::Draining
+            } else {
+                Phase::Serving
+            };
             let turns = *phase <= Phase::Draining && *phase != drained;
             *phase = if turns { drained } else { *phase };
             turns
@@ -107,7 +117,10 @@
             }
             Err(error) => {
                 self.engine.log(format_args!("{error}"));
-                Err((StatusCode::INTERNAL_SERVER_ERROR, "it could not be kept: nothing has changed"))
+                Err((
+                    StatusCode::INTERNAL_SERVER_ERROR,
+                    "it could not be kept: nothing has changed",
+                ))
             }
         }
     }
@@ -144,8 +157,15 @@
             Ok(None) | Err(_) => return,
         };
         let shown = call.as_bytes()[..call.len().min(LOGGED)].escape_ascii();
-        self.engine.log(format_args!("console call=\"{shown}\" status={} {text}", status.as_u16()));
-        let allow = if status == StatusCode::METHOD_NOT_ALLOWED { "Allow: GET, POST\r\n" } else { "" };
+        self.engine.log(format_args!(
+            "console call=\"{shown}\" status={} {text}",
+            status.as_u16()
+        ));
+        let allow = if status == StatusCode::METHOD_NOT_ALLOWED {
+            "Allow: GET, POST\r\n"
+        } else {
+            ""
+        };
         let answer = format!(
             "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\n{allow}Content-Length: {}\r\nConnection: close\r\n\r\n{text}\n",
             text.len() + 1
@@ -162,7 +182,9 @@
 
     /// Does what a call asks for. Once it is answered that is in force.
     async fn carry_out(&self, method: &str, path: &str) -> Result<Reply, Reply> {
-        let backend = path.strip_prefix("/backends/").and_then(|rest| rest.rsplit_once('/'));
+        let backend = path
+            .strip_prefix("/backends/")
+            .and_then(|rest| rest.rsplit_once('/'));
         Ok(match (method, path, backend) {
             ("GET", "/healthcheck", _) => match *self.phase.borrow() {
                 Phase::Serving | Phase::Draining if !self.engine.ready() => {
@@ -178,7 +200,10 @@
                 }
                 let draining = path == "/healthcheck/fail";
                 self.say(|word| word.draining = draining).await?;
-                (StatusCode::OK, if draining { "draining" } else { "serving" })
+                (
+                    StatusCode::OK,
+                    if draining { "draining" } else { "serving" },
+                )
             }
             ("POST", _, Some((id, "maint"))) => {
                 let known = self.engine.knows(id);
@@ -200,7 +225,9 @@
                 known_backend(self.say(back).await?, "in use")
             }
             (_, "/healthcheck" | "/healthcheck/fail" | "/healthcheck/ok", _)
-            | (_, _, Some((_, "maint" | "ready"))) => (StatusCode::METHOD_NOT_ALLOWED, "another method"),
+            | (_, _, Some((_, "maint" | "ready"))) => {
+                (StatusCode::METHOD_NOT_ALLOWED, "another method")
+            }
             _ => (StatusCode::NOT_FOUND, "unknown call"),
         })
     }
@@ -223,13 +250,25 @@
             Ok(Some(_)) => break,
             Ok(None) if read == 0 => return None,
             Ok(None) if held.len() >= gate::MOST_HEAD => {
-                return Some(Err((StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long")));
+                return Some(Err((
+                    StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+                    "the head is too long",
+                )));
             }
             Ok(None) => {}
         }
     }
     // It was read as the head of a request: both are there.
-    let line = held.trim_ascii_start().split(|&b| b == b'\r' || b == b'\n').next().unwrap_or_default();
-    let mut words = line.split(|&b| b == b' ').map(|word| String::from_utf8_lossy(word).into_owned());
-    Some(Ok((words.next().unwrap_or_default(), words.next().unwrap_or_default())))
+    let line = held
+        .trim_ascii_start()
+        .split(|&b| b == b'\r' || b == b'\n')
+        .next()
+        .unwrap_or_default();
+    let mut words = line
+        .split(|&b| b == b' ')
+        .map(|word| String::from_utf8_lossy(word).into_owned());
+    Some(Ok((
+        words.next().unwrap_or_default(),
+        words.next().unwrap_or_default(),
+    )))
 }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -201,7 +201,10 @@
     fn check(&mut self) -> Result<(), WatchError> {
         let begun = &self.held[..self.searched];
         // A number that is cut is no good number, and yet the beginning of one.
-        let cut = begun.iter().rposition(|byte| !b"+-.0123456789eE".contains(byte)).map_or(0, |at| at + 1);
+        let cut = begun
+            .iter()
+            .rposition(|byte| !b"+-.0123456789eE".contains(byte))
+            .map_or(0, |at| at + 1);
         match serde_json::from_slice::<IgnoredAny>(&begun[..cut]) {
             Err(error) if !error.is_eof() => Err(WatchError::BadLine(error.to_string())),
             _ => {
@@ -217,7 +220,11 @@
     pub fn parse(line: &[u8]) -> Result<Self, WatchError> {
         let list: ServerList =
             serde_json::from_slice(line).map_err(|e| WatchError::BadLine(e.to_string()))?;
-        match list.members.iter().find(|m| m.host_port.is_none() && m.phase != Phase::Left) {
+        match list
+            .members
+            .iter()
+            .find(|m| m.host_port.is_none() && m.phase != Phase::Left)
+        {
             Some(m) => Err(WatchError::BadLine(format!("{} has no host_port", m.id))),
             None => Ok(list),
         }
@@ -242,13 +249,22 @@
         }
         // A call that was given up for its silence has been a pause already: what it missed counts as told as if it had
         // been refused at once. Many nodes may have lost theirs at one moment.
-        let wait =
-            pause.saturating_sub(began.elapsed()).max(PAUSE[0]).mul_f64(1.0 - JITTER * engine.random());
-        engine.log(format_args!("watch: {error}; again in {} ms", wait.as_millis()));
+        let wait = pause
+            .saturating_sub(began.elapsed())
+            .max(PAUSE[0])
+            .mul_f64(1.0 - JITTER * engine.random());
+        engine.log(format_args!(
+            "watch: {error}; again in {} ms",
+            wait.as_millis()
+        ));
         tokio::time::sleep(wait).await;
         // Of a discovery that is down all counts as told at its return, and being refused costs it nothing. One that
         // answers but can't serve is crowded.
-        pause = if error.is_refusal() { PAUSE[0] } else { (pause * 2).min(PAUSE[1]) };
+        pause = if error.is_refusal() {
+            PAUSE[0]
+        } else {
+            (pause * 2).min(PAUSE[1])
+        };
     }
 }
 
@@ -287,7 +303,12 @@
 impl Call {
     fn new(engine: &Rc<Engine>, address: SocketAddr, patience: Duration) -> Self {
         let silent_until = Rc::new(Cell::new(Instant::now() + patience));
-        Call { engine: engine.clone(), address, silent_until, given_up: Rc::default() }
+        Call {
+            engine: engine.clone(),
+            address,
+            silent_until,
+            given_up: Rc::default(),
+        }
     }
 
     /// It has said something, and has to say more within [`SILENCE`].
@@ -345,8 +366,11 @@
 }
 
 fn request(address: SocketAddr, query: &str) -> Request<Empty<Bytes>> {
-    let request = Request::get(format!("/registry/instances{query}")).header("host", address.to_string());
-    request.body(Empty::new()).expect("a fixed path and an address are valid")
+    let request =
+        Request::get(format!("/registry/instances{query}")).header("host", address.to_string());
+    request
+        .body(Empty::new())
+        .expect("a fixed path and an address are valid")
 }
 
 /// Drives a connection and a dialogue on it. The connection comes first: what it has brought is read before any of the
@@ -366,14 +390,21 @@
 
 /// Asks for the whole list, once.
 async fn fetch(call: Call) -> Result<(), WatchError> {
-    let (mut sender, connection) = http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
+    let (mut sender, connection) =
+        http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
     let dialogue = async {
         let response = sender.send_request(request(call.address, "")).await?;
         if response.status() != StatusCode::OK {
             return Err(WatchError::Status(response.status()));
         }
-        let body = Limited::new(response.into_body(), LONGEST_LINE).collect().await;
-        let list = ServerList::parse(&body.map_err(|e| WatchError::BadLine(e.to_string()))?.to_bytes())?;
+        let body = Limited::new(response.into_body(), LONGEST_LINE)
+            .collect()
+            .await;
+        let list = ServerList::parse(
+            &body
+                .map_err(|e| WatchError::BadLine(e.to_string()))?
+                .to_bytes(),
+        )?;
         if !list.complete {
             return Err(WatchError::BadLine("the list is not complete".to_owned()));
         }
@@ -384,7 +415,8 @@
 }
 
 async fn run_watch(call: Call) -> Result<(), WatchError> {
-    let (mut sender, connection) = http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
+    let (mut sender, connection) =
+        http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
     // The connection is driven here, so that nothing of it outlives the watch.
     let dialogue = async {
         let since = call.engine.revision();
@@ -402,7 +434,9 @@
         // A machine that vanishes leaves its connections open and silent: only the clock tells. So it does of a list
         // that has begun and does not end, whatever else comes.
         while let Some(frame) = body.frame().await {
-            let Ok(data) = frame?.into_data() else { continue };
+            let Ok(data) = frame?.into_data() else {
+                continue;
+            };
             if !held.begun() {
                 call.has_spoken();
             }
--- a/node/src/discovery_tests.rs
+++ b/node/src/discovery_tests.rs
@@ -29,10 +29,25 @@
 /// Also where braces are missing, lest the lists that follow are held for ever.
 #[test]
 fn what_is_no_list_is_an_error_before_it_ends() {
-    for bad in ["x", "]", "[1]", "{x", "{\"a\":}", "{\"a\":[1}", "{\"a\":1,\n\"b\":tru\n\n", "{\"a\" {"] {
+    for bad in [
+        "x",
+        "]",
+        "[1]",
+        "{x",
+        "{\"a\":}",
+        "{\"a\":[1}",
+        "{\"a\":1,\n\"b\":tru\n\n",
+        "{\"a\" {",
+    ] {
         assert!(taken(&[bad.as_bytes()]).is_err(), "{bad}");
     }
-    let swallowed = ["{\"revision\":1,\"members\":[", "\n", "{\"revision\":2,\"members\":[]}\n", "\n", "\n"];
+    let swallowed = [
+        "{\"revision\":1,\"members\":[",
+        "\n",
+        "{\"revision\":2,\"members\":[]}\n",
+        "\n",
+        "\n",
+    ];
     let bytes: Vec<&[u8]> = swallowed.iter().map(|s| s.as_bytes()).collect();
     assert!(matches!(taken(&bytes), Ok(all) if all.is_empty()));
     let bytes: Vec<&[u8]> = [swallowed.as_slice(), &["{\"revision\":3}\r\n", " \r\n"]]
--- a/node/src/engine.rs
+++ b/node/src/engine.rs
@@ -11,8 +11,8 @@
 use crate::rules::{self, Earlier, Place, Rule};
 use crate::stats::Stats;
 use finchvale::{
-    Action, Arrival, Balancer, ClassId, Effect, Ended, Event, ListKind, LoadReport, Outcome, Probed, Reason,
-    RequestId, ServerId, ServerState, Settings, SettingsError, TenantId, Time,
+    Action, Arrival, Balancer, ClassId, Effect, Ended, Event, ListKind, LoadReport, Outcome,
+    Probed, Reason, RequestId, ServerId, ServerState, Settings, SettingsError, TenantId, Time,
 };
 use hyper::{Request, Response};
 use rand_core::{RngCore, SeedableRng};
@@ -49,7 +49,9 @@
 
 impl Clock {
     fn new() -> Self {
-        Clock { started: Instant::now() }
+        Clock {
+            started: Instant::now(),
+        }
     }
 
     fn now(&self) -> Time {
@@ -269,14 +271,22 @@
     pub fn watching(&self) {
         self.watches.set(self.watches.get() + 1);
         if self.asked {
-            self.feed(Event::List { kind: ListKind::Changes, entries: Vec::new() });
+            self.feed(Event::List {
+                kind: ListKind::Changes,
+                entries: Vec::new(),
+            });
         }
     }
 
     /// A call that was not given up has told a list: one that was has nothing newer to say. Before that it may have, since a
     /// watch that is open may end instead of telling.
     pub fn forget_silent_call(&self) {
-        self.state.borrow_mut().silent_call.take().iter().for_each(AbortHandle::abort);
+        self.state
+            .borrow_mut()
+            .silent_call
+            .take()
+            .iter()
+            .for_each(AbortHandle::abort);
     }
 
     /// How many watches have been opened.
@@ -324,7 +334,10 @@
     /// one stays: it is the first in turn.
     pub fn hear_beside(&self, address: SocketAddr, call: impl Future + 'static) {
         let state = &mut *self.state.borrow_mut();
-        let held = state.silent_call.as_ref().is_some_and(|task| !task.is_finished());
+        let held = state
+            .silent_call
+            .as_ref()
+            .is_some_and(|task| !task.is_finished());
         if held || self.discovery.get() != address {
             return;
         }
@@ -336,17 +349,31 @@
 
     /// Takes in the list as last known before the start. The balancer is owed one, be it empty.
     pub fn known(&self, list: Option<&ServerList>) {
-        let entries = list.map(|l| self.take_list(l, Source::Configuration)).unwrap_or_default();
-        self.feed(Event::List { kind: ListKind::Cached, entries });
+        let entries = list
+            .map(|l| self.take_list(l, Source::Configuration))
+            .unwrap_or_default();
+        self.feed(Event::List {
+            kind: ListKind::Cached,
+            entries,
+        });
     }
 
     /// Takes in what discovery says, at the address that it says it from.
     pub fn list(&self, list: &ServerList, from: SocketAddr) {
-        let kind = if list.complete { ListKind::Full } else { ListKind::Changes };
+        let kind = if list.complete {
+            ListKind::Full
+        } else {
+            ListKind::Changes
+        };
         self.lists_taken.set(self.lists_taken.get() + 1);
         if list.complete && from == self.discovery.get() {
             self.moved.set(false);
-            self.state.borrow_mut().watch_before.take().iter().for_each(AbortHandle::abort);
+            self.state
+                .borrow_mut()
+                .watch_before
+                .take()
+                .iter()
+                .for_each(AbortHandle::abort);
         }
         let entries = self.take_list(list, Source::Discovery);
         // Logged where it says anything: discovery may send lists of no change.
@@ -369,7 +396,10 @@
     pub fn heed(&self, word: &Word) {
         let entries = self.backends.heed(self.clock.now(), word);
         if !entries.is_empty() {
-            self.feed(Event::List { kind: ListKind::Changes, entries });
+            self.feed(Event::List {
+                kind: ListKind::Changes,
+                entries,
+            });
         }
     }
 
@@ -403,15 +433,47 @@
         state.next_request += 1;
         self.stats.count(|c| c.requests += 1);
         self.stats.count_class(incoming.class, |c| c.requests += 1);
-        let Incoming { class, tenant, work, due, remaining, id: name, since, request, client } = incoming;
+        let Incoming {
+            class,
+            tenant,
+            work,
+            due,
+            remaining,
+            id: name,
+            since,
+            request,
+            client,
+        } = incoming;
         let coming = request.body().upload().is_some();
         let (taken, reply, attempts) = (Instant::now(), Some(reply), Vec::new());
-        let entry = Entry { id: name, class, tenant, since, taken, request, due, client, reply, attempts };
+        let entry = Entry {
+            id: name,
+            class,
+            tenant,
+            since,
+            taken,
+            request,
+            due,
+            client,
+            reply,
+            attempts,
+        };
         state.ledger.insert(id, entry);
         drop(state);
-        self.feed(Event::Arrival(Arrival { request: id, class, tenant, remaining, work, coming }));
+        self.feed(Event::Arrival(Arrival {
+            request: id,
+            class,
+            tenant,
+            remaining,
+            work,
+            coming,
+        }));
         self.settle(id);
-        Some(Taken { engine: self.me.upgrade(), id, answer })
+        Some(Taken {
+            engine: self.me.upgrade(),
+            id,
+            answer,
+        })
     }
 
     /// The last byte of a request has come that was taken before.
@@ -433,9 +495,13 @@
 
     /// Ends what nobody waits for any more and no server has got yet: no attempt of it that is still connecting goes out.
     fn withhold(&self, state: &mut State, request: RequestId) {
-        let Some(entry) = state.ledger.get_mut(&request) else { return };
+        let Some(entry) = state.ledger.get_mut(&request) else {
+            return;
+        };
         for (attempt, a) in (0..).zip(&mut entry.attempts) {
-            let Some(task) = a.task.take_if(|_| a.progress.get() == Progress::Waiting) else { continue };
+            let Some(task) = a.task.take_if(|_| a.progress.get() == Progress::Waiting) else {
+                continue;
+            };
             // The task ends in a later turn: nothing of it may be written until then.
             a.progress.set(Progress::Revoked);
             task.abort();
@@ -443,7 +509,15 @@
             (a.may_have_run, a.end) = (false, Some((outcome, latency, None)));
             self.stats.count(|c| c.ended(outcome));
             let (server, closed, report) = (a.server, true, None);
-            let ended = Ended { request, attempt, server, outcome, latency, closed, report };
+            let ended = Ended {
+                request,
+                attempt,
+                server,
+                outcome,
+                latency,
+                closed,
+                report,
+            };
             state.events.push_back(Event::Ended(ended));
         }
     }
@@ -451,21 +525,37 @@
     /// The first bytes of an answer are there, and go to the client. False: nobody wants them.
     fn attempt_begun(&self, request: RequestId, attempt: u32, exchange: &mut Exchange) -> bool {
         let mut state = self.state.borrow_mut();
-        let Some(entry) = state.ledger.get_mut(&request) else { return false };
-        let Some(a) = entry.attempts.get(attempt as usize).filter(|a| a.task.is_some()) else { return false };
+        let Some(entry) = state.ledger.get_mut(&request) else {
+            return false;
+        };
+        let Some(a) = entry
+            .attempts
+            .get(attempt as usize)
+            .filter(|a| a.task.is_some())
+        else {
+            return false;
+        };
         let latency = since(&entry.request, a.began);
-        let (Some(answer), Some(reply)) = (exchange.answer.take(), entry.reply.take()) else { return false };
+        let (Some(answer), Some(reply)) = (exchange.answer.take(), entry.reply.take()) else {
+            return false;
+        };
         self.stats.count(|c| c.passed_on += 1);
         self.count_served(entry);
         let _ = reply.send(Answer::Served(answer));
         drop(state);
-        self.feed(Event::Begun { request, attempt, latency });
+        self.feed(Event::Begun {
+            request,
+            attempt,
+            latency,
+        });
         true
     }
 
     /// Waits for the end of an answer that is passed on as it comes.
     async fn attempt_passing(&self, request: RequestId, attempt: u32, exchange: &mut Exchange) {
-        let Some(passing) = exchange.passing.take() else { return };
+        let Some(passing) = exchange.passing.take() else {
+            return;
+        };
         let begun = self.attempt_begun(request, attempt, exchange);
         exchange.answer = None;
         let ended = if begun { passing.await.ok() } else { None };
@@ -484,8 +574,12 @@
 
     fn attempt_ended(&self, request: RequestId, attempt: u32, exchange: &mut Exchange) {
         let mut state = self.state.borrow_mut();
-        let Some(entry) = state.ledger.get_mut(&request) else { return };
-        let Some(a) = entry.attempts.get_mut(attempt as usize) else { return };
+        let Some(entry) = state.ledger.get_mut(&request) else {
+            return;
+        };
+        let Some(a) = entry.attempts.get_mut(attempt as usize) else {
+            return;
+        };
         if a.task.take().is_none() {
             return; // Cancelled meanwhile: its end is told already.
         }
@@ -499,11 +593,19 @@
             Outcome::Error | Outcome::Broken => count[2] += 1,
             _ => {}
         }
-        let Some(entry) = state.ledger.get_mut(&request) else { return };
-        if let Some(problem) = exchange.problem.take().filter(|_| self.stats.single_broken()) {
+        let Some(entry) = state.ledger.get_mut(&request) else {
+            return;
+        };
+        if let Some(problem) = exchange
+            .problem
+            .take()
+            .filter(|_| self.stats.single_broken())
+        {
             let id = printable(&entry.id);
             let ms = latency.as_secs_f64() * 1e3;
-            self.log(format_args!("broken id={id} server={server} attempt={attempt} ms={ms:.2} {problem}"));
+            self.log(format_args!(
+                "broken id={id} server={server} attempt={attempt} ms={ms:.2} {problem}"
+            ));
         }
         if let Some(answer) = exchange.answer.take() {
             // The first answer closes the request; a later one is the copy's and is dropped.
@@ -523,7 +625,15 @@
             self.withhold(&mut state, request);
         }
         drop(state);
-        self.feed(Event::Ended(Ended { request, attempt, server, outcome, latency, closed, report }));
+        self.feed(Event::Ended(Ended {
+            request,
+            attempt,
+            server,
+            outcome,
+            latency,
+            closed,
+            report,
+        }));
         self.settle(request);
     }
 
@@ -532,7 +642,10 @@
         let state = &mut *self.state.borrow_mut();
         let over = |e: &Entry| e.reply.is_none() && e.attempts.iter().all(|a| a.task.is_none());
         if state.ledger.get(&request).is_some_and(over) {
-            let _ = state.ledger.remove(&request).is_some_and(|e| state.ids.remove(&e.id));
+            let _ = state
+                .ledger
+                .remove(&request)
+                .is_some_and(|e| state.ids.remove(&e.id));
         }
     }
 
@@ -553,8 +666,16 @@
 
     fn carry_out(&self, state: &mut State, action: Action) {
         match action {
-            Action::Send { request, server, limit } => self.send(state, request, server, limit),
-            Action::Refuse { request, wait, reason } => {
+            Action::Send {
+                request,
+                server,
+                limit,
+            } => self.send(state, request, server, limit),
+            Action::Refuse {
+                request,
+                wait,
+                reason,
+            } => {
                 self.finish(state, request, Answer::Refused(wait), reason);
             }
             Action::Fail { request, reason } => self.finish(state, request, Answer::Failed, reason),
@@ -563,7 +684,9 @@
                 let (me, at) = (self.me.clone(), self.clock.instant(at));
                 spawn_local(async move {
                     tokio::time::sleep_until(at).await;
-                    me.upgrade().iter().for_each(|engine| engine.feed(Event::Timer { timer }));
+                    me.upgrade()
+                        .iter()
+                        .for_each(|engine| engine.feed(Event::Timer { timer }));
                 });
             }
             Action::Probe { server } => self.probe(state, server),
@@ -574,11 +697,22 @@
 
     fn finish(&self, state: &mut State, request: RequestId, answer: Answer, reason: Reason) {
         // A client that has left takes no answer; nothing is owed then.
-        let Some(entry) = state.ledger.get_mut(&request) else { return };
-        let Some(reply) = entry.reply.take() else { return };
+        let Some(entry) = state.ledger.get_mut(&request) else {
+            return;
+        };
+        let Some(reply) = entry.reply.take() else {
+            return;
+        };
         let refused = matches!(answer, Answer::Refused(_));
-        self.stats.count_class(entry.class, |c| *c.given_up.entry(reason).or_default() += 1);
-        self.stats.count(|c| *(if refused { &mut c.refused } else { &mut c.failed }) += 1);
+        self.stats
+            .count_class(entry.class, |c| *c.given_up.entry(reason).or_default() += 1);
+        self.stats.count(|c| {
+            *(if refused {
+                &mut c.refused
+            } else {
+                &mut c.failed
+            }) += 1
+        });
         let _ = reply.send(answer);
         if self.stats.single(reason) {
             self.log_given_up(entry, if refused { "refused" } else { "failed" }, reason);
@@ -631,7 +765,9 @@
         for (why, count) in self.stats.take_turned_down() {
             self.log(format_args!("turned_down count={count} why=\"{why}\""));
         }
-        let Some((c, time)) = self.stats.take() else { return };
+        let Some((c, time)) = self.stats.take() else {
+            return;
+        };
         let mut state = self.state.borrow_mut();
         let sent = std::mem::take(&mut state.sent);
         let view = state.balancer.view(self.clock.now());
@@ -669,23 +805,42 @@
             let _ = write!(line, " {}={rate:.2}", name.escape_debug());
         }
         for (class, counts) in self.stats.take_classes() {
-            let name = self.names().classes.get(usize::from(class.0)).map_or("", String::as_str);
+            let name = self
+                .names()
+                .classes
+                .get(usize::from(class.0))
+                .map_or("", String::as_str);
             let (asked, served, late) = (counts.requests, counts.served, counts.late);
-            let _ = write!(line, " class={}:asked={asked},served={served},late={late}", name.escape_debug());
+            let _ = write!(
+                line,
+                " class={}:asked={asked},served={served},late={late}",
+                name.escape_debug()
+            );
             for (reason, count) in &counts.given_up {
                 let _ = write!(line, ",{reason:?}={count}");
             }
         }
         // Those that it deals with, the busiest first, and no more than a line bears: there may be a thousand.
-        let mut dealt: Vec<_> = view.servers.iter().map(|s| (sent.get(&s.server).copied(), s)).collect();
+        let mut dealt: Vec<_> = view
+            .servers
+            .iter()
+            .map(|s| (sent.get(&s.server).copied(), s))
+            .collect();
         dealt.retain(|(sent, s)| sent.is_some() || s.out > 0 || s.share > 0.0);
         dealt.sort_by_key(|(sent, s)| (std::cmp::Reverse(sent.unwrap_or_default()[0]), s.server));
         let unwritten = view.servers.len() - dealt.len().min(SERVERS_WRITTEN);
-        let _ = write!(line, " servers={} unwritten={unwritten}", view.servers.len());
+        let _ = write!(
+            line,
+            " servers={} unwritten={unwritten}",
+            view.servers.len()
+        );
         for (sent, s) in dealt.into_iter().take(SERVERS_WRITTEN) {
             let load = s.load.unwrap_or(f64::NAN);
             let [sent, full, bad] = sent.unwrap_or_default();
-            let (util, queue) = (s.report.busy.unwrap_or(f64::NAN), s.report.waiting.unwrap_or(f64::NAN));
+            let (util, queue) = (
+                s.report.busy.unwrap_or(f64::NAN),
+                s.report.waiting.unwrap_or(f64::NAN),
+            );
             let _ = write!(
                 line,
                 " {}:weight={:.2},price={:.2},load={load:.2},util={util:.2},queue={queue:.2},warm={:.2},speed={:.2},share={:.2},out={},sent={sent},full={full},bad={bad}",
@@ -697,21 +852,46 @@
         self.log(format_args!("{line}"));
     }
 
-    fn send(&self, state: &mut State, request: RequestId, server: ServerId, limit: Option<Duration>) {
+    fn send(
+        &self,
+        state: &mut State,
+        request: RequestId,
+        server: ServerId,
+        limit: Option<Duration>,
+    ) {
         let began = Instant::now();
-        let Some(entry) = state.ledger.get_mut(&request) else { return };
+        let Some(entry) = state.ledger.get_mut(&request) else {
+            return;
+        };
         let attempt = entry.attempts.len() as u32;
         let backend = self.backends.get(server).filter(|_| entry.reply.is_some());
         let backend = backend.filter(|backend| self.may_send(entry, backend));
         let Some(backend) = backend else {
-            let (outcome, latency, closed) = (Outcome::NotSent, Duration::ZERO, entry.reply.is_none());
+            let (outcome, latency, closed) =
+                (Outcome::NotSent, Duration::ZERO, entry.reply.is_none());
             let end = Some((outcome, latency, None));
             self.stats.count(|c| c.ended(outcome));
             let (task, progress, place) = (None, Rc::default(), Place::default());
             let may_have_run = false;
-            entry.attempts.push(Attempt { server, place, began, may_have_run, end, task, progress });
+            entry.attempts.push(Attempt {
+                server,
+                place,
+                began,
+                may_have_run,
+                end,
+                task,
+                progress,
+            });
             let report = None;
-            let ended = Ended { request, attempt, server, outcome, latency, closed, report };
+            let ended = Ended {
+                request,
+                attempt,
+                server,
+                outcome,
+                latency,
+                closed,
+                report,
+            };
             return state.events.push_back(Event::Ended(ended));
         };
         let until = limit.map_or(entry.due, |limit| entry.due.min(began + limit));
@@ -719,18 +899,27 @@
         let risky = entry.attempts.iter().find(|a| a.may_have_run);
         let repeat_by = risky.and_then(|a| Some(a.began + self.effect(entry.class).window()?));
         let client = entry.client.clone();
-        let terms = AttemptTerms { client_waits: Box::new(move || !left(&client)), repeat_by };
+        let terms = AttemptTerms {
+            client_waits: Box::new(move || !left(&client)),
+            repeat_by,
+        };
         let outgoing = entry.request.clone();
         let (me, backends) = (self.me.clone(), self.backends.clone());
         let progress: Rc<Cell<Progress>> = Rc::default();
         let (reached, place) = (progress.clone(), backend.place());
         let task = spawn_local(async move {
-            let mut exchange = backends.attempt(&backend, outgoing, until, terms, reached).await;
+            let mut exchange = backends
+                .attempt(&backend, outgoing, until, terms, reached)
+                .await;
             if let Some(engine) = me.upgrade() {
-                engine.attempt_passing(request, attempt, &mut exchange).await;
+                engine
+                    .attempt_passing(request, attempt, &mut exchange)
+                    .await;
             }
             let connection = exchange.connection.take();
-            me.upgrade().iter().for_each(|e| e.attempt_ended(request, attempt, &mut exchange));
+            me.upgrade()
+                .iter()
+                .for_each(|e| e.attempt_ended(request, attempt, &mut exchange));
             if let Some(connection) = connection {
                 backends.give_back(&backend, connection).await;
             }
@@ -739,7 +928,15 @@
         state.sent.entry(server).or_default()[0] += 1;
         let task = Some(task.abort_handle());
         let (may_have_run, end) = (true, None);
-        entry.attempts.push(Attempt { server, place, began, may_have_run, end, task, progress });
+        entry.attempts.push(Attempt {
+            server,
+            place,
+            began,
+            may_have_run,
+            end,
+            task,
+            progress,
+        });
     }
 
     /// Whether the rules allow one more attempt of a request at a server. The balancer keeps them by itself: that it asks
@@ -752,7 +949,11 @@
         let earlier: Vec<Earlier> = entry
             .attempts
             .iter()
-            .map(|a| Earlier { place: a.place, out: a.task.is_some(), may_have_run: a.may_have_run })
+            .map(|a| Earlier {
+                place: a.place,
+                out: a.task.is_some(),
+                may_have_run: a.may_have_run,
+            })
             .collect();
         let effect = self.effect(entry.class);
         let allowed = rules::may_repeat(effect, self.second_copies, backend.place(), &earlier);
@@ -765,37 +966,69 @@
 
     /// How far a class of requests may be repeated.
     fn effect(&self, class: ClassId) -> Effect {
-        self.effects.get(usize::from(class.0)).copied().unwrap_or(Effect::Unsafe)
+        self.effects
+            .get(usize::from(class.0))
+            .copied()
+            .unwrap_or(Effect::Unsafe)
     }
 
     /// How many requests have no final answer yet.
     pub fn open_requests(&self) -> usize {
-        self.state.borrow().ledger.values().filter(|entry| entry.reply.is_some()).count()
+        self.state
+            .borrow()
+            .ledger
+            .values()
+            .filter(|entry| entry.reply.is_some())
+            .count()
     }
 
     fn cancel(state: &mut State, request: RequestId, attempt: u32) {
-        let Some(entry) = state.ledger.get_mut(&request) else { return };
-        let Some(a) = entry.attempts.get_mut(attempt as usize) else { return };
+        let Some(entry) = state.ledger.get_mut(&request) else {
+            return;
+        };
+        let Some(a) = entry.attempts.get_mut(attempt as usize) else {
+            return;
+        };
         let Some(task) = a.task.take() else { return };
         a.end = Some((Outcome::Cancelled, a.began.elapsed(), None));
         task.abort(); // Its connection goes with it.
         let (server, latency, closed) = (a.server, a.began.elapsed(), entry.reply.is_none());
         let outcome = Outcome::Cancelled;
-        let ended = Ended { request, attempt, server, outcome, latency, closed, report: None };
+        let ended = Ended {
+            request,
+            attempt,
+            server,
+            outcome,
+            latency,
+            closed,
+            report: None,
+        };
         state.events.push_back(Event::Ended(ended));
     }
 
     fn probe(&self, state: &mut State, server: ServerId) {
         let Some(backend) = self.backends.get(server) else {
             let (outcome, latency, report) = (Outcome::NotSent, Duration::ZERO, None);
-            return state.events.push_back(Event::Probed(Probed { server, outcome, latency, report }));
+            return state.events.push_back(Event::Probed(Probed {
+                server,
+                outcome,
+                latency,
+                report,
+            }));
         };
         let (me, backends, began) = (self.me.clone(), self.backends.clone(), Instant::now());
         spawn_local(async move {
             let exchange = backends.probe(&backend, PROBE_TIMEOUT).await;
             let (outcome, latency, report) = (exchange.outcome, began.elapsed(), exchange.report);
-            let probed = Probed { server, outcome, latency, report };
-            me.upgrade().iter().for_each(|e| e.feed(Event::Probed(probed)));
+            let probed = Probed {
+                server,
+                outcome,
+                latency,
+                report,
+            };
+            me.upgrade()
+                .iter()
+                .for_each(|e| e.feed(Event::Probed(probed)));
             if let Some(connection) = exchange.connection {
                 backends.give_back(&backend, connection).await;
             }
@@ -817,7 +1050,10 @@
             let error = discovery::watch_once(&engine, address).await;
             if engine.discovery() == address {
                 engine.log(format_args!("watch: {error}"));
-                engine.feed(Event::List { kind: ListKind::Failed, entries: Vec::new() });
+                engine.feed(Event::List {
+                    kind: ListKind::Failed,
+                    entries: Vec::new(),
+                });
             }
         });
         state.watch = Some(task.abort_handle());
@@ -861,6 +1097,8 @@
 impl Drop for Taken {
     fn drop(&mut self) {
         // The client left, or its time ran out: if no answer was given, nothing is owed any more.
-        self.engine.iter().for_each(|engine| engine.client_gone(self.id));
+        self.engine
+            .iter()
+            .for_each(|engine| engine.client_gone(self.id));
     }
 }
--- a/node/src/frontend.rs
+++ b/node/src/frontend.rs
@@ -209,7 +209,8 @@
 
     /// Whether bytes have come since it was to close for having nothing to say.
     fn crossed(&self) -> bool {
-        matches!(self.left.get(), Stage::New | Stage::Head | Stage::Idle) && self.may_close().is_err()
+        matches!(self.left.get(), Stage::New | Stage::Head | Stage::Idle)
+            && self.may_close().is_err()
     }
 
     /// Ends what has taken too long.
@@ -223,7 +224,9 @@
         };
         match stage {
             // What comes with a connection needs a moment. A request that has begun is answered, and told to close.
-            Stage::New if phase == Phase::Closing && age >= LAST_CHANCE && self.may_close().is_ok() => {
+            Stage::New
+                if phase == Phase::Closing && age >= LAST_CHANCE && self.may_close().is_ok() =>
+            {
                 self.leave();
             }
             // Never one on which a request has come that was not read yet.
@@ -277,7 +280,8 @@
         self.taken.set(true);
         // What had come before the connection was accepted may have come as long ago as that may have been made.
         let waiting_since = self.waiting_since.take();
-        self.whole_at.set(whole_at.map(|at| waiting_since.unwrap_or(at)));
+        self.whole_at
+            .set(whole_at.map(|at| waiting_since.unwrap_or(at)));
     }
 
     fn busy(&self) -> bool {
@@ -314,12 +318,19 @@
             loop {
                 every.tick().await;
                 let phase = *sweeping.phase.borrow();
-                sweeping.clients.borrow().values().for_each(|c| c.sweep(phase, sweeping.engine.stats()));
+                sweeping
+                    .clients
+                    .borrow()
+                    .values()
+                    .for_each(|c| c.sweep(phase, sweeping.engine.stats()));
             }
         });
         let mut phase = self.phase.clone();
         let mut closing = std::pin::pin!(async move {
-            let ending = phase.wait_for(|p| *p >= Phase::HandingOver).await.map_or(Phase::Closing, |p| *p);
+            let ending = phase
+                .wait_for(|p| *p >= Phase::HandingOver)
+                .await
+                .map_or(Phase::Closing, |p| *p);
             // Whose request crosses the closing of an idle connection comes again, and finds a listener.
             if ending == Phase::Closing {
                 tokio::time::sleep(LAST_CHANCE).await;
@@ -355,7 +366,8 @@
 
     /// Whether a request is in hand, or an answer on its way.
     pub fn in_hand(&self) -> bool {
-        let busy = |c: &Rc<Client>| matches!(c.stage.get(), Stage::Head | Stage::Busy | Stage::Passing);
+        let busy =
+            |c: &Rc<Client>| matches!(c.stage.get(), Stage::Head | Stage::Busy | Stage::Passing);
         self.clients.borrow().values().any(busy)
     }
 
@@ -387,7 +399,9 @@
         let mut going: Vec<_> = clients.values().filter(|c| c.in_the_way()).collect();
         going.sort_unstable_by_key(|c| c.since.get());
         for client in going.iter().take(self.slots.most().div_ceil(EVICTED_PART)) {
-            self.engine.stats().turned_down(client.stage.get().evicted());
+            self.engine
+                .stats()
+                .turned_down(client.stage.get().evicted());
             client.leave();
         }
     }
@@ -396,7 +410,12 @@
         self.slots.free() < self.slots.most() / SPARE_PART
     }
 
-    fn connected(self: Rc<Self>, stream: TcpStream, waiting_since: Instant, permit: OwnedSemaphorePermit) {
+    fn connected(
+        self: Rc<Self>,
+        stream: TcpStream,
+        waiting_since: Instant,
+        permit: OwnedSemaphorePermit,
+    ) {
         let _ = stream.set_nodelay(true);
         let came_with_it = !gate::quiet(&stream);
         self.engine.stats().count(|c| c.accepted += 1);
@@ -464,7 +483,10 @@
         let connection = http1::Builder::new()
             .header_read_timeout(None)
             .max_buf_size(MOST_BUFFERED)
-            .serve_connection(TokioIo::new(Gate::new(client.socket.clone(), client.clone())), service);
+            .serve_connection(
+                TokioIo::new(Gate::new(client.socket.clone(), client.clone())),
+                service,
+            );
         let mut connection = std::pin::pin!(connection);
         loop {
             tokio::select! {
@@ -500,11 +522,23 @@
     }
 
     /// Answers a request that has begun at `since`.
-    async fn answer(&self, request: Request<Body>, since: Instant, client: &Client) -> Response<ClientBody> {
+    async fn answer(
+        &self,
+        request: Request<Body>,
+        since: Instant,
+        client: &Client,
+    ) -> Response<ClientBody> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/health/ready") => {
                 let ready = self.engine.ready() && *self.phase.borrow() == Phase::Serving;
-                return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
+                return plain(
+                    if ready {
+                        StatusCode::OK
+                    } else {
+                        StatusCode::SERVICE_UNAVAILABLE
+                    },
+                    "",
+                );
             }
             (&Method::GET, "/health/live") => {
                 return plain(StatusCode::OK, format!("list {}\n", self.engine.revision()));
@@ -526,7 +560,9 @@
                 Ok(Ok(whole)) => break whole,
                 Ok(Err(_)) => return turned_down(StatusCode::BAD_REQUEST, "the body is not whole"),
                 Err(_) if held.len() > before => {}
-                Err(_) => return turned_down(StatusCode::REQUEST_TIMEOUT, "the body took too long"),
+                Err(_) => {
+                    return turned_down(StatusCode::REQUEST_TIMEOUT, "the body took too long")
+                }
             }
         };
         // The time counts from the last byte, which is here or still to come.
@@ -544,7 +580,13 @@
         *outgoing.method_mut() = parts.method;
         *outgoing.uri_mut() = order.target;
         *outgoing.headers_mut() = end_to_end(parts.headers);
-        let Order { class, tenant, work, id, .. } = order;
+        let Order {
+            class,
+            tenant,
+            work,
+            id,
+            ..
+        } = order;
         let taken = self.engine.arrival(Incoming {
             class,
             tenant,
@@ -557,7 +599,10 @@
             client: Rc::downgrade(&client.socket),
         });
         let Some(taken) = taken else {
-            return turned_down(StatusCode::CONFLICT, "a request of this X-Request-ID is open");
+            return turned_down(
+                StatusCode::CONFLICT,
+                "a request of this X-Request-ID is open",
+            );
         };
         let id = taken.id();
         let over = async {
@@ -587,8 +632,10 @@
                 response
             }
             Answer::Refused(wait) => {
-                let mut response =
-                    plain(StatusCode::SERVICE_UNAVAILABLE, "refused: trying again is harmless");
+                let mut response = plain(
+                    StatusCode::SERVICE_UNAVAILABLE,
+                    "refused: trying again is harmless",
+                );
                 if let Some(wait) = wait {
                     let wait = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()));
                     let wait = wait.expect("a decimal number is valid in a header");
@@ -596,9 +643,10 @@
                 }
                 response
             }
-            Answer::Failed => {
-                plain(StatusCode::GATEWAY_TIMEOUT, "failed: the request may have been carried out")
-            }
+            Answer::Failed => plain(
+                StatusCode::GATEWAY_TIMEOUT,
+                "failed: the request may have been carried out",
+            ),
         };
         if client.unread.get() {
             close(&mut response);
@@ -610,16 +658,34 @@
     fn read_head(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Result<Order, Problem> {
         let bad = |why| (StatusCode::BAD_REQUEST, why);
         let names = self.engine.names();
-        let class = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let class = names.classes.iter().position(|c| c == class && !c.is_empty());
+        let class = uri
+            .path()
+            .trim_start_matches('/')
+            .split('/')
+            .next()
+            .unwrap_or_default();
+        let class = names
+            .classes
+            .iter()
+            .position(|c| c == class && !c.is_empty());
         let class = class.ok_or((StatusCode::NOT_FOUND, "unknown class of requests"))?;
         // Of two of a kind it is not known which one counts.
         let single = [&REQUEST_ID, &TENANT, &TIMEOUT, &COST, &KEY];
-        if single.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
+        if single
+            .iter()
+            .any(|name| headers.get_all(*name).iter().nth(1).is_some())
+        {
             return Err(bad("a header that counts once came twice"));
         }
-        let text = |name: &HeaderName| headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
-        let id = text(&REQUEST_ID).filter(|id| !id.is_empty()).ok_or(bad("X-Request-ID is missing"))?;
+        let text = |name: &HeaderName| {
+            headers
+                .get(name)
+                .and_then(|v| v.to_str().ok())
+                .map(str::trim)
+        };
+        let id = text(&REQUEST_ID)
+            .filter(|id| !id.is_empty())
+            .ok_or(bad("X-Request-ID is missing"))?;
         let wait = text(&TIMEOUT).and_then(parse_wait);
         let wait = wait.ok_or(bad("X-Timeout is missing or makes no sense"))?;
         let effect = self.effects[class];
@@ -627,16 +693,28 @@
             return Err(bad("Idempotency-Key is missing"));
         }
         if (*method == Method::GET) != (effect == Effect::Safe) {
-            return Err((StatusCode::METHOD_NOT_ALLOWED, "another method goes with this class"));
+            return Err((
+                StatusCode::METHOD_NOT_ALLOWED,
+                "another method goes with this class",
+            ));
         }
         let tenant = match text(&TENANT) {
             _ if names.tenants.is_empty() => 0,
-            name => {
-                names.tenants.iter().position(|t| Some(t.as_str()) == name).ok_or(bad("unknown tenant"))?
-            }
+            name => names
+                .tenants
+                .iter()
+                .position(|t| Some(t.as_str()) == name)
+                .ok_or(bad("unknown tenant"))?,
         };
-        let target = uri.path_and_query().cloned().map(Uri::from).ok_or(bad("the target has no path"))?;
-        let work = match headers.get(COST).map(|v| v.to_str().unwrap_or_default().trim().parse::<f64>()) {
+        let target = uri
+            .path_and_query()
+            .cloned()
+            .map(Uri::from)
+            .ok_or(bad("the target has no path"))?;
+        let work = match headers
+            .get(COST)
+            .map(|v| v.to_str().unwrap_or_default().trim().parse::<f64>())
+        {
             None => None,
             Some(Ok(us)) if (0.0..1e12).contains(&us) => Some(Duration::from_secs_f64(us / 1e6)),
             Some(_) => return Err(bad("X-Cost makes no sense")),
@@ -672,7 +750,10 @@
     type Data = Bytes;
     type Error = BodyError;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let me = self.get_mut();
         match &mut me.body {
             AnswerBody::Whole(body) if body.is_empty() => Poll::Ready(None),
@@ -702,14 +783,20 @@
 impl Drop for ClientBody {
     fn drop(&mut self) {
         self.client.iter().for_each(|c| c.taken.set(false));
-        let client = self.client.iter().filter(|c| matches!(c.stage.get(), Stage::Busy | Stage::Passing));
+        let client = self
+            .client
+            .iter()
+            .filter(|c| matches!(c.stage.get(), Stage::Busy | Stage::Passing));
         client.for_each(|c| c.enter(Stage::Idle));
     }
 }
 
 /// Accepts a connection, and tells since when it may have waited for that: one that is there at once may have come since
 /// nobody else was waiting, which was at `none_waited`.
-async fn accept(listener: &TcpListener, none_waited: &mut Instant) -> std::io::Result<(TcpStream, Instant)> {
+async fn accept(
+    listener: &TcpListener,
+    none_waited: &mut Instant,
+) -> std::io::Result<(TcpStream, Instant)> {
     let mut was_empty = false;
     poll_fn(|cx| {
         let polled = listener.poll_accept(cx);
@@ -732,7 +819,9 @@
 }
 
 fn close(response: &mut Response<ClientBody>) {
-    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
 /// What was wrong, for the counters.
@@ -765,7 +854,9 @@
     let body = AnswerBody::Whole(text.into());
     let mut response = Response::new(ClientBody { body, client: None });
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
 }
 
@@ -793,7 +884,11 @@
         .flat_map(|v| v.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in HOP_BY_HOP.iter().chain(&named).chain([&header::CONTENT_LENGTH]) {
+    for name in HOP_BY_HOP
+        .iter()
+        .chain(&named)
+        .chain([&header::CONTENT_LENGTH])
+    {
         headers.remove(name);
     }
     headers
--- a/node/src/gate.rs
+++ b/node/src/gate.rs
@@ -107,7 +107,15 @@
     /// Around a socket on which nothing was read yet.
     pub fn new(socket: Rc<TcpStream>, guard: G) -> Self {
         let (held, read_at) = (BytesMut::new(), Instant::now());
-        Gate { socket, guard, held, pass: 0, next: G::BETWEEN, read_at, interim: 0 }
+        Gate {
+            socket,
+            guard,
+            held,
+            pass: 0,
+            next: G::BETWEEN,
+            read_at,
+            interim: 0,
+        }
     }
 
     /// Reads more into what is held.
@@ -135,11 +143,18 @@
             return Ok(false);
         }
         self.guard.begun()?;
-        let too_long = Err((StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long"));
+        let too_long = Err((
+            StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            "the head is too long",
+        ));
         match self.guard.head(&self.held)? {
             Some(head) if self.interim + head.length <= MOST_HEAD => {
                 (self.pass, self.next) = (head.length, head.next);
-                self.interim = if head.next == Next::Head { self.interim + head.length } else { 0 };
+                self.interim = if head.next == Next::Head {
+                    self.interim + head.length
+                } else {
+                    0
+                };
                 let whole = match head.next {
                     Next::Body(body) => (self.held.len() - head.length) as u64 >= body,
                     _ => false,
@@ -154,7 +169,11 @@
 }
 
 impl<G: Guard + Unpin> AsyncRead for Gate<G> {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         let me = self.get_mut();
         loop {
             if me.next == Next::Body(0) {
@@ -203,7 +222,10 @@
                     }
                 }
                 Next::Body(left) => {
-                    me.pass = me.held.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+                    me.pass = me
+                        .held
+                        .len()
+                        .min(usize::try_from(left).unwrap_or(usize::MAX));
                     me.next = Next::Body(left - me.pass as u64);
                 }
                 Next::Chunked => me.pass = me.held.len(),
@@ -211,7 +233,10 @@
                     if me.held.is_empty() && ready!(me.fill(cx))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    return Poll::Ready(Err(io::Error::new(io::ErrorKind::InvalidData, "bytes out of turn")));
+                    return Poll::Ready(Err(io::Error::new(
+                        io::ErrorKind::InvalidData,
+                        "bytes out of turn",
+                    )));
                 }
                 Next::Over => return Poll::Pending,
             }
@@ -271,7 +296,10 @@
 
 /// Whether a call on a socket is to be made again, at once or when the socket is ready.
 pub fn passes(error: &io::Error) -> bool {
-    matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+    )
 }
 
 /// Whether a socket is open and nothing has come on it. Asks the system itself: what the runtime knows may be older.
@@ -315,12 +343,18 @@
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => {
-            return Err((StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "too many headers"));
+            return Err((
+                StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+                "too many headers",
+            ));
         }
         Err(_) => return Err(bad("the head can't be read")),
     };
     if !matches!(request.method, Some("GET" | "POST")) {
-        return Err((StatusCode::METHOD_NOT_ALLOWED, "GET and POST are known here"));
+        return Err((
+            StatusCode::METHOD_NOT_ALLOWED,
+            "GET and POST are known here",
+        ));
     }
     let next = match framing(request.headers).map_err(bad)? {
         Framing::Length(body) if body > MOST_BODY => {
@@ -328,7 +362,9 @@
         }
         Framing::Length(body) => Next::Body(body),
         Framing::None => Next::Body(0),
-        Framing::Chunked if request.version != Some(1) => return Err(bad("HTTP/1.0 knows no chunks")),
+        Framing::Chunked if request.version != Some(1) => {
+            return Err(bad("HTTP/1.0 knows no chunks"))
+        }
         Framing::Chunked => Next::Chunked,
     };
     // What is behind a request has to begin another. Else its length is wrong, and nothing about it can be trusted.
@@ -381,14 +417,18 @@
     match (lengths.next(), codings.next()) {
         (None, None) => Ok(Framing::None),
         (Some(_), Some(_)) => Err("Content-Length and Transfer-Encoding exclude each other"),
-        (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") && codings.next().is_none() => {
+        (None, Some(coding))
+            if coding.eq_ignore_ascii_case(b"chunked") && codings.next().is_none() =>
+        {
             Ok(Framing::Chunked)
         }
         (None, Some(_)) => Err("Transfer-Encoding is not understood"),
         (Some(length), None) if lengths.all(|other| other == length) => {
             let digits = Some(length).filter(|l| !l.is_empty() && l.iter().all(u8::is_ascii_digit));
             let number = digits.and_then(|l| std::str::from_utf8(l).ok()?.parse().ok());
-            number.map(Framing::Length).ok_or("Content-Length is no number")
+            number
+                .map(Framing::Length)
+                .ok_or("Content-Length is no number")
         }
         (Some(_), None) => Err("Content-Length differs from itself"),
     }
--- a/node/src/gate_tests.rs
+++ b/node/src/gate_tests.rs
@@ -2,12 +2,24 @@
 
 #[test]
 fn requests_are_framed() {
-    let next =
-        |head: &str| request_head(head.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|p| p.0.as_u16());
+    let next = |head: &str| {
+        request_head(head.as_bytes())
+            .map(|h| h.map(|h| h.next))
+            .map_err(|p| p.0.as_u16())
+    };
     assert_eq!(next("GET / HTTP/1.1\r\n\r\n"), Ok(Some(Next::Body(0))));
-    assert_eq!(next("POST / HTTP/1.1\r\ncontent-LENGTH: 7\r\n\r\n"), Ok(Some(Next::Body(7))));
-    assert_eq!(next("POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"), Ok(Some(Next::Chunked)));
-    assert_eq!(next("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n.GET / HT"), Ok(Some(Next::Body(1))));
+    assert_eq!(
+        next("POST / HTTP/1.1\r\ncontent-LENGTH: 7\r\n\r\n"),
+        Ok(Some(Next::Body(7)))
+    );
+    assert_eq!(
+        next("POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"),
+        Ok(Some(Next::Chunked))
+    );
+    assert_eq!(
+        next("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n.GET / HT"),
+        Ok(Some(Next::Body(1)))
+    );
     assert_eq!(next("POST / HTTP/1.1\r\nContent-Le"), Ok(None));
     let both = [
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
@@ -24,24 +36,47 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ];
     for headers in both.iter().chain(&bad) {
-        assert_eq!(next(&format!("POST / HTTP/1.1\r\n{headers}\r\n\r\n")), Err(400), "{headers}");
+        assert_eq!(
+            next(&format!("POST / HTTP/1.1\r\n{headers}\r\n\r\n")),
+            Err(400),
+            "{headers}"
+        );
     }
-    assert_eq!(next("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"), Err(400));
-    assert_eq!(next("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n.and more"), Err(400));
-    assert_eq!(next("POST / HTTP/1.1\r\nContent-Length: 33554433\r\n\r\n"), Err(413));
+    assert_eq!(
+        next("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        Err(400)
+    );
+    assert_eq!(
+        next("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n.and more"),
+        Err(400)
+    );
+    assert_eq!(
+        next("POST / HTTP/1.1\r\nContent-Length: 33554433\r\n\r\n"),
+        Err(413)
+    );
     assert_eq!(next("CONNECT a:1 HTTP/1.1\r\n\r\n"), Err(405));
 }
 
 #[test]
 fn answers_are_framed() {
-    let next = |head: &str| answer_head(head.as_bytes()).map(|h| h.map(|h| h.next)).map_err(|p| p.0.as_u16());
+    let next = |head: &str| {
+        answer_head(head.as_bytes())
+            .map(|h| h.map(|h| h.next))
+            .map_err(|p| p.0.as_u16())
+    };
     assert_eq!(
         next("HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Length: 7\r\n\r\n"),
         Ok(Some(Next::Body(7)))
     );
-    assert_eq!(next("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"), Ok(Some(Next::Head)));
+    assert_eq!(
+        next("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"),
+        Ok(Some(Next::Head))
+    );
     assert_eq!(next("HTTP/1.1 200 OK\r\n\r\n"), Ok(Some(Next::Chunked)));
-    assert_eq!(next("HTTP/1.1 204 No Content\r\n\r\n"), Ok(Some(Next::Body(0))));
+    assert_eq!(
+        next("HTTP/1.1 204 No Content\r\n\r\n"),
+        Ok(Some(Next::Body(0)))
+    );
     for spoilt in [
         "101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
         "200 OK\r\nContent-Length: 3000000000\r\n\r\n",
@@ -52,5 +87,8 @@
     ] {
         assert_eq!(next(&format!("HTTP/1.1 {spoilt}")), Err(502), "{spoilt}");
     }
-    assert_eq!(next("HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), Err(502));
+    assert_eq!(
+        next("HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        Err(502)
+    );
 }
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -49,12 +49,18 @@
 
 /// Takes over the listening socket that `number` names, if it listens on `address`.
 pub fn adopt(number: &str, address: SocketAddr) -> Result<TcpListener, AdoptError> {
-    let fd: RawFd = number.parse().ok().filter(|fd| *fd > 2).ok_or(AdoptError::Number(number.to_owned()))?;
+    let fd: RawFd = number
+        .parse()
+        .ok()
+        .filter(|fd| *fd > 2)
+        .ok_or(AdoptError::Number(number.to_owned()))?;
     // SAFETY: The platform opened this descriptor for the process, says so by the variable, and nothing else here uses
     // or closes it. Whether it is open is asked next; one that is not is given back below, never closed.
     #[allow(unsafe_code)]
     let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
-    let listens = socket.is_listener().map_err(|error| AdoptError::NoSocket(fd, error));
+    let listens = socket
+        .is_listener()
+        .map_err(|error| AdoptError::NoSocket(fd, error));
     let checked = listens.and_then(|listens| {
         let at = socket.local_addr().ok().and_then(|a| a.as_socket());
         match at {
@@ -63,7 +69,11 @@
             _ => Err(AdoptError::Elsewhere(fd, address)),
         }
     });
-    match checked.and_then(|()| socket.set_nonblocking(true).map_err(|e| AdoptError::NoSocket(fd, e))) {
+    match checked.and_then(|()| {
+        socket
+            .set_nonblocking(true)
+            .map_err(|e| AdoptError::NoSocket(fd, e))
+    }) {
         Ok(()) => Ok(socket.into()),
         Err(error) => {
             std::mem::forget(socket);
@@ -88,9 +98,14 @@
 impl Word {
     /// A backend is put back into use, by a call that differs from those before.
     pub fn mark_returned(&mut self, name: &str, wall: SystemTime) {
-        let unix = wall.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let unix = wall
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
         let marker = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
-        let before = self.returned.get(name).map_or(0, |before| before.wrapping_add(1));
+        let before = self
+            .returned
+            .get(name)
+            .map_or(0, |before| before.wrapping_add(1));
         self.returned.insert(name.to_owned(), marker.max(before));
     }
 }
@@ -139,7 +154,14 @@
     pub fn open(place: Option<PathBuf>, node: &str) -> (Self, Option<KeepError>) {
         let (word, presence) = (RefCell::default(), RefCell::default());
         let (seen, failed) = (Cell::new(None), Cell::new(None));
-        let keeper = Keeper { place, node: node.to_owned(), word, seen, failed, presence };
+        let keeper = Keeper {
+            place,
+            node: node.to_owned(),
+            word,
+            seen,
+            failed,
+            presence,
+        };
         // What was taken on is owed still, so that a failure that may pass is waited for.
         let looked = retry_at_start(KEPT, || match keeper.look() {
             Err(KeepError::Io(_, error)) => Err(error),
@@ -160,7 +182,9 @@
     /// Takes in what another process has written since. A file that is no good or gone leaves things as they are; one that
     /// can't be read for a moment is read at the next look.
     pub fn look(&self) -> Result<bool, KeepError> {
-        let Some(place) = &self.place else { return Ok(false) };
+        let Some(place) = &self.place else {
+            return Ok(false);
+        };
         let found = match fs::metadata(place.join(KEPT)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(false),
             found => found.map_err(|error| KeepError::Io(KEPT, error))?,
@@ -182,7 +206,9 @@
     /// Changes it, from what any process has written last, for all of them. Once this succeeds it lasts; where it fails
     /// nothing has changed, not even what this process goes by.
     pub async fn change<T>(&self, change: impl FnOnce(&mut Word) -> T) -> Result<T, KeepError> {
-        let Some(place) = &self.place else { return Ok(change(&mut self.word.borrow_mut())) };
+        let Some(place) = &self.place else {
+            return Ok(change(&mut self.word.borrow_mut()));
+        };
         let _lock = lock(place).await?;
         let latest = match read(place, &self.node) {
             Ok(word) => word,
@@ -203,13 +229,19 @@
 
     /// Whether a change may be written, or a failed one is too recent. For changes that nobody waits for.
     pub fn may_write(&self) -> bool {
-        self.failed.get().is_none_or(|at| at.elapsed() >= WRITE_AGAIN)
+        self.failed
+            .get()
+            .is_none_or(|at| at.elapsed() >= WRITE_AGAIN)
     }
 
     /// Replaces the file. Syncing may take long, so that it is done beside the loop.
     async fn replace(&self, place: &Path, before: &Word, word: &Word) -> Result<(), KeepError> {
         let text = |word: &Word| {
-            serde_json::to_vec(&Kept { version: VERSION, node: self.node.clone(), word: word.clone() })
+            serde_json::to_vec(&Kept {
+                version: VERSION,
+                node: self.node.clone(),
+                word: word.clone(),
+            })
         };
         let (old, new, place) = (text(before)?, text(word)?, place.to_owned());
         let replacing = tokio::task::spawn_blocking(move || {
@@ -220,35 +252,50 @@
             }
             written
         });
-        let written = replacing.await.unwrap_or_else(|panicked| Err(io::Error::other(panicked)));
+        let written = replacing
+            .await
+            .unwrap_or_else(|panicked| Err(io::Error::other(panicked)));
         self.failed.set(written.is_err().then(Instant::now));
         written.map_err(|error| KeepError::Io(KEPT, error))
     }
 
     /// Whether another process of this node lives. Holds this one's presence, which ends with the process.
     pub fn accompanied(&self) -> bool {
-        let Some(place) = &self.place else { return false };
+        let Some(place) = &self.place else {
+            return false;
+        };
         let mut presence = self.presence.borrow_mut();
         let free = |at: &usize| hold(&place.join(PRESENCE[*at])).map(|file| (*at, file));
         if presence.is_none() {
             *presence = (0..PRESENCE.len()).find_map(|at| free(&at));
         }
         // One that can be held is let go at once.
-        presence
-            .as_ref()
-            .is_none_or(|own| (0..PRESENCE.len()).filter(|at| *at != own.0).any(|at| free(&at).is_none()))
+        presence.as_ref().is_none_or(|own| {
+            (0..PRESENCE.len())
+                .filter(|at| *at != own.0)
+                .any(|at| free(&at).is_none())
+        })
     }
 }
 
 /// Locks a file that this process is to hold. None: it can't be had.
 fn hold(path: &Path) -> Option<File> {
-    let file = File::options().create(true).truncate(false).write(true).open(path).ok()?;
+    let file = File::options()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(path)
+        .ok()?;
     file.try_lock().ok().map(|()| file)
 }
 
 async fn lock(place: &Path) -> Result<File, KeepError> {
     let failed = |error| KeepError::Io(LOCK, error);
-    let file = File::options().create(true).truncate(false).write(true).open(place.join(LOCK));
+    let file = File::options()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(place.join(LOCK));
     let file = file.map_err(failed)?;
     for _ in 0..LOCK_TRIES {
         match file.try_lock() {
@@ -268,7 +315,9 @@
         file => file.map_err(failed)?,
     };
     let mut text = Vec::new();
-    file.take(MOST_KEPT).read_to_end(&mut text).map_err(failed)?;
+    file.take(MOST_KEPT)
+        .read_to_end(&mut text)
+        .map_err(failed)?;
     let kept: Kept = serde_json::from_slice(&text)?;
     match kept.version == VERSION && kept.node == node {
         true => Ok(Some(kept.word)),
--- a/node/src/handover_tests.rs
+++ b/node/src/handover_tests.rs
@@ -33,12 +33,16 @@
 async fn a_word_binds_the_process_beside_and_the_one_after() {
     let place = place("word");
     let (old, new) = (open(&place), open(&place));
-    old.change(|w| w.out.insert("a".into())).await.expect("a change");
+    old.change(|w| w.out.insert("a".into()))
+        .await
+        .expect("a change");
     assert!(new.look().expect("a look"));
     assert!(!new.look().expect("a look"), "nothing has changed since");
     // The other has not looked since: what it changes builds on what was written all the same.
     new.change(|w| w.draining = true).await.expect("a change");
-    old.change(|w| w.out.insert("b".into())).await.expect("a change");
+    old.change(|w| w.out.insert("b".into()))
+        .await
+        .expect("a change");
     let third = open(&place);
     assert!(third.word().draining);
     assert_eq!(third.word().out.iter().collect::<Vec<_>>(), ["a", "b"]);
@@ -63,7 +67,10 @@
         let (keeper, problem) = Keeper::open(Some(place.to_owned()), "n");
         assert!(problem.is_some(), "{text}");
         assert_eq!(*keeper.word(), Word::default(), "{text}");
-        keeper.change(|w| w.out.insert("b".into())).await.expect("a change");
+        keeper
+            .change(|w| w.out.insert("b".into()))
+            .await
+            .expect("a change");
         assert_eq!(open(&place).word().out.iter().collect::<Vec<_>>(), ["b"]);
     }
     fs::write(place.join(KEPT), whole).expect("a file");
@@ -75,7 +82,10 @@
     let place = place("lock");
     let keeper = open(&place);
     let _held = hold(&place.join(LOCK)).expect("the lock");
-    assert!(matches!(keeper.change(|w| w.draining = true).await, Err(KeepError::Held)));
+    assert!(matches!(
+        keeper.change(|w| w.draining = true).await,
+        Err(KeepError::Held)
+    ));
     assert!(!keeper.word().draining);
 }
 
@@ -100,15 +110,33 @@
     let address = listener.local_addr().expect("an address");
     let number = |fd: RawFd| fd.to_string();
     let elsewhere = SocketAddr::new(address.ip(), address.port() ^ 1);
-    let (kept, other) = (number(listener.as_raw_fd()), listener.try_clone().expect("a copy"));
-    assert!(matches!(adopt(&kept, elsewhere), Err(AdoptError::Elsewhere(..))));
+    let (kept, other) = (
+        number(listener.as_raw_fd()),
+        listener.try_clone().expect("a copy"),
+    );
+    assert!(matches!(
+        adopt(&kept, elsewhere),
+        Err(AdoptError::Elsewhere(..))
+    ));
     let client = std::net::TcpStream::connect(address).expect("a connection: it is open still");
-    assert!(matches!(adopt(&number(client.as_raw_fd()), address), Err(AdoptError::Deaf(_))));
+    assert!(matches!(
+        adopt(&number(client.as_raw_fd()), address),
+        Err(AdoptError::Deaf(_))
+    ));
     let file = File::open("/dev/null").expect("a file");
-    assert!(matches!(adopt(&number(file.as_raw_fd()), address), Err(AdoptError::NoSocket(..))));
-    assert!(matches!(adopt("1000000", address), Err(AdoptError::NoSocket(..))));
+    assert!(matches!(
+        adopt(&number(file.as_raw_fd()), address),
+        Err(AdoptError::NoSocket(..))
+    ));
+    assert!(matches!(
+        adopt("1000000", address),
+        Err(AdoptError::NoSocket(..))
+    ));
     for senseless in ["", "x", "-1", "0", "2", "99999999999"] {
-        assert!(matches!(adopt(senseless, address), Err(AdoptError::Number(_))), "{senseless}");
+        assert!(
+            matches!(adopt(senseless, address), Err(AdoptError::Number(_))),
+            "{senseless}"
+        );
     }
     let adopted = adopt(&number(other.into_raw_fd()), address).expect("the listener");
     assert_eq!(adopted.local_addr().expect("an address"), address);
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -63,10 +63,16 @@
 fn main() -> ExitCode {
     let run = || -> Result<(), Box<dyn Error>> {
         let text = ConfigText::from_env(|path| {
-            retry_at_start(format_args!("reading {path}"), || std::fs::read_to_string(path))
+            retry_at_start(format_args!("reading {path}"), || {
+                std::fs::read_to_string(path)
+            })
         })?;
         let config = text.parse()?;
-        let build = || tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let build = || {
+            tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+        };
         let runtime = retry_at_start("the runtime's start", build)?;
         LocalSet::new().block_on(&runtime, run(config))
     };
@@ -86,7 +92,12 @@
     // Without a handler SIGHUP ends the process; with one it is borne to the very end.
     let mut hangup = handled(SignalKind::hangup())?;
     let settings = config.site.settings;
-    let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+    let longest = settings
+        .classes
+        .iter()
+        .map(|c| c.deadline)
+        .max()
+        .unwrap_or_default();
     let warm_up = settings.rules.warm_up;
     let effects = settings.classes.iter().map(|c| c.effect).collect();
     // Three quarters of memory are for requests; clients and backends share what descriptors there are. That is more
@@ -98,12 +109,19 @@
     let (keeper, unread) = Keeper::open(place.map(Into::into), &config.name);
     let keeper = Rc::new(keeper);
     // Two processes of a node have one machine between them. What the system allows a process is its own.
-    let allowed = getrlimit(Resource::Nofile).current.and_then(|most| usize::try_from(most).ok());
+    let allowed = getrlimit(Resource::Nofile)
+        .current
+        .and_then(|most| usize::try_from(most).ok());
     let allowed = allowed.unwrap_or(usize::MAX);
     let plan = move |accompanied: bool| {
         let part = 1 + usize::from(accompanied);
-        let sockets = (config.sockets / part).min(allowed).saturating_sub(reserved).max(2);
-        let clients = (sockets / 2).min(config.memory / part / 4 * 3 / REQUEST_MEMORY).max(1);
+        let sockets = (config.sockets / part)
+            .min(allowed)
+            .saturating_sub(reserved)
+            .max(2);
+        let clients = (sockets / 2)
+            .min(config.memory / part / 4 * 3 / REQUEST_MEMORY)
+            .max(1);
         (clients, sockets - clients)
     };
     let mut accompanied = keeper.accompanied();
@@ -116,7 +134,12 @@
     let classes = config.site.names.classes.iter().zip(&settings.classes);
     let classes: Vec<String> = classes
         .map(|(name, c)| {
-            format!("{}:aim_ms={}:deadline_ms={}", name.escape_debug(), ms(c.aim), ms(c.deadline))
+            format!(
+                "{}:aim_ms={}:deadline_ms={}",
+                name.escape_debug(),
+                ms(c.aim),
+                ms(c.deadline)
+            )
         })
         .collect();
     let figures = format!(
@@ -133,9 +156,17 @@
         classes.join(" ")
     );
     let backends = Rc::new(Backends::new(limits, config.site.names, config.site.fields));
-    let engine = Engine::new(config.name, settings, config.seed, backends.clone(), config.discovery)?;
+    let engine = Engine::new(
+        config.name,
+        settings,
+        config.seed,
+        backends.clone(),
+        config.discovery,
+    )?;
     let bound = |address| {
-        let listening = retry_at_start(format_args!("the listener at {address}"), || listen(address));
+        let listening = retry_at_start(format_args!("the listener at {address}"), || {
+            listen(address)
+        });
         listening.map_err(|e| format!("cannot listen on {address}: {e}"))
     };
     let inherited = config.inherited.is_some();
@@ -147,9 +178,13 @@
     let calls = config.console.map(bound).transpose()?;
     engine.log(format_args!("listening on {}", listener.local_addr()?));
     engine.log(format_args!("{figures}"));
-    unread.iter().for_each(|problem| engine.log(format_args!("taken as empty: {problem}")));
+    unread
+        .iter()
+        .for_each(|problem| engine.log(format_args!("taken as empty: {problem}")));
     if unkept {
-        engine.log(format_args!("TMPDIR is not set: maintenance and drain end with this process"));
+        engine.log(format_args!(
+            "TMPDIR is not set: maintenance and drain end with this process"
+        ));
     }
     let (phase, phases) = watch::channel(Phase::Serving);
     let phase = Rc::new(phase);
@@ -166,7 +201,8 @@
     spawn_local(async move { backends.retire_idle().await });
     let counted = engine.clone();
     spawn_local(async move {
-        let mut every = tokio::time::interval_at(tokio::time::Instant::now() + stats::EVERY, stats::EVERY);
+        let mut every =
+            tokio::time::interval_at(tokio::time::Instant::now() + stats::EVERY, stats::EVERY);
         loop {
             every.tick().await;
             counted.log_stats();
@@ -189,7 +225,9 @@
                     let (clients, upstream) = plan(now);
                     frontend.resize(clients);
                     sharing.resize(upstream);
-                    engine.log(format_args!("accompanied={now} clients={clients} upstream={upstream}"));
+                    engine.log(format_args!(
+                        "accompanied={now} clients={clients} upstream={upstream}"
+                    ));
                 }
             }
         });
@@ -214,12 +252,19 @@
     }
     let handing_over = inherited && keeper.accompanied();
     engine.log(format_args!("leaving handing_over={handing_over}"));
-    phase.send_replace(if handing_over { Phase::HandingOver } else { Phase::Leaving });
+    phase.send_replace(if handing_over {
+        Phase::HandingOver
+    } else {
+        Phase::Leaving
+    });
     tokio::time::sleep(LEAVE).await;
     phase.send_replace(Phase::Closing);
     // What was taken last is due within the longest deadline. Large messages take the time that their peers need.
     let mut served = std::pin::pin!(served);
-    if tokio::time::timeout(longest + LAST_WRITES, served.as_mut()).await.is_err() {
+    if tokio::time::timeout(longest + LAST_WRITES, served.as_mut())
+        .await
+        .is_err()
+    {
         let by = tokio::time::Instant::now() + LAST_LARGE;
         while ending.in_hand() && tokio::time::Instant::now() < by && !served.is_finished() {
             tokio::time::sleep(UNREADY).await;
@@ -239,7 +284,10 @@
     match read_again(engine).await.and_then(|text| text.parse()) {
         Ok(config) => {
             engine.log(format_args!("configuration read again"));
-            config.discovery_in_file.into_iter().for_each(|address| engine.rediscover(address));
+            config
+                .discovery_in_file
+                .into_iter()
+                .for_each(|address| engine.rediscover(address));
         }
         Err(error) => engine.log(format_args!("the configuration stays as it is: {error}")),
     }
@@ -255,7 +303,9 @@
                 if calls::may_pass(&source) && tokio::time::Instant::now() < by =>
             {
                 if !std::mem::replace(&mut logged, true) {
-                    engine.log(format_args!("reading {path} failed, and is tried again: {source}"));
+                    engine.log(format_args!(
+                        "reading {path} failed, and is tried again: {source}"
+                    ));
                 }
                 tokio::time::sleep(calls::TRY_AGAIN).await;
             }
@@ -277,7 +327,11 @@
 }
 
 fn listen(address: std::net::SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if address.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
--- a/node/src/places.rs
+++ b/node/src/places.rs
@@ -15,7 +15,11 @@
 impl Places {
     /// So many.
     pub fn new(most: usize) -> Self {
-        Places { free: Arc::new(Semaphore::new(most)), most: Cell::new(most), owed: Cell::new(0) }
+        Places {
+            free: Arc::new(Semaphore::new(most)),
+            most: Cell::new(most),
+            owed: Cell::new(0),
+        }
     }
 
     /// How many there are.
@@ -44,13 +48,15 @@
     pub fn resize(&self, most: usize) {
         let before = self.most.replace(most);
         let kept = self.owed.get().min(most.saturating_sub(before));
-        self.owed.set(self.owed.get() - kept + before.saturating_sub(most));
+        self.owed
+            .set(self.owed.get() - kept + before.saturating_sub(most));
         self.free.add_permits(most.saturating_sub(before) - kept);
         self.settle();
     }
 
     fn settle(&self) {
-        self.owed.set(self.owed.get() - self.free.forget_permits(self.owed.get()));
+        self.owed
+            .set(self.owed.get() - self.free.forget_permits(self.owed.get()));
     }
 
     /// A place, if one can be had at once.
@@ -61,7 +67,11 @@
 
     /// A place, once one comes free.
     pub async fn wait(&self) -> OwnedSemaphorePermit {
-        self.free.clone().acquire_owned().await.expect("the semaphore is never closed")
+        self.free
+            .clone()
+            .acquire_owned()
+            .await
+            .expect("the semaphore is never closed")
     }
 }
 
--- a/node/src/rules.rs
+++ b/node/src/rules.rs
@@ -90,18 +90,33 @@
 }
 
 /// Whether a class allows one more attempt at a server, after those that were.
-pub fn may_repeat(effect: Effect, second_copies: bool, to: Place, earlier: &[Earlier]) -> Result<(), Rule> {
+pub fn may_repeat(
+    effect: Effect,
+    second_copies: bool,
+    to: Place,
+    earlier: &[Earlier],
+) -> Result<(), Rule> {
     if !second_copies && earlier.iter().any(|attempt| attempt.out) {
         return Err(Rule::SecondCopy);
     }
-    let Some(risky) = earlier.iter().find(|attempt| attempt.out || attempt.may_have_run) else {
+    let Some(risky) = earlier
+        .iter()
+        .find(|attempt| attempt.out || attempt.may_have_run)
+    else {
         return Ok(());
     };
     let allowed = match effect {
-        Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        Effect::Safe
+        | Effect::Keyed {
+            group: Group::All, ..
+        } => true,
         Effect::Unsafe => false,
-        Effect::Keyed { group: Group::Zone, .. } => risky.place.zone == to.zone,
-        Effect::Keyed { group: Group::Cell, .. } => risky.place.cell == to.cell,
+        Effect::Keyed {
+            group: Group::Zone, ..
+        } => risky.place.zone == to.zone,
+        Effect::Keyed {
+            group: Group::Cell, ..
+        } => risky.place.cell == to.cell,
     };
     allowed.then_some(()).ok_or(Rule::Repeat)
 }
@@ -142,7 +157,10 @@
 
     /// Appends to a line what was counted since this was last asked; nothing where nothing was.
     pub fn write_to(&self, line: &mut String) -> fmt::Result {
-        for (name, counts) in [("withheld", &self.withheld), ("violations", &self.violations)] {
+        for (name, counts) in [
+            ("withheld", &self.withheld),
+            ("violations", &self.violations),
+        ] {
             for (rule, count) in std::mem::take(&mut *counts.borrow_mut()) {
                 write!(line, " {name}_{rule:?}={count}")?;
             }
--- a/node/src/rules_tests.rs
+++ b/node/src/rules_tests.rs
@@ -3,12 +3,27 @@
 const HERE: Place = Place { zone: 0, cell: 1 };
 const SAME_ZONE: Place = Place { zone: 0, cell: 2 };
 const ELSEWHERE: Place = Place { zone: 1, cell: 3 };
-const RAN: Earlier = Earlier { place: HERE, out: false, may_have_run: true };
-const OUT: Earlier = Earlier { place: HERE, out: true, may_have_run: true };
-const NEVER_RAN: Earlier = Earlier { place: HERE, out: false, may_have_run: false };
+const RAN: Earlier = Earlier {
+    place: HERE,
+    out: false,
+    may_have_run: true,
+};
+const OUT: Earlier = Earlier {
+    place: HERE,
+    out: true,
+    may_have_run: true,
+};
+const NEVER_RAN: Earlier = Earlier {
+    place: HERE,
+    out: false,
+    may_have_run: false,
+};
 
 fn keyed(group: Group) -> Effect {
-    Effect::Keyed { group, window: Duration::from_secs(1) }
+    Effect::Keyed {
+        group,
+        window: Duration::from_secs(1),
+    }
 }
 
 #[test]
@@ -23,31 +38,95 @@
         repeat_by: Some(later),
     };
     assert_eq!(may_begin(now, &fine), Ok(()));
-    assert_eq!(may_begin(now, &AttemptFacts { server_takes_new: false, ..fine }), Err(Rule::Drain));
-    assert_eq!(may_begin(now, &AttemptFacts { client_waits: false, ..fine }), Err(Rule::Answered));
-    assert_eq!(may_begin(now, &AttemptFacts { until: Some(now), ..fine }), Err(Rule::Deadline));
-    assert_eq!(may_begin(now, &AttemptFacts { repeat_by: Some(now), ..fine }), Err(Rule::Window));
+    assert_eq!(
+        may_begin(
+            now,
+            &AttemptFacts {
+                server_takes_new: false,
+                ..fine
+            }
+        ),
+        Err(Rule::Drain)
+    );
+    assert_eq!(
+        may_begin(
+            now,
+            &AttemptFacts {
+                client_waits: false,
+                ..fine
+            }
+        ),
+        Err(Rule::Answered)
+    );
+    assert_eq!(
+        may_begin(
+            now,
+            &AttemptFacts {
+                until: Some(now),
+                ..fine
+            }
+        ),
+        Err(Rule::Deadline)
+    );
+    assert_eq!(
+        may_begin(
+            now,
+            &AttemptFacts {
+                repeat_by: Some(now),
+                ..fine
+            }
+        ),
+        Err(Rule::Window)
+    );
     let held_up = now + TOLD_IN_TIME + Duration::from_millis(1);
-    let long = AttemptFacts { until: None, repeat_by: None, ..fine };
+    let long = AttemptFacts {
+        until: None,
+        repeat_by: None,
+        ..fine
+    };
     assert_eq!(may_begin(held_up, &long), Err(Rule::Deadline));
-    assert_eq!(may_begin(held_up, &AttemptFacts { told: None, ..long }), Ok(()));
+    assert_eq!(
+        may_begin(held_up, &AttemptFacts { told: None, ..long }),
+        Ok(())
+    );
 }
 
 #[test]
 fn a_repeat_goes_where_the_class_allows() {
-    for effect in [Effect::Safe, keyed(Group::All), keyed(Group::Zone), keyed(Group::Cell), Effect::Unsafe] {
+    for effect in [
+        Effect::Safe,
+        keyed(Group::All),
+        keyed(Group::Zone),
+        keyed(Group::Cell),
+        Effect::Unsafe,
+    ] {
         assert_eq!(may_repeat(effect, false, ELSEWHERE, &[]), Ok(()));
-        assert_eq!(may_repeat(effect, false, ELSEWHERE, &[NEVER_RAN, NEVER_RAN]), Ok(()));
-        assert_eq!(may_repeat(effect, false, HERE, &[OUT]), Err(Rule::SecondCopy));
+        assert_eq!(
+            may_repeat(effect, false, ELSEWHERE, &[NEVER_RAN, NEVER_RAN]),
+            Ok(())
+        );
+        assert_eq!(
+            may_repeat(effect, false, HERE, &[OUT]),
+            Err(Rule::SecondCopy)
+        );
     }
     let may = |effect, to| may_repeat(effect, true, to, &[NEVER_RAN, RAN]);
     assert_eq!(may(Effect::Safe, ELSEWHERE), Ok(()));
     assert_eq!(may(Effect::Unsafe, HERE), Err(Rule::Repeat));
     assert_eq!(may(keyed(Group::All), ELSEWHERE), Ok(()));
-    assert_eq!((may(keyed(Group::Zone), SAME_ZONE), may(keyed(Group::Cell), HERE)), (Ok(()), Ok(())));
+    assert_eq!(
+        (
+            may(keyed(Group::Zone), SAME_ZONE),
+            may(keyed(Group::Cell), HERE)
+        ),
+        (Ok(()), Ok(()))
+    );
     assert_eq!(may(keyed(Group::Zone), ELSEWHERE), Err(Rule::Repeat));
     assert_eq!(may(keyed(Group::Cell), SAME_ZONE), Err(Rule::Repeat));
-    assert_eq!(may_repeat(Effect::Unsafe, true, HERE, &[OUT]), Err(Rule::Repeat));
+    assert_eq!(
+        may_repeat(Effect::Unsafe, true, HERE, &[OUT]),
+        Err(Rule::Repeat)
+    );
 }
 
 #[test]
@@ -60,6 +139,12 @@
     counts.write_to(&mut line).expect("a line");
     counts.write_to(&mut line).expect("a line");
     assert_eq!(line, " withheld_Drain=2 violations_Repeat=1");
-    assert_eq!((may_close(false, false), may_close(true, false)), (Ok(()), Err(Rule::Close)));
-    assert_eq!((may_close(false, true), may_end(0), may_end(1)), (Err(Rule::Close), Ok(()), Err(Rule::End)));
+    assert_eq!(
+        (may_close(false, false), may_close(true, false)),
+        (Ok(()), Err(Rule::Close))
+    );
+    assert_eq!(
+        (may_close(false, true), may_end(0), may_end(1)),
+        (Err(Rule::Close), Ok(()), Err(Rule::End))
+    );
 }
--- a/node/src/socket.rs
+++ b/node/src/socket.rs
@@ -15,7 +15,11 @@
 pub struct Socket(pub TcpStream);
 
 impl AsyncRead for Socket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
             match self.0.try_read(buf.initialize_unfilled()) {
--- a/node/src/starts.rs
+++ b/node/src/starts.rs
@@ -49,14 +49,25 @@
     /// Takes in the stamps of a list before its servers are asked for. They tell how far the clock has come by which
     /// servers are stamped.
     pub fn hear(&mut self, now: Time, stamps: impl Iterator<Item = Duration>) {
-        let Some(latest) = stamps.max().filter(|stamp| !stamp.is_zero()) else { return };
+        let Some(latest) = stamps.max().filter(|stamp| !stamp.is_zero()) else {
+            return;
+        };
         if self.stamp_clock(now).is_none_or(|least| latest > least) {
-            self.reference = Some(Reference { at: now, stamp: latest });
+            self.reference = Some(Reference {
+                at: now,
+                stamp: latest,
+            });
         }
     }
 
     /// When a listed server started; None for long ago. `wall` is this machine's own wall clock.
-    pub fn started(&mut self, now: Time, wall: Duration, name: &str, stamp: Duration) -> Option<Time> {
+    pub fn started(
+        &mut self,
+        now: Time,
+        wall: Duration,
+        name: &str,
+        stamp: Duration,
+    ) -> Option<Time> {
         let by_stamp = match self.known.get(name) {
             // A stamp that is left out from some time on tells of no start.
             Some(known) if known.stamp == stamp || stamp.is_zero() => known.started,
@@ -82,10 +93,19 @@
     }
 
     /// Takes in which servers operators have put back into use. A marker not heard before is a start at this moment.
-    pub fn hear_returned<'a>(&mut self, now: Time, markers: impl Iterator<Item = (&'a String, &'a u64)>) {
+    pub fn hear_returned<'a>(
+        &mut self,
+        now: Time,
+        markers: impl Iterator<Item = (&'a String, &'a u64)>,
+    ) {
         for (name, &marker) in markers {
-            if self.returned.get(name).is_none_or(|returned| returned.marker != marker) {
-                self.returned.insert(name.clone(), Returned { marker, heard: now });
+            if self
+                .returned
+                .get(name)
+                .is_none_or(|returned| returned.marker != marker)
+            {
+                self.returned
+                    .insert(name.clone(), Returned { marker, heard: now });
             }
         }
     }
@@ -97,7 +117,8 @@
 
     /// The least that the clock of the stamps shows now.
     fn stamp_clock(&self, now: Time) -> Option<Duration> {
-        self.reference.map(|reference| reference.stamp + (now - reference.at))
+        self.reference
+            .map(|reference| reference.stamp + (now - reference.at))
     }
 
     /// A start by a stamp that was there before this process followed the list: as late as any clock allows. A stamp that
--- a/node/src/starts_tests.rs
+++ b/node/src/starts_tests.rs
@@ -9,23 +9,51 @@
     Time(0) + 24 * HOUR + Duration::from_secs(seconds)
 }
 
-fn list(starts: &mut Starts, now: Time, wall: Duration, stamps: &[(&str, Duration)]) -> Vec<Option<Time>> {
+fn list(
+    starts: &mut Starts,
+    now: Time,
+    wall: Duration,
+    stamps: &[(&str, Duration)],
+) -> Vec<Option<Time>> {
     starts.hear(now, stamps.iter().map(|s| s.1));
-    let started = stamps.iter().map(|(name, stamp)| starts.started(now, wall, name, *stamp)).collect();
+    let started = stamps
+        .iter()
+        .map(|(name, stamp)| starts.started(now, wall, name, *stamp))
+        .collect();
     starts.followed(stamps.len(), |_| true);
     started
 }
 
 #[test]
 fn a_stamp_that_changes_is_a_start_whichever_way_it_goes() {
-    for later in [STAMPED + HOUR, STAMPED - HOUR, STAMPED + SECOND, STAMPED - SECOND] {
+    for later in [
+        STAMPED + HOUR,
+        STAMPED - HOUR,
+        STAMPED + SECOND,
+        STAMPED - SECOND,
+    ] {
         for wall in [STAMPED, STAMPED + HOUR, STAMPED - HOUR] {
             let mut starts = Starts::default();
-            list(&mut starts, at(0), wall, &[("a", STAMPED), ("b", Duration::ZERO)]);
-            let told = list(&mut starts, at(50), wall, &[("a", later), ("b", later), ("new", later)]);
+            list(
+                &mut starts,
+                at(0),
+                wall,
+                &[("a", STAMPED), ("b", Duration::ZERO)],
+            );
+            let told = list(
+                &mut starts,
+                at(50),
+                wall,
+                &[("a", later), ("b", later), ("new", later)],
+            );
             assert_eq!(told, [Some(at(50)); 3]);
             // The same told again is no start, whatever the clock does meanwhile.
-            let told = list(&mut starts, at(90), wall + HOUR, &[("a", later), ("b", Duration::ZERO)]);
+            let told = list(
+                &mut starts,
+                at(90),
+                wall + HOUR,
+                &[("a", later), ("b", Duration::ZERO)],
+            );
             assert_eq!(told, [Some(at(50)); 2]);
         }
     }
@@ -33,22 +61,45 @@
 
 #[test]
 fn what_is_there_at_the_beginning_is_as_young_as_any_clock_allows() {
-    let stamps = [("young", STAMPED - SECOND), ("old", STAMPED - 10 * HOUR), ("unstamped", Duration::ZERO)];
-    for wall in [STAMPED, STAMPED + HOUR, STAMPED - HOUR, STAMPED + 5 * SECOND, STAMPED - 5 * SECOND] {
+    let stamps = [
+        ("young", STAMPED - SECOND),
+        ("old", STAMPED - 10 * HOUR),
+        ("unstamped", Duration::ZERO),
+    ];
+    for wall in [
+        STAMPED,
+        STAMPED + HOUR,
+        STAMPED - HOUR,
+        STAMPED + 5 * SECOND,
+        STAMPED - 5 * SECOND,
+    ] {
         let told = list(&mut Starts::default(), at(100), wall, &stamps);
         assert!(told[0] >= Some(at(99)), "{wall:?}");
-        assert!(told[1] < Some(Time(0) + 16 * HOUR) && told[1] > Some(Time(0) + 12 * HOUR), "{wall:?}");
+        assert!(
+            told[1] < Some(Time(0) + 16 * HOUR) && told[1] > Some(Time(0) + 12 * HOUR),
+            "{wall:?}"
+        );
         assert_eq!(told[2], None);
     }
     // The clock of all went back an hour, and one server has started since.
-    let told = list(&mut Starts::default(), at(9), STAMPED - HOUR, &[("a", STAMPED), ("b", STAMPED - HOUR)]);
+    let told = list(
+        &mut Starts::default(),
+        at(9),
+        STAMPED - HOUR,
+        &[("a", STAMPED), ("b", STAMPED - HOUR)],
+    );
     assert_eq!(told, [Some(at(9)); 2]);
 }
 
 #[test]
 fn a_server_that_is_listed_again_is_as_old_as_it_was() {
     let mut starts = Starts::default();
-    list(&mut starts, at(0), STAMPED, &[("a", STAMPED - HOUR), ("b", STAMPED)]);
+    list(
+        &mut starts,
+        at(0),
+        STAMPED,
+        &[("a", STAMPED - HOUR), ("b", STAMPED)],
+    );
     list(&mut starts, at(5), STAMPED, &[("b", STAMPED)]);
     let told = list(&mut starts, at(9), STAMPED, &[("a", STAMPED - HOUR)]);
     assert_eq!(told, [Some(Time(at(0).0 - HOUR.as_nanos() as u64))]);
@@ -61,9 +112,15 @@
     let name = "a".to_owned();
     starts.hear_returned(at(7), [(&name, &3)].into_iter());
     starts.hear_returned(at(9), [(&name, &3)].into_iter());
-    assert_eq!(list(&mut starts, at(9), STAMPED, &[("a", Duration::ZERO)]), [Some(at(7))]);
+    assert_eq!(
+        list(&mut starts, at(9), STAMPED, &[("a", Duration::ZERO)]),
+        [Some(at(7))]
+    );
     starts.hear_returned(at(11), [(&name, &2)].into_iter());
-    assert_eq!(list(&mut starts, at(12), STAMPED, &[("a", Duration::ZERO)]), [Some(at(11))]);
+    assert_eq!(
+        list(&mut starts, at(12), STAMPED, &[("a", Duration::ZERO)]),
+        [Some(at(11))]
+    );
 }
 
 #[test]
--- a/node/src/stats_tests.rs
+++ b/node/src/stats_tests.rs
@@ -4,10 +4,15 @@
 fn single_lines_are_bounded_and_the_rest_is_counted() {
     let stats = Stats::new();
     stats.count(|c| c.requests += 1);
-    let written = (0..2 * MOST_SINGLE).filter(|_| stats.single(Reason::Shed)).count();
+    let written = (0..2 * MOST_SINGLE)
+        .filter(|_| stats.single(Reason::Shed))
+        .count();
     assert_eq!(written, MOST_SINGLE as usize);
     assert!(stats.single(Reason::NoServer), "another reason has its own");
-    assert_eq!(stats.take().expect("counters").0.suppressed, u64::from(MOST_SINGLE));
+    assert_eq!(
+        stats.take().expect("counters").0.suppressed,
+        u64::from(MOST_SINGLE)
+    );
     assert!(stats.take().is_none(), "nothing has happened since");
     assert!(stats.single(Reason::Shed));
 }
@@ -16,10 +21,22 @@
 fn classes_are_counted_apart_and_start_again_from_zero() {
     let stats = Stats::new();
     stats.count_class(ClassId(2), |c| c.requests += 1);
-    stats.count_class(ClassId(0), |c| *c.given_up.entry(Reason::Shed).or_default() += 2);
+    stats.count_class(ClassId(0), |c| {
+        *c.given_up.entry(Reason::Shed).or_default() += 2
+    });
     stats.count_class(ClassId(2), |c| c.late += 1);
-    let shed = ClassCounts { given_up: [(Reason::Shed, 2)].into(), ..ClassCounts::default() };
-    let late = ClassCounts { requests: 1, late: 1, ..ClassCounts::default() };
-    assert_eq!(stats.take_classes(), [(ClassId(0), shed), (ClassId(2), late)]);
+    let shed = ClassCounts {
+        given_up: [(Reason::Shed, 2)].into(),
+        ..ClassCounts::default()
+    };
+    let late = ClassCounts {
+        requests: 1,
+        late: 1,
+        ..ClassCounts::default()
+    };
+    assert_eq!(
+        stats.take_classes(),
+        [(ClassId(0), shed), (ClassId(2), late)]
+    );
     assert!(stats.take_classes().is_empty());
 }
--- a/node/tests/attempts.rs
+++ b/node/tests/attempts.rs
@@ -18,14 +18,27 @@
     let (mut wire, request) = server.request().await;
     assert_eq!(request.start, "POST /keyed/a%20b;c?x=1&y=%2F HTTP/1.1");
     assert_eq!(request.body, b"hello");
-    for (name, value) in [("x-request-id", "9b1f"), ("idempotency-key", "5c0f"), ("cookie", "obj=7")] {
+    for (name, value) in [
+        ("x-request-id", "9b1f"),
+        ("idempotency-key", "5c0f"),
+        ("cookie", "obj=7"),
+    ] {
         assert_eq!(request.header(name), Some(value));
     }
-    let wait = request.header("x-timeout").and_then(|v| v.strip_suffix('u')).expect("microseconds");
-    assert!(wait.parse::<u64>().expect("a number") < 9_000_000, "what remains is less than what there was");
+    let wait = request
+        .header("x-timeout")
+        .and_then(|v| v.strip_suffix('u'))
+        .expect("microseconds");
+    assert!(
+        wait.parse::<u64>().expect("a number") < 9_000_000,
+        "what remains is less than what there was"
+    );
     wire.answer("200 OK", "X-More: 1\r\n", "bye").await;
     let answer = client.read().await.expect("an answer");
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"bye"[..]));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, &b"bye"[..])
+    );
 }
 
 /// Only the mark proves that a request did not run: a bare 503 may come from behind the work.
@@ -42,7 +55,10 @@
         };
         wire.answer("503 Service Unavailable", headers, "").await;
         let status = client.read().await.expect("an answer").status();
-        assert!(![200, 429, 503].contains(&status), "answered {status}, which promises that it did not run");
+        assert!(
+            ![200, 429, 503].contains(&status),
+            "answered {status}, which promises that it did not run"
+        );
         assert!(other.untouched().await, "sent again");
     }
 }
@@ -57,7 +73,8 @@
         got = one.request() => (got, &two),
         got = two.request() => (got, &one),
     };
-    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await;
+    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+        .await;
     let (mut wire, second) = other.request().await;
     assert_eq!(first.header("x-request-id"), second.header("x-request-id"));
     wire.answer("200 OK", "", "done").await;
@@ -87,7 +104,10 @@
 /// for an instant are there two.
 #[tokio::test]
 async fn a_spoilt_attempt_is_closed_before_the_next_is_written() {
-    for spoilt in ["no HTTP\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab"] {
+    for spoilt in [
+        "no HTTP\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab",
+    ] {
         let (one, two) = (Peer::new().await, Peer::new().await);
         let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
         let mut client = node.client().await;
@@ -109,7 +129,11 @@
 #[tokio::test]
 async fn an_unsafe_request_is_not_repeated_after_a_reset_in_the_middle() {
     let (one, two) = (Peer::new().await, Peer::new().await);
-    for answered in ["", "HTTP/1.1 1", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"] {
+    for answered in [
+        "",
+        "HTTP/1.1 1",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+    ] {
         let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
         let mut client = node.client().await;
         client.with_body("r", &"x".repeat(60_000)).await;
@@ -119,7 +143,11 @@
         };
         wire.write(answered).await;
         wire.reset();
-        assert_eq!(client.read().await.expect("an answer").status(), 504, "{answered:?}");
+        assert_eq!(
+            client.read().await.expect("an answer").status(),
+            504,
+            "{answered:?}"
+        );
         assert!(other.untouched().await, "sent again after {answered:?}");
     }
 }
@@ -190,7 +218,9 @@
         // It rests for a moment first, lest more than the answer is on its way.
         tokio::time::sleep(Duration::from_millis(50)).await;
         client.send("unsafe", "20000m").await;
-        wire.read().await.expect("the next request on the same connection");
+        wire.read()
+            .await
+            .expect("the next request on the same connection");
     }
 }
 
@@ -201,16 +231,28 @@
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
-    let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    for (k, (with, later)) in
-        [(answer("x"), ""), ("noise".into(), ""), (String::new(), "n"), (String::new(), "HTTP/1.1 2")]
-            .into_iter()
-            .enumerate()
+    let answer = |body: &str| {
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+    };
+    for (k, (with, later)) in [
+        (answer("x"), ""),
+        ("noise".into(), ""),
+        (String::new(), "n"),
+        (String::new(), "HTTP/1.1 2"),
+    ]
+    .into_iter()
+    .enumerate()
     {
         client.send("unsafe", "20000m").await;
         let (mut wire, _) = server.request().await;
         wire.write(&(answer(&k.to_string()) + &with)).await;
-        assert_eq!(client.read().await.expect("an answer").body, k.to_string().as_bytes());
+        assert_eq!(
+            client.read().await.expect("an answer").body,
+            k.to_string().as_bytes()
+        );
         wire.write(later).await; // It is given back by then.
         wire.closed().await;
     }
@@ -222,13 +264,19 @@
 async fn spoilt_answers_end_the_attempt() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let endless =
-        |head: &str, part: &str| format!("HTTP/1.1 200 OK\r\n{head}{}", part.repeat(200_000 / part.len()));
+    let endless = |head: &str, part: &str| {
+        format!(
+            "HTTP/1.1 200 OK\r\n{head}{}",
+            part.repeat(200_000 / part.len())
+        )
+    };
     let spoilt = [
         "no HTTP at all\r\n\r\n".to_owned(),
         "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n".to_owned(),
-        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".to_owned(),
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n0\r\n\r\n".to_owned(),
+        "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+            .to_owned(),
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n0\r\n\r\n"
+            .to_owned(),
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc".to_owned(),
         "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nab".to_owned(),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n".to_owned(),
@@ -257,8 +305,10 @@
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
-    wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n").await;
-    wire.answer("200 OK", "X-Server-Load: {\"inflight\":[,\r\n", "served").await;
+    wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
+        .await;
+    wire.answer("200 OK", "X-Server-Load: {\"inflight\":[,\r\n", "served")
+        .await;
     assert_eq!(client.read().await.expect("an answer").body, b"served");
 }
 
@@ -287,7 +337,8 @@
         got = two.request() => (got, &one),
     };
     client.close().await;
-    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await;
+    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+        .await;
     assert!(other.untouched().await, "sent again");
     let mut client = node.client().await;
     client.send("safe", "20000m").await;
@@ -304,16 +355,28 @@
     let (busy, idle) = (Peer::new().await, Peer::new().await);
     let discovery = Peer::new().await;
     let mut settings = settings();
-    settings["report"] = serde_json::json!({"how": "pull", "fields": ["outstanding", "utilization"]});
+    settings["report"] =
+        serde_json::json!({"how": "pull", "fields": ["outstanding", "utilization"]});
     let node = Node::with(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
-    let members = [member("busy", busy.address(), "active"), member("idle", idle.address(), "active")];
+    let members = [
+        member("busy", busy.address(), "active"),
+        member("idle", idle.address(), "active"),
+    ];
     watch.list(1, true, &members).await;
     node.ready().await;
     let (served, mut by) = tokio::sync::mpsc::unbounded_channel();
     let reports = [
-        (busy, "busy", r#"{"outstanding":9,"utilization":1.0,"spare":null}"#),
-        (idle, "idle", r#"{"spare":"x","outstanding":0,"utilization":0.0}"#),
+        (
+            busy,
+            "busy",
+            r#"{"outstanding":9,"utilization":1.0,"spare":null}"#,
+        ),
+        (
+            idle,
+            "idle",
+            r#"{"spare":"x","outstanding":0,"utilization":0.0}"#,
+        ),
     ];
     for (server, name, report) in reports {
         let served = served.clone();
@@ -339,7 +402,11 @@
         while row < 20 {
             let answer = node.client().await.ask("unsafe").await.expect("an answer");
             if answer.status() == 200 {
-                row = if by.recv().await == Some("idle") { row + 1 } else { 0 };
+                row = if by.recv().await == Some("idle") {
+                    row + 1
+                } else {
+                    0
+                };
             }
         }
     };
--- a/node/tests/clients.rs
+++ b/node/tests/clients.rs
@@ -9,7 +9,8 @@
 async fn bad_requests_are_turned_down() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let with = |class: &str, headers: &str| format!("POST /{class} HTTP/1.1\r\nHost: a\r\n{headers}\r\n");
+    let with =
+        |class: &str, headers: &str| format!("POST /{class} HTTP/1.1\r\nHost: a\r\n{headers}\r\n");
     let fine = "X-Request-ID: r\r\nX-Tenant-Id: one\r\nContent-Length: 0\r\n";
     let cases = [
         "\x01\x02\r\n\r\n".to_owned(),
@@ -37,9 +38,14 @@
             client.write(&"x".repeat(70_000)).await;
         }
         // A node that has read enough may close before the client has written all of it.
-        let Some(answer) = client.read().await else { continue };
+        let Some(answer) = client.read().await else {
+            continue;
+        };
         let status = answer.status();
-        assert!((400..500).contains(&status) && status != 429, "{status} for {case:.60}");
+        assert!(
+            (400..500).contains(&status) && status != 429,
+            "{status} for {case:.60}"
+        );
     }
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
@@ -55,7 +61,9 @@
     let discovery = Peer::new().await;
     let node = Node::with(&discovery, settings(), 64).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
     let mut crowd = Vec::new();
     for k in 0..100 {
@@ -106,7 +114,9 @@
         assert_eq!(node.call("GET", "/healthcheck").await, 503);
         let discovery = Peer::at(address).await;
         let (mut watch, _) = discovery.watch().await;
-        watch.list(1, true, &[member("s", server.address(), "active")]).await;
+        watch
+            .list(1, true, &[member("s", server.address(), "active")])
+            .await;
         node.ready().await;
         assert_eq!(node.call("GET", "/healthcheck").await, 200);
         let mut client = node.client().await;
@@ -125,7 +135,9 @@
     let discovery = Peer::new().await;
     let node = Node::with(&discovery, settings(), 64).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
     node.signal("STOP").await;
     let mut crowd = Vec::new();
@@ -148,7 +160,9 @@
     let discovery = Peer::new().await;
     let node = Node::with(&discovery, settings(), 64).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
     node.signal("STOP").await;
     let mut crowd = Vec::new();
@@ -186,9 +200,13 @@
     let mut wires = Vec::new();
     for k in 0..128 {
         let mut client = node.client().await;
-        let head = "POST /unsafe HTTP/1.1\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\nX-Cost: 1\r\n";
+        let head =
+            "POST /unsafe HTTP/1.1\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\nX-Cost: 1\r\n";
         client
-            .write(&format!("{head}X-Request-ID: r{k}\r\nContent-Length: {}\r\n\r\n{large}", large.len()))
+            .write(&format!(
+                "{head}X-Request-ID: r{k}\r\nContent-Length: {}\r\n\r\n{large}",
+                large.len()
+            ))
             .await;
         tokio::select! {
             (wire, request) = server.request() => {
@@ -204,7 +222,10 @@
         wire.answer("200 OK", "", &large).await;
     }
     for client in &mut clients {
-        assert_eq!(client.read().await.expect("an answer").body.len(), large.len());
+        assert_eq!(
+            client.read().await.expect("an answer").body.len(),
+            large.len()
+        );
     }
     println!("{held} held, peak {} KiB", node.memory_peak());
     assert!(node.memory_peak() < MEMORY_MB << 10);
@@ -221,7 +242,13 @@
         servers.push(Peer::new().await);
     }
     let (mut watch, _) = discovery.watch().await;
-    let list = |only: usize| vec![member(&format!("s{only}"), servers[only].address(), "active")];
+    let list = |only: usize| {
+        vec![member(
+            &format!("s{only}"),
+            servers[only].address(),
+            "active",
+        )]
+    };
     let all: Vec<_> = (0..servers.len()).flat_map(list).collect();
     watch.list(1, true, &all).await;
     node.ready().await;
@@ -230,9 +257,15 @@
     for k in 0..servers.len() {
         // All but one drain, and keep their connections until they are gone.
         let phases = (0..servers.len()).map(|s| {
-            member(&format!("s{s}"), servers[s].address(), if s == k { "active" } else { "leaving" })
+            member(
+                &format!("s{s}"),
+                servers[s].address(),
+                if s == k { "active" } else { "leaving" },
+            )
         });
-        watch.list(2 + k as u64, false, &phases.collect::<Vec<_>>()).await;
+        watch
+            .list(2 + k as u64, false, &phases.collect::<Vec<_>>())
+            .await;
         node.holds(2 + k as u64).await;
         client.send("unsafe", "20000m").await;
         let (mut wire, _) = servers[k].request().await;
@@ -252,7 +285,9 @@
     settings["limits"]["conn_idle_ns"] = json!(400_000_000);
     let node = Node::with(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
@@ -281,7 +316,10 @@
     for (wire, client) in [(&mut first, &mut before), (&mut second, &mut after)] {
         wire.answer("200 OK", "", "served").await;
         let answer = client.read().await.expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
     }
     assert!(node.exited().await.success());
 }
@@ -294,7 +332,11 @@
     let head = |id: &str| {
         format!("POST /unsafe HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n")
     };
-    let (mut new, mut kept, mut body) = (node.client().await, node.client().await, node.client().await);
+    let (mut new, mut kept, mut body) = (
+        node.client().await,
+        node.client().await,
+        node.client().await,
+    );
     kept.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     wire.answer("200 OK", "Connection: close\r\n", "").await;
@@ -302,7 +344,8 @@
     let mut idle = node.client().await;
     new.write(&head("new")[..30]).await;
     kept.write(&head("kept")[..30]).await;
-    body.write(&(head("body") + "Content-Length: 4\r\n\r\nab")).await;
+    body.write(&(head("body") + "Content-Length: 4\r\n\r\nab"))
+        .await;
     node.get("/health/live").await; // They have been read by now.
     node.signal("TERM").await;
     node.logged("leaving").await;
@@ -318,7 +361,10 @@
     }
     for mut client in [new, kept, body] {
         let answer = client.read().await.expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
         client.closed().await;
     }
     assert!(node.exited().await.success());
@@ -353,7 +399,9 @@
     let discovery = Peer::new().await;
     let mut node = Node::with(&discovery, settings(), 64).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
     let mut busy = Vec::new();
     let mut wires = Vec::new();
@@ -386,7 +434,9 @@
     let discovery = Peer::new().await;
     let mut killed = Node::at(own_address(), &discovery, settings(), 1024).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     killed.ready().await;
     let mut client = killed.client().await;
     client.send("unsafe", "20000m").await;
@@ -397,7 +447,9 @@
     let node = Node::at(killed.address, &discovery, settings(), 1024).await;
     let (mut watch, request) = discovery.watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=0 HTTP/1.1");
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
@@ -429,7 +481,9 @@
     bad["settings"]["zone"] = json!(9);
     cases.push(bad.to_string());
     for case in cases {
-        let output = within("its end", start(&case).wait_with_output()).await.expect("its output");
+        let output = within("its end", start(&case).wait_with_output())
+            .await
+            .expect("its output");
         let told = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success(), "{case}");
         assert_eq!(told.lines().count(), 1, "{case}: {told}");
