--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -37,11 +37,18 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
+        self.headers
+            .iter()
+            .find(|h| h.0.eq_ignore_ascii_case(name))
+            .map(|h| h.1.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.start
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .expect("a status line")
     }
 }
 
@@ -51,7 +58,9 @@
 static STARTING: Mutex<()> = Mutex::new(());
 
 fn nothing_starts() -> MutexGuard<'static, ()> {
-    STARTING.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    STARTING
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 /// A socket, or what holds one, that is closed only while no process starts.
@@ -86,7 +95,11 @@
     }
 
     pub async fn connect(address: SocketAddr) -> Self {
-        Wire::new(within("a connection", TcpStream::connect(address)).await.expect("a connection"))
+        Wire::new(
+            within("a connection", TcpStream::connect(address))
+                .await
+                .expect("a connection"),
+        )
     }
 
     /// Closes it, and waits until the other side has seen that and closed as well.
@@ -100,7 +113,10 @@
 
     /// Ends it by a reset.
     pub fn reset(self) {
-        self.0.get_ref().set_zero_linger().expect("a socket to reset");
+        self.0
+            .get_ref()
+            .set_zero_linger()
+            .expect("a socket to reset");
     }
 
     /// Whether the other side has closed it by now, asked of the system and without waiting.
@@ -111,7 +127,11 @@
     }
 
     pub async fn write(&mut self, text: &str) {
-        self.0.get_mut().write_all(text.as_bytes()).await.expect("writing");
+        self.0
+            .get_mut()
+            .write_all(text.as_bytes())
+            .await
+            .expect("writing");
     }
 
     /// The next message; None if the connection ends first.
@@ -132,10 +152,19 @@
             }
         }
         let start = lines.remove(0);
-        let split = |l: String| l.split_once(':').map(|(n, v)| (n.to_owned(), v.trim().to_owned()));
+        let split = |l: String| {
+            l.split_once(':')
+                .map(|(n, v)| (n.to_owned(), v.trim().to_owned()))
+        };
         let headers = lines.into_iter().filter_map(split).collect();
-        let mut message = Message { start, headers, body: Vec::new() };
-        let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
+        let mut message = Message {
+            start,
+            headers,
+            body: Vec::new(),
+        };
+        let length = message
+            .header("content-length")
+            .map_or(0, |l| l.parse().expect("a length"));
         message.body = vec![0; length];
         self.0.read_exact(&mut message.body).await.ok()?;
         Some(message)
@@ -150,10 +179,19 @@
         let head = String::from_utf8(head).expect("text");
         let mut lines = head.trim_end().lines().map(str::to_owned);
         let start = lines.next().expect("a first line");
-        let headers =
-            lines.filter_map(|l| l.split_once(':').map(|(n, v)| (n.to_owned(), v.trim().to_owned())));
-        let message = Message { start, headers: headers.collect(), body: Vec::new() };
-        let body = match message.header("content-length").map(|l| l.parse().expect("a length")) {
+        let headers = lines.filter_map(|l| {
+            l.split_once(':')
+                .map(|(n, v)| (n.to_owned(), v.trim().to_owned()))
+        });
+        let message = Message {
+            start,
+            headers: headers.collect(),
+            body: Vec::new(),
+        };
+        let body = match message
+            .header("content-length")
+            .map(|l| l.parse().expect("a length"))
+        {
             Some(length) => self.take(length).await,
             None => self.read_chunks().await,
         };
@@ -177,14 +215,21 @@
     /// So many bytes as they come. None: there are fewer.
     pub async fn take(&mut self, count: usize) -> Option<Vec<u8>> {
         let mut bytes = vec![0; count];
-        within("bytes", self.0.read_exact(&mut bytes)).await.ok().map(|_| bytes)
+        within("bytes", self.0.read_exact(&mut bytes))
+            .await
+            .ok()
+            .map(|_| bytes)
     }
 
     /// Waits for the other side to close.
     pub async fn closed(&mut self) {
         let mut rest = Vec::new();
         let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
-        assert!(rest.is_empty(), "closed only after {:?}", String::from_utf8_lossy(&rest));
+        assert!(
+            rest.is_empty(),
+            "closed only after {:?}",
+            String::from_utf8_lossy(&rest)
+        );
     }
 
     /// Writes as much as the other side takes before it closes.
@@ -196,13 +241,20 @@
     pub async fn ended_unread(&mut self) -> bool {
         let mut rest = Vec::new();
         let ended = within("the connection's end", self.0.read_to_end(&mut rest)).await;
-        assert!(rest.is_empty(), "ended only after {:?}", String::from_utf8_lossy(&rest));
+        assert!(
+            rest.is_empty(),
+            "ended only after {:?}",
+            String::from_utf8_lossy(&rest)
+        );
         // A close over unread bytes resets the connection, which may show a moment after its end.
         let reset = ended.is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionReset);
         reset
-            || within("the reset", self.0.get_ref().ready(tokio::io::Interest::ERROR))
-                .await
-                .is_ok_and(|r| r.is_error())
+            || within(
+                "the reset",
+                self.0.get_ref().ready(tokio::io::Interest::ERROR),
+            )
+            .await
+            .is_ok_and(|r| r.is_error())
     }
 
     /// Waits for the other side to close, whatever it still says.
@@ -214,7 +266,10 @@
     /// Answers with further header lines, each ended, and a body.
     pub async fn answer(&mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
-        self.write(&format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")).await;
+        self.write(&format!(
+            "HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
+        ))
+        .await;
     }
 
     /// Sends a request of a class and returns its answer.
@@ -225,7 +280,12 @@
 
     pub async fn send(&mut self, class: &str, wait: &str) {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        self.send_as(&format!("r{}", NEXT.fetch_add(1, Ordering::Relaxed)), class, wait).await;
+        self.send_as(
+            &format!("r{}", NEXT.fetch_add(1, Ordering::Relaxed)),
+            class,
+            wait,
+        )
+        .await;
     }
 
     /// Sends an unsafe request with a body.
@@ -236,12 +296,19 @@
 
     /// The same in chunks.
     pub async fn chunked(&mut self, id: &str) {
-        self.begin_unsafe(id, "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n").await;
+        self.begin_unsafe(
+            id,
+            "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
+        )
+        .await;
     }
 
     async fn begin_unsafe(&mut self, id: &str, rest: &str) {
-        let head = format!("POST /unsafe HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id}\r\nX-Timeout: 60000m\r\n");
-        self.write(&format!("{head}X-Tenant-Id: one\r\n{rest}")).await;
+        let head = format!(
+            "POST /unsafe HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id}\r\nX-Timeout: 60000m\r\n"
+        );
+        self.write(&format!("{head}X-Tenant-Id: one\r\n{rest}"))
+            .await;
     }
 
     /// Ends the sending, and waits for the other side to close.
@@ -252,11 +319,18 @@
 
     pub async fn send_as(&mut self, id: &str, class: &str, wait: &str) {
         let method = if class == "safe" { "GET" } else { "POST" };
-        let key = if class == "keyed" { "Idempotency-Key: k\r\n" } else { "" };
-        let head =
-            format!("{method} /{class} HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id}\r\nX-Timeout: {wait}\r\n");
-        self.write(&format!("{head}X-Tenant-Id: one\r\nX-Cost: 90000\r\n{key}Content-Length: 0\r\n\r\n"))
-            .await;
+        let key = if class == "keyed" {
+            "Idempotency-Key: k\r\n"
+        } else {
+            ""
+        };
+        let head = format!(
+            "{method} /{class} HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id}\r\nX-Timeout: {wait}\r\n"
+        );
+        self.write(&format!(
+            "{head}X-Tenant-Id: one\r\nX-Cost: 90000\r\n{key}Content-Length: 0\r\n\r\n"
+        ))
+        .await;
     }
 }
 
@@ -280,7 +354,9 @@
 
     /// The same at a given address.
     pub async fn at(address: SocketAddr) -> Self {
-        Peer(Closing(Some(TcpListener::bind(address).await.expect("a port"))))
+        Peer(Closing(Some(
+            TcpListener::bind(address).await.expect("a port"),
+        )))
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -301,13 +377,16 @@
 
     /// Whether a connection waits to be accepted.
     pub async fn untouched(&self) -> bool {
-        tokio::time::timeout(Duration::from_millis(50), self.0.accept()).await.is_err()
+        tokio::time::timeout(Duration::from_millis(50), self.0.accept())
+            .await
+            .is_err()
     }
 
     /// For discovery: takes in a watch and begins its answer.
     pub async fn watch(&self) -> (Watch, String) {
         let (mut wire, request) = self.request().await;
-        wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
+        wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await;
         (Watch(wire), request.start)
     }
 }
@@ -331,7 +410,9 @@
 
 impl Watch {
     pub async fn line(&mut self, line: &str) {
-        self.0.write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1)).await;
+        self.0
+            .write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1))
+            .await;
     }
 
     /// Sends a list; [`Node::holds`] tells when it has been taken.
@@ -386,7 +467,11 @@
         let this = std::env::current_exe().expect("this program");
         let library = this.with_file_name("libfault_shim.so");
         assert!(library.exists(), "{library:?} was not built");
-        FaultyCalls { control, path, library }
+        FaultyCalls {
+            control,
+            path,
+            library,
+        }
     }
 
     /// What a node is started with to have them.
@@ -437,14 +522,24 @@
         None => Command::new(program),
         Some(most) => {
             let mut shell = Command::new("/bin/sh");
-            shell.args(["-c", "ulimit -n \"$0\" && exec \"$1\"", &most.to_string(), program]);
+            shell.args([
+                "-c",
+                "ulimit -n \"$0\" && exec \"$1\"",
+                &most.to_string(),
+                program,
+            ]);
             shell
         }
     };
-    command.env_clear().envs(variables.iter().copied()).env("GW_CONFIG", &path);
+    command
+        .env_clear()
+        .envs(variables.iter().copied())
+        .env("GW_CONFIG", &path);
     command.stderr(Stdio::piped()).kill_on_drop(true);
     let _guard = nothing_starts();
-    let Some(listener) = inherited else { return (command.spawn().expect("a process"), path) };
+    let Some(listener) = inherited else {
+        return (command.spawn().expect("a process"), path);
+    };
     command.env("GW_LISTEN_FD", listener.as_raw_fd().to_string());
     let listener = SockRef::from(listener);
     listener.set_cloexec(false).expect("a socket to hand over");
@@ -495,8 +590,13 @@
     ) -> Self {
         let (mut child, path) = start_with(&config.to_string(), variables, listener, descriptors);
         let log = child.stderr.take().map(BufReader::new);
-        let mut node =
-            Node { child, log, address: ([127, 0, 0, 1], 0).into(), console: None, config: (config, path) };
+        let mut node = Node {
+            child,
+            log,
+            address: ([127, 0, 0, 1], 0).into(),
+            console: None,
+            config: (config, path),
+        };
         let operated = node.config.0.get("console").is_some();
         node.address = node.logged_address("listening on ").await;
         if operated {
@@ -507,7 +607,10 @@
 
     async fn logged_address(&mut self, text: &str) -> SocketAddr {
         let line = self.logged(text).await;
-        line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("an address")
+        line.rsplit(' ')
+            .next()
+            .and_then(|a| a.parse().ok())
+            .expect("an address")
     }
 
     /// A node with the usual settings that has taken a list of these servers.
@@ -515,7 +618,10 @@
         let discovery = Peer::new().await;
         let node = Node::with(&discovery, settings(), 1024).await;
         let (mut watch, _) = discovery.watch().await;
-        let members: Vec<Value> = servers.iter().map(|s| member(s.0, s.1.address(), "active")).collect();
+        let members: Vec<Value> = servers
+            .iter()
+            .map(|s| member(s.0, s.1.address(), "active"))
+            .collect();
         watch.list(1, true, &members).await;
         node.ready().await;
         (node, discovery, watch)
@@ -530,7 +636,10 @@
         });
         let node = Node::told(config, &faults.variables()).await;
         let (mut watch, _) = discovery.watch().await;
-        let members: Vec<Value> = servers.iter().map(|s| member(s.0, s.1.address(), "active")).collect();
+        let members: Vec<Value> = servers
+            .iter()
+            .map(|s| member(s.0, s.1.address(), "active"))
+            .collect();
         watch.list(1, true, &members).await;
         node.ready().await;
         (node, discovery, watch)
@@ -546,7 +655,10 @@
         });
         let node = Node::told(config, &[]).await;
         let (mut watch, _) = discovery.watch().await;
-        let members: Vec<Value> = servers.iter().map(|s| member(s.0, s.1.address(), "active")).collect();
+        let members: Vec<Value> = servers
+            .iter()
+            .map(|s| member(s.0, s.1.address(), "active"))
+            .collect();
         watch.list(1, true, &members).await;
         node.ready().await;
         (node, discovery, watch)
@@ -560,7 +672,9 @@
     /// Calls its console, and says the status of the answer.
     pub async fn call(&self, method: &str, path: &str) -> u16 {
         let mut caller = self.caller().await;
-        caller.write(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n")).await;
+        caller
+            .write(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n"))
+            .await;
         let status = caller.read().await.expect("an answer").status();
         caller.closed().await;
         status
@@ -606,7 +720,9 @@
 
     pub async fn get(&self, path: &str) -> Message {
         let mut client = self.client().await;
-        client.write(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n")).await;
+        client
+            .write(&format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n"))
+            .await;
         client.read().await.expect("an answer")
     }
 
@@ -634,15 +750,23 @@
     /// Its open descriptors.
     pub fn descriptors(&self) -> usize {
         let pid = self.child.id().expect("it runs");
-        std::fs::read_dir(format!("/proc/{pid}/fd")).expect("its descriptors").count()
+        std::fs::read_dir(format!("/proc/{pid}/fd"))
+            .expect("its descriptors")
+            .count()
     }
 
     /// The most memory that it has held so far, in KiB.
     pub fn memory_peak(&self) -> u64 {
         let pid = self.child.id().expect("it runs");
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
-        let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("its peak");
-        peak.trim().trim_end_matches(" kB").parse().expect("a number")
+        let peak = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmHWM:"))
+            .expect("its peak");
+        peak.trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .expect("a number")
     }
 
     pub async fn signal(&self, signal: &str) {
@@ -651,10 +775,15 @@
             let _guard = nothing_starts();
             Command::new("kill").args(["-s", signal, &pid]).spawn()
         };
-        assert!(within("kill", spawned.expect("kill").wait()).await.expect("its status").success());
+        assert!(within("kill", spawned.expect("kill").wait())
+            .await
+            .expect("its status")
+            .success());
     }
 
     pub async fn exited(&mut self) -> ExitStatus {
-        within("the node's end", self.child.wait()).await.expect("its status")
+        within("the node's end", self.child.wait())
+            .await
+            .expect("its status")
     }
 }
--- a/node/tests/console.rs
+++ b/node/tests/console.rs
@@ -27,7 +27,10 @@
     let mut client = node.client().await;
     assert_eq!(node.call("POST", "/backends/a/maint").await, 200);
     assert_eq!(node.call("POST", "/backends/a/maint").await, 200);
-    let both = [member("a", a.address(), "active"), member("b", b.address(), "active")];
+    let both = [
+        member("a", a.address(), "active"),
+        member("b", b.address(), "active"),
+    ];
     let lists = [&both[..], &both[1..], &both[..]];
     for (revision, list) in (2..).zip(lists) {
         watch.list(revision, true, list).await;
@@ -49,16 +52,26 @@
     let (node, _discovery, mut watch) = Node::operated(&backends).await;
     let mut client = node.client().await;
     assert_eq!(node.call("POST", "/backends/a/maint").await, 200);
-    watch.list(2, true, &[member("b", b.address(), "active")]).await;
+    watch
+        .list(2, true, &[member("b", b.address(), "active")])
+        .await;
     node.holds(2).await;
     assert_eq!(node.call("POST", "/backends/a/ready").await, 200);
-    watch.list(3, false, &[member("a", a.address(), "leaving")]).await;
+    watch
+        .list(3, false, &[member("a", a.address(), "leaving")])
+        .await;
     node.holds(3).await;
-    assert_eq!(node.call("POST", "/backends/a/ready").await, 200, "it is listed, and nothing is to be done");
+    assert_eq!(
+        node.call("POST", "/backends/a/ready").await,
+        200,
+        "it is listed, and nothing is to be done"
+    );
     for _ in 0..8 {
         assert_eq!(served_by(&mut client, &backends).await, "b");
     }
-    watch.list(4, false, &[member("a", a.address(), "active")]).await;
+    watch
+        .list(4, false, &[member("a", a.address(), "active")])
+        .await;
     node.holds(4).await;
     while served_by(&mut client, &backends).await != "a" {}
 }
@@ -97,7 +110,8 @@
     ] {
         assert_eq!(node.call(method, path).await, status, "{method} {path}");
     }
-    node.logged("call=\"POST /backends/nobody/maint\" status=404").await;
+    node.logged("call=\"POST /backends/nobody/maint\" status=404")
+        .await;
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(20 << 10));
     for (text, status) in [("what\r\n\r\n", 400), (long.as_str(), 431)] {
         let mut caller = node.caller().await;
@@ -138,19 +152,29 @@
         client.send("safe", "20000m").await;
         let (mut wire, _) = a.request().await;
         wire.answer("200 OK", "Connection: close\r\n", "").await;
-        assert_eq!(client.read().await.expect("an answer").header("connection"), None);
+        assert_eq!(
+            client.read().await.expect("an answer").header("connection"),
+            None
+        );
     }
     for _ in 0..2 {
         assert_eq!(node.call("POST", "/healthcheck/fail").await, 200);
     }
     assert_eq!(node.get("/health/ready").await.status(), 503);
-    assert_eq!(node.call("GET", "/healthcheck").await, 200, "the process itself is well");
+    assert_eq!(
+        node.call("GET", "/healthcheck").await,
+        200,
+        "the process itself is well"
+    );
     for client in [&mut kept, &mut node.client().await] {
         client.send("safe", "20000m").await;
         let (mut wire, _) = a.request().await;
         wire.answer("200 OK", "Connection: close\r\n", "").await;
         let answer = client.read().await.expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, Some("close"))
+        );
         client.closed().await;
     }
     idle.closed().await;
@@ -163,7 +187,10 @@
         client.send("safe", "20000m").await;
         let (mut wire, _) = a.request().await;
         wire.answer("200 OK", "Connection: close\r\n", "").await;
-        assert_eq!(client.read().await.expect("an answer").header("connection"), None);
+        assert_eq!(
+            client.read().await.expect("an answer").header("connection"),
+            None
+        );
     }
 }
 
@@ -187,10 +214,17 @@
 #[tokio::test]
 async fn an_unusable_console_is_said_at_the_start() {
     let taken = Peer::new().await;
-    for (console, why) in [("here", "console"), (&*taken.address().to_string(), "cannot listen on")] {
+    for (console, why) in [
+        ("here", "console"),
+        (&*taken.address().to_string(), "cannot listen on"),
+    ] {
         let config = json!({"listen": "127.0.0.1:0", "console": console, "discovery": "127.0.0.1:1", "seed": "1f",
                             "settings": settings()});
-        let ended = within("the node's end", start(&config.to_string()).wait_with_output()).await;
+        let ended = within(
+            "the node's end",
+            start(&config.to_string()).wait_with_output(),
+        )
+        .await;
         let ended = ended.expect("its output");
         assert_eq!(ended.status.code(), Some(1));
         let said = String::from_utf8_lossy(&ended.stderr).into_owned();
@@ -213,9 +247,15 @@
     node.signal("TERM").await;
     node.logged("leaving").await;
     let answer = hung.read().await.expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (504, Some("close"))
+    );
     wire.answer("200 OK", "", "").await;
     let answer = served.read().await.expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     assert!(node.exited().await.success());
 }
--- a/node/tests/faults.rs
+++ b/node/tests/faults.rs
@@ -10,13 +10,29 @@
 async fn a_start_survives_calls_that_fail_for_a_moment() {
     let faults = FaultyCalls::new();
     let server = Peer::new().await;
-    faults.control.faults(Call::Socket).fail_next(3, &[libc::ENFILE]);
-    faults.control.faults(Call::Bind).fail_next(2, &[libc::EADDRINUSE]);
-    faults.control.faults(Call::Listen).fail_next(2, &[libc::EADDRINUSE]);
-    faults.control.faults(Call::OpenRead).fail_next(2, &[libc::ENFILE]);
+    faults
+        .control
+        .faults(Call::Socket)
+        .fail_next(3, &[libc::ENFILE]);
+    faults
+        .control
+        .faults(Call::Bind)
+        .fail_next(2, &[libc::EADDRINUSE]);
+    faults
+        .control
+        .faults(Call::Listen)
+        .fail_next(2, &[libc::EADDRINUSE]);
+    faults
+        .control
+        .faults(Call::OpenRead)
+        .fail_next(2, &[libc::ENFILE]);
     let (node, _discovery, _watch) = Node::faulty(&faults, &[("s", &server)]).await;
     for call in [Call::Socket, Call::Bind, Call::Listen, Call::OpenRead] {
-        assert_eq!(faults.control.faults(call).left(), 0, "{call:?} was not made");
+        assert_eq!(
+            faults.control.faults(call).left(),
+            0,
+            "{call:?} was not made"
+        );
     }
     let mut client = node.client().await;
     client.send("safe", "20000m").await;
@@ -37,7 +53,9 @@
     while held_up.begun() == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    watch.list(2, false, &[member("s", server.address(), "leaving")]).await;
+    watch
+        .list(2, false, &[member("s", server.address(), "leaving")])
+        .await;
     tokio::select! {
         () = node.holds(2) => {}
         _ = discovery.request() => panic!("the watch was given up with a change on it"),
@@ -62,7 +80,10 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     client.send("safe", "20000m").await;
-    assert!(client.ended_unread().await, "the request was read, and has no answer");
+    assert!(
+        client.ended_unread().await,
+        "the request was read, and has no answer"
+    );
     // Nothing of it went on, and it is served where it is sent again.
     let mut again = node.client().await;
     again.send("safe", "20000m").await;
@@ -78,8 +99,12 @@
     let faults = FaultyCalls::new();
     let (server, other) = (Peer::new().await, Peer::new().await);
     let (mut node, _discovery, _watch) = Node::faulty(&faults, &[("s", &server)]).await;
-    faults.control.faults(Call::OpenRead).fail_next(3, &[libc::ENFILE, libc::EIO]);
-    node.reconfigure("discovery", serde_json::json!(other.address().to_string())).await;
+    faults
+        .control
+        .faults(Call::OpenRead)
+        .fail_next(3, &[libc::ENFILE, libc::EIO]);
+    node.reconfigure("discovery", serde_json::json!(other.address().to_string()))
+        .await;
     let (_, request) = other.request().await;
     assert!(request.start.starts_with("GET /registry/instances"));
     assert_eq!(faults.control.faults(Call::OpenRead).left(), 0);
@@ -92,7 +117,12 @@
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::faulty(&faults, &[("s", &server)]).await;
     // With a pause behind each of them it would take nearly a minute.
-    let ended = [libc::ECONNABORTED, libc::EINTR, libc::ENETUNREACH, libc::EHOSTUNREACH];
+    let ended = [
+        libc::ECONNABORTED,
+        libc::EINTR,
+        libc::ENETUNREACH,
+        libc::EHOSTUNREACH,
+    ];
     faults.control.faults(Call::Accept).fail_next(1000, &ended);
     let mut client = node.client().await;
     client.send("safe", "60000m").await;
@@ -126,11 +156,21 @@
     let (mut late, _) = discovery.request().await;
     // Only once the first is given up there is a second.
     let (_second, _) = discovery.request().await;
-    late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
+    late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await;
     let mut late = Watch(late);
-    late.list(2, false, &[member("s", server.address(), "leaving")]).await;
+    late.list(2, false, &[member("s", server.address(), "leaving")])
+        .await;
     node.holds(2).await;
-    assert_eq!(node.client().await.ask("safe").await.expect("an answer").status(), 503);
+    assert_eq!(
+        node.client()
+            .await
+            .ask("safe")
+            .await
+            .expect("an answer")
+            .status(),
+        503
+    );
 }
 
 /// The next call may be answered first, and its watch end instead of telling: the late answer is heard all the same.
@@ -143,9 +183,11 @@
     let (_second, _) = discovery.watch().await;
     // It is open once the node has read its head; its pause after that is long enough.
     tokio::time::sleep(Duration::from_millis(200)).await;
-    late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
+    late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await;
     let mut late = Watch(late);
-    late.list(2, false, &[member("s", server.address(), "leaving")]).await;
+    late.list(2, false, &[member("s", server.address(), "leaving")])
+        .await;
     node.holds(2).await;
 }
 
@@ -165,9 +207,16 @@
     drop(watch);
     let (mut late, _) = discovery.request().await;
     let (_second, _) = discovery.request().await;
-    late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-    let members = [member("kept", kept.address(), "active"), member("left", left.address(), "active")];
-    let named: Vec<_> = members.into_iter().filter(|member| member["id"] != drains).collect();
+    late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await;
+    let members = [
+        member("kept", kept.address(), "active"),
+        member("left", left.address(), "active"),
+    ];
+    let named: Vec<_> = members
+        .into_iter()
+        .filter(|member| member["id"] != drains)
+        .collect();
     Watch(late).list(1, true, &named).await;
     out.closed().await; // Nothing more goes to a server that is gone, nor is a connection to it kept.
 }
@@ -177,14 +226,21 @@
     let mut client = node.client().await;
     client.send("safe", "1m").await; // A line is written only where something has happened.
     let line = node.logged("stats ").await;
-    let (_, rest) = line.split_once(&format!(" {server}:weight=")).expect("the server's figures");
+    let (_, rest) = line
+        .split_once(&format!(" {server}:weight="))
+        .expect("the server's figures");
     let (_, rest) = rest.split_once("warm=").expect("its warmth");
-    rest.split(',').next().and_then(|figure| figure.parse().ok()).expect("a number")
+    rest.split(',')
+        .next()
+        .and_then(|figure| figure.parse().ok())
+        .expect("a number")
 }
 
 /// Unix time in milliseconds, off by so many seconds.
 fn stamp(off: i64) -> u64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("a clock");
     u64::try_from(now.as_millis() as i64 + off * 1000).expect("a time after 1970")
 }
 
@@ -223,7 +279,10 @@
         faults.control.step_wall_clock(step);
         let (mut node, _watch) = slow_to_warm(&faults, &[stamped(&server, stamp(0))]).await;
         let warmth = warmth(&mut node, 0).await;
-        assert!((0.1..0.2).contains(&warmth), "{warmth} at a step of {step} s");
+        assert!(
+            (0.1..0.2).contains(&warmth),
+            "{warmth} at a step of {step} s"
+        );
     }
 }
 
@@ -235,14 +294,22 @@
         let faults = FaultyCalls::new();
         let (mut node, mut watch) = slow_to_warm(
             &faults,
-            &[stamped(&server, stamp(-20_000)), member("t", server.address(), "active")],
+            &[
+                stamped(&server, stamp(-20_000)),
+                member("t", server.address(), "active"),
+            ],
         )
         .await;
         faults.control.step_wall_clock(step);
-        watch.list(2, false, &[stamped(&server, stamp(-20_000 + step))]).await;
+        watch
+            .list(2, false, &[stamped(&server, stamp(-20_000 + step))])
+            .await;
         node.holds(2).await;
         let warmth = warmth(&mut node, 0).await;
-        assert!((0.1..0.2).contains(&warmth), "{warmth} at a step of {step} s");
+        assert!(
+            (0.1..0.2).contains(&warmth),
+            "{warmth} at a step of {step} s"
+        );
     }
 }
 
@@ -260,8 +327,13 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     wire.answer("200 OK", "", "").await;
     let second = wire.read().await.expect("the second request");
-    let told = second.header("x-timeout").and_then(|told| told.strip_suffix('u')?.parse().ok());
-    assert!(told.is_some_and(|told: u64| told <= 19_150_000), "{told:?} us told, 19 s are left");
+    let told = second
+        .header("x-timeout")
+        .and_then(|told| told.strip_suffix('u')?.parse().ok());
+    assert!(
+        told.is_some_and(|told: u64| told <= 19_150_000),
+        "{told:?} us told, 19 s are left"
+    );
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
@@ -278,14 +350,21 @@
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     node.get("/health/live").await; // The request has been read, and its connection is under way.
-    watch.list(2, false, &[member("s", address, "leaving")]).await;
+    watch
+        .list(2, false, &[member("s", address, "leaving")])
+        .await;
     node.holds(2).await;
     for _ in 0..filling.len() {
-        within("a connection", listener.accept()).await.expect("a connection");
+        within("a connection", listener.accept())
+            .await
+            .expect("a connection");
     }
     assert_eq!(client.read().await.expect("an answer").status(), 503);
     let line = node.logged(" withheld_").await;
-    assert!(line.contains("stats ") && line.contains(" withheld_Drain="), "{line}");
+    assert!(
+        line.contains("stats ") && line.contains(" withheld_Drain="),
+        "{line}"
+    );
 }
 
 /// A connection on which a chunked answer came is used again. What was written on it may have run all the same.
@@ -296,13 +375,18 @@
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = one.request().await;
-    wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n").await;
+    wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")
+        .await;
     let (answer, _) = client.read_large().await;
     assert_eq!(answer.status(), 200);
     tokio::time::sleep(Duration::from_millis(50)).await; // It rests before it is used again.
     client.send("unsafe", "1000m").await;
-    wire.read().await.expect("the next request on the same connection");
-    watch.list(2, false, &[member("two", two.address(), "active")]).await;
+    wire.read()
+        .await
+        .expect("the next request on the same connection");
+    watch
+        .list(2, false, &[member("two", two.address(), "active")])
+        .await;
     assert_eq!(client.read().await.expect("an answer").status(), 504);
     assert!(two.untouched().await);
 }
@@ -316,7 +400,10 @@
     for _ in 0..8 {
         discovery.accept().await.reset();
         let line = node.logged("again in ").await;
-        let pause = line.rsplit("again in ").next().and_then(|rest| rest.strip_suffix(" ms")?.parse().ok());
+        let pause = line
+            .rsplit("again in ")
+            .next()
+            .and_then(|rest| rest.strip_suffix(" ms")?.parse().ok());
         assert!(pause.is_some_and(|pause: u64| pause <= 100), "{line}");
     }
 }
@@ -327,8 +414,13 @@
     let faults = FaultyCalls::new();
     let server = Peer::new().await;
     let (node, discovery, mut watch) = Node::faulty(&faults, &[("s", &server)]).await;
-    faults.control.short_rate.store(fault_control::MILLION, std::sync::atomic::Ordering::SeqCst);
-    watch.list(2, false, &[member("s", server.address(), "leaving")]).await;
+    faults
+        .control
+        .short_rate
+        .store(fault_control::MILLION, std::sync::atomic::Ordering::SeqCst);
+    watch
+        .list(2, false, &[member("s", server.address(), "leaving")])
+        .await;
     tokio::select! {
         () = node.holds(2) => {}
         _ = discovery.request() => panic!("the watch was given up with a change on it"),
@@ -350,8 +442,13 @@
     let mut client = node.client().await;
     client.send("safe", "20000m").await;
     let (mut wire, request) = server.request().await;
-    let told = request.header("x-timeout").and_then(|told| told.strip_suffix('u')?.parse().ok());
-    assert!(told.is_some_and(|told: u64| told <= 19_550_000), "{told:?} us told, 19.4 s are left");
+    let told = request
+        .header("x-timeout")
+        .and_then(|told| told.strip_suffix('u')?.parse().ok());
+    assert!(
+        told.is_some_and(|told: u64| told <= 19_550_000),
+        "{told:?} us told, 19.4 s are left"
+    );
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -24,7 +24,11 @@
             "console": "127.0.0.1:0", "discovery": discovery.address().to_string(),
             "limits": {"sockets": 1024, "memory_mb": MEMORY_MB}, "settings": settings(),
         });
-        Platform { listener, folder, config }
+        Platform {
+            listener,
+            folder,
+            config,
+        }
     }
 
     /// Starts a process and gives it its first list.
@@ -52,7 +56,10 @@
 async fn a_process_takes_over_the_listener_and_what_operators_have_said() {
     let (discovery, a, b) = (Peer::new().await, Peer::new().await, Peer::new().await);
     let platform = Platform::new("takes-over", &discovery);
-    let members = [member("a", a.address(), "active"), member("b", b.address(), "active")];
+    let members = [
+        member("a", a.address(), "active"),
+        member("b", b.address(), "active"),
+    ];
     let (mut old, _old_watch) = platform.start(&discovery, &members).await;
     assert_eq!(old.call("POST", "/backends/a/maint").await, 200);
     let (mut kept, mut busy) = (old.client().await, old.client().await);
@@ -66,7 +73,10 @@
     old.logged("leaving handing_over=true").await;
     // The kept connection's next answer is its last, and what is under way is finished.
     let answer = served(&mut kept, &b).await;
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
     kept.closed().await;
     under_way.answer("200 OK", "", "").await;
     assert_eq!(busy.read().await.expect("an answer").status(), 200);
@@ -104,7 +114,9 @@
 async fn a_process_alone_leaves_as_one_that_owns_its_listener() {
     let (discovery, a) = (Peer::new().await, Peer::new().await);
     let platform = Platform::new("alone", &discovery);
-    let (mut node, _watch) = platform.start(&discovery, &[member("a", a.address(), "active")]).await;
+    let (mut node, _watch) = platform
+        .start(&discovery, &[member("a", a.address(), "active")])
+        .await;
     let mut open = node.client().await;
     open.send("safe", "20000m").await;
     let (mut under_way, _) = a.request().await;
@@ -123,7 +135,9 @@
     let (discovery, a) = (Peer::new().await, Peer::new().await);
     let platform = Platform::new("spoilt", &discovery);
     std::fs::write(platform.folder.join("birchswitch.json"), "{\"version\":1,").expect("a file");
-    let (node, _watch) = platform.start(&discovery, &[member("a", a.address(), "active")]).await;
+    let (node, _watch) = platform
+        .start(&discovery, &[member("a", a.address(), "active")])
+        .await;
     assert_eq!(served(&mut node.client().await, &a).await.status(), 200);
 }
 
@@ -133,8 +147,10 @@
     let platform = Platform::new("no-listener", &discovery);
     for (number, why) in [("x", "not a descriptor's number"), ("200", "is no socket")] {
         let config = platform.config.to_string();
-        let ended =
-            within("the node's end", start_told(&config, &[("GW_LISTEN_FD", number)]).wait_with_output());
+        let ended = within(
+            "the node's end",
+            start_told(&config, &[("GW_LISTEN_FD", number)]).wait_with_output(),
+        );
         let ended = ended.await.expect("its output");
         assert_eq!(ended.status.code(), Some(1));
         let said = String::from_utf8_lossy(&ended.stderr).into_owned();
--- a/node/tests/kept.rs
+++ b/node/tests/kept.rs
@@ -18,7 +18,8 @@
 
 impl Place {
     async fn new(name: &str, servers: &[(&str, &Peer)]) -> Self {
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+        let folder =
+            Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let discovery = Peer::new().await;
@@ -27,8 +28,16 @@
             "discovery": discovery.address().to_string(),
             "limits": {"sockets": 1024, "memory_mb": MEMORY_MB}, "settings": settings(),
         });
-        let members = servers.iter().map(|s| member(s.0, s.1.address(), "active")).collect();
-        Place { folder, config, discovery, members }
+        let members = servers
+            .iter()
+            .map(|s| member(s.0, s.1.address(), "active"))
+            .collect();
+        Place {
+            folder,
+            config,
+            discovery,
+            members,
+        }
     }
 
     async fn start(&self, faults: &FaultyCalls) -> (Node, Watch) {
@@ -71,8 +80,16 @@
     for (call, before) in steps {
         for error in [libc::ENOSPC, libc::EIO] {
             faults.control.faults(call).fail_after(before, 1, &[error]);
-            assert_eq!(node.call("POST", "/backends/b/maint").await, 500, "{call:?} after {before}");
-            assert_eq!(faults.control.faults(call).left(), 0, "{call:?} after {before} was not made");
+            assert_eq!(
+                node.call("POST", "/backends/b/maint").await,
+                500,
+                "{call:?} after {before}"
+            );
+            assert_eq!(
+                faults.control.faults(call).left(),
+                0,
+                "{call:?} after {before} was not made"
+            );
             assert_eq!(place.out(), ["a"], "{call:?} after {before}");
         }
     }
@@ -86,8 +103,11 @@
     let (a, b) = (Peer::new().await, Peer::new().await);
     let place = Place::new("left-over", &[("a", &a), ("b", &b)]).await;
     let faults = FaultyCalls::new();
-    std::fs::write(place.folder.join("birchswitch.json.next"), "{\"version\":1,\"node\":\"n\"")
-        .expect("a file");
+    std::fs::write(
+        place.folder.join("birchswitch.json.next"),
+        "{\"version\":1,\"node\":\"n\"",
+    )
+    .expect("a file");
     let (node, _watch) = place.start(&faults).await;
     assert_eq!(node.call("POST", "/backends/a/maint").await, 200);
     assert_eq!(place.out(), ["a"]);
@@ -103,7 +123,10 @@
     assert_eq!(node.call("POST", "/backends/a/maint").await, 200);
     drop((node, watch));
     // The first to be read is the configuration.
-    faults.control.faults(Call::OpenRead).fail_after(1, 3, &[libc::EIO]);
+    faults
+        .control
+        .faults(Call::OpenRead)
+        .fail_after(1, 3, &[libc::EIO]);
     let (mut node, _watch) = place.start(&faults).await;
     assert_eq!(faults.control.faults(Call::OpenRead).left(), 0);
     let mut client = node.client().await;
@@ -114,8 +137,12 @@
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
     // Another process's change, of which the reading fails: it is not lost, and not written over.
-    let another = r#"{"version":1,"node":"n","word":{"draining":false,"out":["a","b"],"returned":{}}}"#;
-    faults.control.faults(Call::OpenRead).fail_next(5, &[libc::EIO]);
+    let another =
+        r#"{"version":1,"node":"n","word":{"draining":false,"out":["a","b"],"returned":{}}}"#;
+    faults
+        .control
+        .faults(Call::OpenRead)
+        .fail_next(5, &[libc::EIO]);
     std::fs::write(place.folder.join("another"), another).expect("a file");
     std::fs::rename(place.folder.join("another"), place.folder.join(KEPT)).expect("a file");
     while faults.control.faults(Call::OpenRead).left() > 0 {
--- a/node/tests/large.rs
+++ b/node/tests/large.rs
@@ -15,10 +15,13 @@
 
 /// An answer in each form, with its body.
 fn forms(body: &str) -> Vec<(String, bool)> {
-    let chunks: String = body.as_bytes().chunks(60_000).fold(String::new(), |all, part| {
-        let part = std::str::from_utf8(part).expect("text");
-        all + &format!("{:x};name=\"value\"\r\n{part}\r\n", part.len())
-    });
+    let chunks: String = body
+        .as_bytes()
+        .chunks(60_000)
+        .fold(String::new(), |all, part| {
+            let part = std::str::from_utf8(part).expect("text");
+            all + &format!("{:x};name=\"value\"\r\n{part}\r\n", part.len())
+        });
     vec![
         (format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()), false),
         (
@@ -48,10 +51,17 @@
             };
             let ((), (head, read)) = tokio::join!(writing, client.read_large());
             assert_eq!(head.status(), 200);
-            assert!(read.as_deref() == Some(body.as_bytes()), "{size} as {answer:.80}");
+            assert!(
+                read.as_deref() == Some(body.as_bytes()),
+                "{size} as {answer:.80}"
+            );
         }
     }
-    assert!(node.memory_peak() < MEMORY_MB << 10, "{}", node.memory_peak());
+    assert!(
+        node.memory_peak() < MEMORY_MB << 10,
+        "{}",
+        node.memory_peak()
+    );
 }
 
 /// The first bytes of a large answer don't wait for the last ones.
@@ -60,13 +70,15 @@
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let (length, first) = (200_000, text(70_000));
-    for (head, chunk) in
-        [("Content-Length: 200000", String::new()), ("Transfer-Encoding: chunked", "30d40\r\n".into())]
-    {
+    for (head, chunk) in [
+        ("Content-Length: 200000", String::new()),
+        ("Transfer-Encoding: chunked", "30d40\r\n".into()),
+    ] {
         let mut client = node.client().await;
         client.send("unsafe", "20000m").await;
         let (mut wire, _) = server.request().await;
-        wire.write(&format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n{chunk}{first}")).await;
+        wire.write(&format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n{chunk}{first}"))
+            .await;
         let mut read = Vec::new();
         while read.len() < first.len() {
             read.extend(client.take(1).await.expect("what has come so far"));
@@ -82,7 +94,10 @@
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let body = text(200_000);
-    let over = format!("Transfer-Encoding: chunked\r\n\r\n3000000\r\n{}", "x".repeat(33 * MEBI));
+    let over = format!(
+        "Transfer-Encoding: chunked\r\n\r\n3000000\r\n{}",
+        "x".repeat(33 * MEBI)
+    );
     for answer in [
         format!("Content-Length: 200001\r\n\r\n{body}"),
         format!("Transfer-Encoding: chunked\r\n\r\n30d40\r\n{body}\r\n"),
@@ -93,7 +108,8 @@
         client.send("safe", "20000m").await;
         let (mut wire, _) = server.request().await;
         let writing = async {
-            wire.write_what_is_taken(&format!("HTTP/1.1 200 OK\r\n{answer}")).await;
+            wire.write_what_is_taken(&format!("HTTP/1.1 200 OK\r\n{answer}"))
+                .await;
             drop(wire);
         };
         let ((), (head, read)) = tokio::join!(writing, client.read_large());
@@ -109,7 +125,10 @@
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let body = text(8 * MEBI);
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     let mut clients = Vec::new();
     let mut writing = tokio::task::JoinSet::new();
     for _ in 0..20 {
@@ -140,14 +159,21 @@
     let mut silent = node.client().await;
     silent.send("safe", "20000m").await;
     let (mut wire, _) = server.request().await;
-    wire.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{}", text(100_000))).await;
+    wire.write(&format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{}",
+        text(100_000)
+    ))
+    .await;
     assert_eq!(silent.read_large().await.1, None, "the server says no more");
     let mut deaf = node.client().await;
     deaf.send("safe", "20000m").await;
     let (mut wire, _) = server.request().await;
     let body = "x".repeat(32 * MEBI);
-    wire.write_what_is_taken(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
-        .await;
+    wire.write_what_is_taken(&format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    ))
+    .await;
     wire.ended().await;
 }
 
@@ -165,7 +191,13 @@
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let body = text(100_000);
     let mut client = node.client().await;
-    client.write(&upload("u1", "unsafe", "Expect: 100-continue\r\nContent-Length: 100000")).await;
+    client
+        .write(&upload(
+            "u1",
+            "unsafe",
+            "Expect: 100-continue\r\nContent-Length: 100000",
+        ))
+        .await;
     assert_eq!(client.read().await.expect("a word to go on").status(), 100);
     client.write(&body[..70_000]).await;
     let mut wire = server.accept().await;
@@ -193,7 +225,9 @@
     let body = text(32 * MEBI);
     let mut client = node.client().await;
     let writing = async {
-        client.write(&upload("u2", "unsafe", "Transfer-Encoding: chunked")).await;
+        client
+            .write(&upload("u2", "unsafe", "Transfer-Encoding: chunked"))
+            .await;
         for part in body.as_bytes().chunks(1 << 20) {
             client.write(&format!("{:x};a=b\r\n", part.len())).await;
             client.write(std::str::from_utf8(part).expect("text")).await;
@@ -223,7 +257,11 @@
     let over = format!("3000000\r\n{}", "x".repeat(33 * MEBI));
     for (n, (framing, body, status)) in [
         ("Content-Length: 33554433", String::new(), 413),
-        ("Content-Length: 100000\r\nTransfer-Encoding: chunked", String::new(), 400),
+        (
+            "Content-Length: 100000\r\nTransfer-Encoding: chunked",
+            String::new(),
+            400,
+        ),
         ("Transfer-Encoding: chunked", chunk.clone() + "xyz\r\n", 400),
         ("Transfer-Encoding: chunked", over, 413),
         ("Content-Length: 100000", part.clone(), 408),
@@ -233,7 +271,9 @@
     {
         let mut client = node.client().await;
         let sending = async {
-            client.write_what_is_taken(&(upload(&format!("b{n}"), "unsafe", framing) + &body)).await;
+            client
+                .write_what_is_taken(&(upload(&format!("b{n}"), "unsafe", framing) + &body))
+                .await;
             client.read().await.expect("an answer").status()
         };
         let taking = async {
@@ -252,7 +292,9 @@
     }
     // One that leaves in the middle takes its attempt along.
     let mut client = node.client().await;
-    client.write(&(upload("gone", "unsafe", "Content-Length: 100000") + &part)).await;
+    client
+        .write(&(upload("gone", "unsafe", "Content-Length: 100000") + &part))
+        .await;
     let mut wire = server.accept().await;
     // Once its attempt is under way: before that nothing would be sent for a client that has left.
     assert!(wire.take(1).await.is_some());
@@ -266,7 +308,8 @@
 async fn an_upload_that_breaks_before_its_last_byte_is_not_sent_again() {
     for (by_client, reset) in [(true, false), (true, true), (false, false), (false, true)] {
         let (first, second) = (Peer::new().await, Peer::new().await);
-        let (node, _discovery, _watch) = Node::serving(&[("first", &first), ("second", &second)]).await;
+        let (node, _discovery, _watch) =
+            Node::serving(&[("first", &first), ("second", &second)]).await;
         let body = text(200_000);
         let head = upload("u9", "unsafe", "Content-Length: 200000");
         let told = format!("by the client {by_client}, reset {reset}");
@@ -317,12 +360,15 @@
     let (node, _discovery, _watch) = Node::serving(&[("first", &first), ("second", &second)]).await;
     let body = text(100_000);
     let mut client = node.client().await;
-    client.write(&(upload("u3", "unsafe", "Content-Length: 100000") + &body[..70_000])).await;
+    client
+        .write(&(upload("u3", "unsafe", "Content-Length: 100000") + &body[..70_000]))
+        .await;
     let (mut wire, other) = tokio::select! {
         wire = first.accept() => (wire, &second),
         wire = second.accept() => (wire, &first),
     };
-    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await;
+    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+        .await;
     let mut wire = other.accept().await;
     client.write(&body[70_000..]).await;
     assert!(wire.read().await.expect("a request").body == body.as_bytes());
@@ -338,13 +384,19 @@
     let body = text(4 * MEBI);
     let mut client = node.client().await;
     client
-        .write(&(upload("u4", "unsafe", &format!("Content-Length: {}", body.len())) + &body[..70_000]))
+        .write(
+            &(upload("u4", "unsafe", &format!("Content-Length: {}", body.len())) + &body[..70_000]),
+        )
         .await;
     let mut wire = server.accept().await;
-    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "").await;
+    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+        .await;
     client.write(&body[70_000..]).await;
     let answer = client.read().await.expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (503, Some("close"))
+    );
     client.closed().await;
 }
 
@@ -353,7 +405,10 @@
 async fn slow_clients_are_served() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let (head, body) = (upload("slow", "unsafe", "Content-Length: 64000"), text(64_000));
+    let (head, body) = (
+        upload("slow", "unsafe", "Content-Length: 64000"),
+        text(64_000),
+    );
     let mut client = node.client().await;
     let writing = async {
         for part in head.as_bytes().chunks(head.len() / 20 + 1) {
@@ -385,14 +440,20 @@
     }
     let mut node = Node::with(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
     let body = text(300_000);
     let (begun, rest) = body.split_at(100_000);
-    wire.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{begun}", body.len())).await;
+    wire.write(&format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{begun}",
+        body.len()
+    ))
+    .await;
     node.signal("TERM").await;
     node.logged("leaving").await;
     // Past the deadline and all that is added to it. Were the machine slower, the test would only see less.
--- a/node/tests/left.rs
+++ b/node/tests/left.rs
@@ -10,7 +10,13 @@
 fn behind() -> [String; 5] {
     let head = "GET /safe HTTP/1.1\r\nHost: a\r\nX-Request-ID: behind\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n\r\n";
     let (part, junk) = (head[..20].to_owned(), "no request\r\n\r\n".to_owned());
-    [String::new(), head.to_owned(), part, junk, "much ".repeat(20_000)]
+    [
+        String::new(),
+        head.to_owned(),
+        part,
+        junk,
+        "much ".repeat(20_000),
+    ]
 }
 
 /// The same, short enough for the system to take in with the close while the node takes nothing.
@@ -34,13 +40,18 @@
         node.get("/health/live").await; // The request has been read, and its connection is under way.
         client.close().await;
         for _ in 0..filling.len() {
-            within("a connection", listener.accept()).await.expect("a connection");
+            within("a connection", listener.accept())
+                .await
+                .expect("a connection");
         }
         let sent = async {
             loop {
                 let (mut stream, _) = listener.accept().await.expect("a connection");
                 let mut byte = [0];
-                if tokio::io::AsyncReadExt::read(&mut stream, &mut byte).await.is_ok_and(|n| n > 0) {
+                if tokio::io::AsyncReadExt::read(&mut stream, &mut byte)
+                    .await
+                    .is_ok_and(|n| n > 0)
+                {
                     return;
                 }
             }
@@ -51,11 +62,16 @@
         }
         let mut client = node.client().await;
         client.send_as("left", class, "20000m").await;
-        let (mut stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
-        let mut byte = [0];
-        within("a request", tokio::io::AsyncReadExt::read_exact(&mut stream, &mut byte))
+        let (mut stream, _) = within("the node's connection", listener.accept())
             .await
-            .expect("a byte");
+            .expect("a connection");
+        let mut byte = [0];
+        within(
+            "a request",
+            tokio::io::AsyncReadExt::read_exact(&mut stream, &mut byte),
+        )
+        .await
+        .expect("a byte");
     }
 }
 
@@ -63,7 +79,12 @@
 /// stand before the close.
 #[tokio::test]
 async fn nothing_is_repeated_for_a_client_that_closed_behind_further_bytes() {
-    for (class, chunked) in [("safe", false), ("keyed", false), ("unsafe", false), ("unsafe", true)] {
+    for (class, chunked) in [
+        ("safe", false),
+        ("keyed", false),
+        ("unsafe", false),
+        ("unsafe", true),
+    ] {
         for bytes in behind() {
             // A node of its own: what is turned away makes a node refuse more.
             let (one, two) = (Peer::new().await, Peer::new().await);
@@ -79,7 +100,12 @@
             };
             client.write_what_is_taken(&bytes).await;
             client.leave().await;
-            wire.answer("503 Service Unavailable", &format!("{NOT_RUN}Connection: close\r\n"), "").await;
+            wire.answer(
+                "503 Service Unavailable",
+                &format!("{NOT_RUN}Connection: close\r\n"),
+                "",
+            )
+            .await;
             assert!(
                 other.untouched().await,
                 "{class} was sent again, {} bytes before the close",
@@ -119,10 +145,17 @@
                     let mut fence = node.client().await;
                     fence.send_as("fence", "safe", "20000m").await;
                     let request = wire.read().await.expect("a request");
-                    let told = format!("{class}, body {body}, {} bytes behind, reset {reset}", bytes.len());
+                    let told = format!(
+                        "{class}, body {body}, {} bytes behind, reset {reset}",
+                        bytes.len()
+                    );
                     assert_eq!(request.header("x-request-id"), Some("fence"), "{told}");
                     wire.answer("200 OK", "", "").await;
-                    assert_eq!(fence.read().await.expect("an answer").status(), 200, "{told}");
+                    assert_eq!(
+                        fence.read().await.expect("an answer").status(),
+                        200,
+                        "{told}"
+                    );
                     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
                     // As above.
                 }
@@ -139,25 +172,38 @@
         for bytes in behind_that_fit() {
             for reset in [false, true] {
                 let (one, two) = (Peer::new().await, Peer::new().await);
-                let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
+                let (node, _discovery, _watch) =
+                    Node::serving(&[("one", &one), ("two", &two)]).await;
                 let mut client = node.client().await;
                 match body {
                     0 => client.send(class, "60000m").await,
-                    _ => client.with_body(&format!("b{}", bytes.len()), &"x".repeat(body)).await,
+                    _ => {
+                        client
+                            .with_body(&format!("b{}", bytes.len()), &"x".repeat(body))
+                            .await
+                    }
                 }
                 let ((mut wire, _), other) = tokio::select! {
                     got = one.request() => (got, &two),
                     got = two.request() => (got, &one),
                 };
                 node.signal("STOP").await;
-                wire.answer("503 Service Unavailable", &format!("{NOT_RUN}Connection: close\r\n"), "").await;
+                wire.answer(
+                    "503 Service Unavailable",
+                    &format!("{NOT_RUN}Connection: close\r\n"),
+                    "",
+                )
+                .await;
                 client.write(&bytes).await;
                 match reset {
                     true => client.reset(),
                     false => drop(client),
                 }
                 node.signal("CONT").await;
-                let told = format!("{class}, body {body}, {} bytes behind, reset {reset}", bytes.len());
+                let told = format!(
+                    "{class}, body {body}, {} bytes behind, reset {reset}",
+                    bytes.len()
+                );
                 assert!(other.untouched().await, "sent again: {told}");
             }
         }
@@ -174,5 +220,8 @@
     let (_wire, _) = server.request().await;
     client.write_what_is_taken(&"much ".repeat(2_000_000)).await;
     drop(client);
-    while !within("the leaving to be counted", node.logged("stats ")).await.contains(" gone=1 ") {}
+    while !within("the leaving to be counted", node.logged("stats "))
+        .await
+        .contains(" gone=1 ")
+    {}
 }
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -17,21 +17,27 @@
     at_one.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
-    watch.list(2, true, &[member("two", two.address(), "active")]).await;
+    watch
+        .list(2, true, &[member("two", two.address(), "active")])
+        .await;
     at_one.closed().await; // Nothing more goes to a server that is gone.
     client.send("unsafe", "20000m").await;
     (at_two, _) = two.request().await;
     at_two.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
-    watch.list(3, false, &[member("two", one.address(), "active")]).await;
+    watch
+        .list(3, false, &[member("two", one.address(), "active")])
+        .await;
     at_two.closed().await;
     client.send("unsafe", "20000m").await;
     (at_one, _) = one.request().await;
     at_one.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
-    watch.list(4, false, &[json!({"id": "two", "phase": "left"})]).await;
+    watch
+        .list(4, false, &[json!({"id": "two", "phase": "left"})])
+        .await;
     at_one.closed().await;
     assert_eq!(client.ask("unsafe").await.expect("an answer").status(), 503);
 }
@@ -59,7 +65,9 @@
     node.holds(3).await;
     tokio::time::sleep(std::time::Duration::from_millis(50)).await; // It rests before it is used again.
     client.send("unsafe", "20000m").await;
-    new.read().await.expect("the next request on the same connection");
+    new.read()
+        .await
+        .expect("the next request on the same connection");
 }
 
 /// Connecting takes time: word of a drain that comes meanwhile keeps the request back, and since it was never sent
@@ -75,20 +83,34 @@
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     node.get("/health/live").await; // The request has been read, and its connection is under way.
-    watch.list(2, false, &[member("s", address, "leaving")]).await;
+    watch
+        .list(2, false, &[member("s", address, "leaving")])
+        .await;
     node.holds(2).await;
     for _ in 0..filling.len() {
-        within("a connection", listener.accept()).await.expect("a connection");
+        within("a connection", listener.accept())
+            .await
+            .expect("a connection");
     }
     let answer = client.read().await.expect("an answer");
     assert_eq!(answer.status(), 503);
-    let (stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
+    let (stream, _) = within("the node's connection", listener.accept())
+        .await
+        .expect("a connection");
     drop(client);
     drop(node);
     let mut read = Vec::new();
     let mut stream = stream;
-    let _ = within("its end", tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read)).await;
-    assert!(read.is_empty(), "sent to a draining server: {:?}", String::from_utf8_lossy(&read));
+    let _ = within(
+        "its end",
+        tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read),
+    )
+    .await;
+    assert!(
+        read.is_empty(),
+        "sent to a draining server: {:?}",
+        String::from_utf8_lossy(&read)
+    );
 }
 
 /// Word of a move that comes while connecting: what listens at the old address is not that server any more.
@@ -104,12 +126,18 @@
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     node.get("/health/live").await; // The request has been read, and its connection is under way.
-    watch.list(2, false, &[member("s", new.address(), "active")]).await;
+    watch
+        .list(2, false, &[member("s", new.address(), "active")])
+        .await;
     node.holds(2).await;
     for _ in 0..filling.len() {
-        within("a connection", listener.accept()).await.expect("a connection");
+        within("a connection", listener.accept())
+            .await
+            .expect("a connection");
     }
-    let (mut old, _) = within("the node's connection", listener.accept()).await.expect("a connection");
+    let (mut old, _) = within("the node's connection", listener.accept())
+        .await
+        .expect("a connection");
     // Whether it goes to the new address or back to the client is the balancer's to say.
     let answer = tokio::select! {
         answer = client.read() => answer,
@@ -121,8 +149,16 @@
     assert!([200, 503].contains(&answer.expect("an answer").status()));
     drop(node);
     let mut read = Vec::new();
-    let _ = within("its end", tokio::io::AsyncReadExt::read_to_end(&mut old, &mut read)).await;
-    assert!(read.is_empty(), "sent to the old address: {:?}", String::from_utf8_lossy(&read));
+    let _ = within(
+        "its end",
+        tokio::io::AsyncReadExt::read_to_end(&mut old, &mut read),
+    )
+    .await;
+    assert!(
+        read.is_empty(),
+        "sent to the old address: {:?}",
+        String::from_utf8_lossy(&read)
+    );
 }
 
 /// Figures may be well-formed and absurd: every request still gets an answer, and sane ones bring service back.
@@ -141,7 +177,18 @@
         odd[key] = value.clone();
         // Named twice, beside a sane one and one that nobody knows and that has left.
         let left = json!({"id": "", "phase": "left"});
-        watch.list(revision, true, &[odd.clone(), odd, member("t", server.address(), "active"), left]).await;
+        watch
+            .list(
+                revision,
+                true,
+                &[
+                    odd.clone(),
+                    odd,
+                    member("t", server.address(), "active"),
+                    left,
+                ],
+            )
+            .await;
         node.holds(revision).await;
         let mut client = node.client().await;
         client.send("safe", "20000m").await;
@@ -151,8 +198,13 @@
                 let (mut wire, report) = (server.accept().await, report.to_owned());
                 serving.spawn(async move {
                     while let Some(request) = wire.read().await {
-                        let body = if request.start.starts_with("GET /stats") { &report } else { "served" };
-                        wire.answer("200 OK", &format!("X-Server-Load: {report}\r\n"), body).await;
+                        let body = if request.start.starts_with("GET /stats") {
+                            &report
+                        } else {
+                            "served"
+                        };
+                        wire.answer("200 OK", &format!("X-Server-Load: {report}\r\n"), body)
+                            .await;
                     }
                 });
             }
@@ -181,11 +233,22 @@
             "[1,2",
         ] {
             let status = ask(key, &value, report).await;
-            assert!([200, 503, 504].contains(&status), "{status} for {key} {value} {report}");
+            assert!(
+                [200, 503, 504].contains(&status),
+                "{status} for {key} {value} {report}"
+            );
         }
     }
-    let back =
-        async { while ask("size", &json!(1.0), r#"{"outstanding":0,"utilization":0.1}"#).await != 200 {} };
+    let back = async {
+        while ask(
+            "size",
+            &json!(1.0),
+            r#"{"outstanding":0,"utilization":0.1}"#,
+        )
+        .await
+            != 200
+        {}
+    };
     within("service", back).await;
 }
 
@@ -200,25 +263,41 @@
     settings["profiles"][1]["repeat_window_ns"] = json!(window.as_nanos() as u64);
     let node = Node::with(&discovery, settings, 1024).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("first", first.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("first", first.address(), "active")])
+        .await;
     node.ready().await;
     let mut client = node.client().await;
     client.send("keyed", "20000m").await;
     let (mut wire, _) = first.request().await;
-    watch.list(2, false, &[member("second", address, "active")]).await;
+    watch
+        .list(2, false, &[member("second", address, "active")])
+        .await;
     node.holds(2).await;
     wire.answer("500 Internal Server Error", "", "").await;
     tokio::time::sleep(window).await;
     for _ in 0..filling.len() {
-        within("a connection", listener.accept()).await.expect("a connection");
+        within("a connection", listener.accept())
+            .await
+            .expect("a connection");
     }
     assert_eq!(client.read().await.expect("an answer").status(), 504);
-    let (mut stream, _) = within("the node's connection", listener.accept()).await.expect("a connection");
+    let (mut stream, _) = within("the node's connection", listener.accept())
+        .await
+        .expect("a connection");
     drop(client);
     drop(node);
     let mut read = Vec::new();
-    let _ = within("its end", tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read)).await;
-    assert!(read.is_empty(), "sent after the window: {:?}", String::from_utf8_lossy(&read));
+    let _ = within(
+        "its end",
+        tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read),
+    )
+    .await;
+    assert!(
+        read.is_empty(),
+        "sent after the window: {:?}",
+        String::from_utf8_lossy(&read)
+    );
 }
 
 /// A line that makes no sense is logged and changes nothing; what came after the last good one is asked for anew.
@@ -268,13 +347,16 @@
         settings["registry_mode"] = json!(if asked { "subscribe" } else { "automatic" });
         let node = Node::with(&discovery, settings, 1024).await;
         let (mut first, _) = discovery.watch().await;
-        first.list(1, true, &[member("s", server.address(), "active")]).await;
+        first
+            .list(1, true, &[member("s", server.address(), "active")])
+            .await;
         node.ready().await;
         let (mut mute, _) = discovery.watch().await;
         let (mut unanswered, _) = discovery.request().await;
         let (mut last, request) = discovery.watch().await;
         assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
-        last.list(2, false, &[member("s", server.address(), "leaving")]).await;
+        last.list(2, false, &[member("s", server.address(), "leaving")])
+            .await;
         node.holds(2).await;
         // What was given up is heard until then, and no longer.
         first.0.closed().await;
@@ -288,7 +370,9 @@
 async fn what_came_before_a_reset_is_heeded() {
     let server = Peer::new().await;
     let (node, _discovery, mut watch) = Node::serving(&[("s", &server)]).await;
-    watch.list(2, false, &[member("s", server.address(), "leaving")]).await;
+    watch
+        .list(2, false, &[member("s", server.address(), "leaving")])
+        .await;
     watch.0.reset();
     node.holds(2).await;
 }
@@ -308,7 +392,10 @@
     let list = indented(3) + "\n";
     for part in list.as_bytes().chunks(7) {
         let part = std::str::from_utf8(part).expect("text");
-        watch.0.write(&format!("{:x}\r\n{part}\r\n", part.len())).await;
+        watch
+            .0
+            .write(&format!("{:x}\r\n{part}\r\n", part.len()))
+            .await;
     }
     node.holds(3).await;
 }
@@ -322,7 +409,10 @@
         "name": "n", "listen": "127.0.0.1:0", "discovery": discovery.address().to_string(), "seed": "1f", "settings": settings(),
         "known": {"revision": 7, "complete": true, "members": [member("old", old.address(), "active")]},
     });
-    let members = [member("old", old.address(), "leaving"), member("new", new.address(), "active")];
+    let members = [
+        member("old", old.address(), "leaving"),
+        member("new", new.address(), "active"),
+    ];
     let pushing = async {
         let (mut watch, _) = discovery.watch().await;
         watch.list(8, true, &members).await;
@@ -375,9 +465,20 @@
     let list = json!({"revision": 2, "complete": true, "members": []}).to_string();
     let (a, b) = list.split_at(11);
     watch.0.write(&format!("{:x}\r\n{a}\r\n", a.len())).await;
-    watch.0.write(&format!("1\r\n\n\r\n{:x}\r\n{b}\n\r\n", b.len() + 1).replacen("1\r\n\n\r\n", "", 1)).await;
+    watch
+        .0
+        .write(&format!("1\r\n\n\r\n{:x}\r\n{b}\n\r\n", b.len() + 1).replacen("1\r\n\n\r\n", "", 1))
+        .await;
     drop(server);
-    assert_eq!(node.client().await.ask("unsafe").await.expect("an answer").status(), 503);
+    assert_eq!(
+        node.client()
+            .await
+            .ask("unsafe")
+            .await
+            .expect("an answer")
+            .status(),
+        503
+    );
 }
 
 /// Where lists come on request, the balancer says when to ask; the end of a watch is a failed call.
@@ -393,7 +494,9 @@
     wire.answer("503 Service Unavailable", "", "").await;
     let (mut watch, request) = discovery.watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=0 HTTP/1.1");
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
 }
 
@@ -411,7 +514,12 @@
             let (mut wire, _) = discovery.request().await;
             wire.answer("503 Service Unavailable", "", "").await;
             let line = node.logged("again in ").await;
-            let pause: u64 = line.split(' ').rev().nth(1).and_then(|ms| ms.parse().ok()).expect("a pause");
+            let pause: u64 = line
+                .split(' ')
+                .rev()
+                .nth(1)
+                .and_then(|ms| ms.parse().ok())
+                .expect("a pause");
             assert!((longest / 2..=longest).contains(&pause), "{line}");
             pauses.push(pause);
         }
@@ -431,7 +539,12 @@
     }
     let (mut unanswered, _) = discovery.request().await;
     let line = node.logged("silent for too long; again in ").await;
-    let pause: u64 = line.split(' ').rev().nth(1).and_then(|ms| ms.parse().ok()).expect("a pause");
+    let pause: u64 = line
+        .split(' ')
+        .rev()
+        .nth(1)
+        .and_then(|ms| ms.parse().ok())
+        .expect("a pause");
     assert!(pause <= 100, "{line}");
     unanswered.closed().await;
     let _ = discovery.request().await;
@@ -442,7 +555,9 @@
 async fn a_list_that_does_not_end_is_asked_for_again() {
     let server = Peer::new().await;
     let (node, discovery, mut watch) = Node::serving(&[("s", &server)]).await;
-    watch.line("{\"revision\": 2, \"complete\": false, \"members\": [").await;
+    watch
+        .line("{\"revision\": 2, \"complete\": false, \"members\": [")
+        .await;
     let trickling = async {
         while !watch.0.at_end() {
             watch.line("").await;
@@ -455,7 +570,8 @@
         next = discovery.watch() => next,
     };
     assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
-    next.list(2, false, &[member("s", server.address(), "leaving")]).await;
+    next.list(2, false, &[member("s", server.address(), "leaving")])
+        .await;
     node.holds(2).await;
 }
 
@@ -470,8 +586,9 @@
         settings["balancers"] = json!(1025);
         let mut node = Node::with(&discovery, settings, 1024).await;
         let (mut watch, _) = discovery.watch().await;
-        let members: Vec<_> =
-            (0..count).map(|k| member(&format!("s{k}"), server.address(), "active")).collect();
+        let members: Vec<_> = (0..count)
+            .map(|k| member(&format!("s{k}"), server.address(), "active"))
+            .collect();
         watch.list(1, true, &members).await;
         node.ready().await;
         let mut client = node.client().await;
@@ -482,7 +599,10 @@
             assert_eq!(client.read().await.expect("an answer").status(), 200);
         }
         let line = node.logged("stats ").await;
-        assert!(line.contains(&format!(" servers={count} ")) && line.len() < 16 << 10, "{line}");
+        assert!(
+            line.contains(&format!(" servers={count} ")) && line.len() < 16 << 10,
+            "{line}"
+        );
     }
 }
 
@@ -491,11 +611,16 @@
 async fn a_list_beyond_all_measure_changes_nothing() {
     let server = Peer::new().await;
     let (mut node, discovery, mut watch) = Node::serving(&[("s", &server)]).await;
-    let members: Vec<_> = (0..40_000).map(|k| member(&format!("s{k}"), server.address(), "active")).collect();
+    let members: Vec<_> = (0..40_000)
+        .map(|k| member(&format!("s{k}"), server.address(), "active"))
+        .collect();
     let list = json!({"revision": 2, "complete": true, "members": members}).to_string();
     assert!(list.len() > 4 << 20);
     let writing = async {
-        watch.0.write_what_is_taken(&format!("{:x}\r\n{list}\r\n", list.len())).await;
+        watch
+            .0
+            .write_what_is_taken(&format!("{:x}\r\n{list}\r\n", list.len()))
+            .await;
         std::future::pending::<()>().await
     };
     let logged = async { node.logged("unusable line: over 4194304 bytes").await };
@@ -524,10 +649,14 @@
     });
     let node = Node::told(config, &[]).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(8, true, &[member("s", server.address(), "leaving")]).await;
+    watch
+        .list(8, true, &[member("s", server.address(), "leaving")])
+        .await;
     node.holds(8).await;
     assert_eq!(node.get("/health/ready").await.status(), 503);
-    watch.list(9, false, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(9, false, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
 }
 
@@ -543,7 +672,9 @@
             got = one.request() => (got, &two, "two"),
             got = two.request() => (got, &one, "one"),
         };
-        watch.list(2, false, &[member(name, other.address(), "leaving")]).await;
+        watch
+            .list(2, false, &[member(name, other.address(), "leaving")])
+            .await;
         node.holds(2).await;
         wire.answer("503 Service Unavailable", outcome, "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 503);
--- a/node/tests/reload.rs
+++ b/node/tests/reload.rs
@@ -13,7 +13,10 @@
     let list = json!({"revision": revision, "complete": true, "members": members});
     wire.answer("200 OK", "", &list.to_string()).await;
     let (watch, request) = discovery.watch().await;
-    assert_eq!(request, format!("GET /registry/instances?follow=1&since={revision} HTTP/1.1"));
+    assert_eq!(
+        request,
+        format!("GET /registry/instances?follow=1&since={revision} HTTP/1.1")
+    );
     watch
 }
 
@@ -29,17 +32,28 @@
     });
     let mut node = Node::told(config, &[("GW_DISCOVERY", &first.address().to_string())]).await;
     let (mut watch, _) = first.watch().await;
-    let listed = [member("kept", kept.address(), "active"), member("gone", gone.address(), "active")];
+    let listed = [
+        member("kept", kept.address(), "active"),
+        member("gone", gone.address(), "active"),
+    ];
     watch.list(70, true, &listed).await;
     node.ready().await;
 
-    node.reconfigure("discovery", json!(second.address().to_string())).await;
+    node.reconfigure("discovery", json!(second.address().to_string()))
+        .await;
     let mut old = watch;
     let mut watch = take_over(&second, 7, &listed[..1]).await;
     node.holds(7).await;
     old.0.closed().await;
     watch
-        .list(8, false, &[member("new", new.address(), "active"), member("kept", kept.address(), "left")])
+        .list(
+            8,
+            false,
+            &[
+                member("new", new.address(), "active"),
+                member("kept", kept.address(), "left"),
+            ],
+        )
         .await;
     node.holds(8).await;
     let mut client = node.client().await;
@@ -51,7 +65,8 @@
     // Told again without a change, the watch stays; after that it moves once more.
     node.signal("HUP").await;
     node.logged("configuration read again").await;
-    node.reconfigure("discovery", json!(third.address().to_string())).await;
+    node.reconfigure("discovery", json!(third.address().to_string()))
+        .await;
     let _watch = take_over(&third, 1, &[]).await;
     node.holds(1).await;
     watch.0.closed().await;
@@ -68,7 +83,11 @@
         "listen": "127.0.0.1:0", "discovery": other.address().to_string(), "seed": "1f", "settings": settings(),
     });
     let mut texts = vec![String::new(), good.to_string().split_at(200).0.to_owned()];
-    for (key, value) in [("seed", json!("none")), ("discovery", json!("here")), ("settings", json!({}))] {
+    for (key, value) in [
+        ("seed", json!("none")),
+        ("discovery", json!("here")),
+        ("settings", json!({})),
+    ] {
         let mut bad = good.clone();
         bad[key] = value;
         texts.push(bad.to_string());
@@ -93,12 +112,23 @@
 async fn the_old_discovery_is_heard_until_the_new_one_has_told_its_list() {
     let (server, other) = (Peer::new().await, Peer::new().await);
     let (mut node, _discovery, mut watch) = Node::serving(&[("s", &server)]).await;
-    node.reconfigure("discovery", json!(other.address().to_string())).await;
+    node.reconfigure("discovery", json!(other.address().to_string()))
+        .await;
     let (mut call, request) = other.request().await;
     assert_eq!(request.start, WHOLE);
-    watch.list(9, false, &[member("s", server.address(), "leaving")]).await;
+    watch
+        .list(9, false, &[member("s", server.address(), "leaving")])
+        .await;
     node.holds(9).await;
-    assert_eq!(node.client().await.ask("safe").await.expect("an answer").status(), 503);
+    assert_eq!(
+        node.client()
+            .await
+            .ask("safe")
+            .await
+            .expect("an answer")
+            .status(),
+        503
+    );
     let list = json!({"revision": 3, "complete": true, "members": [member("s", server.address(), "active")]});
     call.answer("200 OK", "", &list.to_string()).await;
     watch.0.closed().await;
@@ -113,9 +143,14 @@
     let server = Peer::new().await;
     let other = Peer::new().await;
     let (mut node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    node.reconfigure("discovery", json!(other.address().to_string())).await;
+    node.reconfigure("discovery", json!(other.address().to_string()))
+        .await;
     let changes = json!({"revision": 5, "complete": false, "members": []}).to_string();
-    for (status, body) in [("503 Service Unavailable", ""), ("200 OK", "[]"), ("200 OK", &changes)] {
+    for (status, body) in [
+        ("503 Service Unavailable", ""),
+        ("200 OK", "[]"),
+        ("200 OK", &changes),
+    ] {
         let (mut wire, request) = other.request().await;
         assert_eq!(request.start, WHOLE);
         wire.answer(status, "", body).await;
@@ -135,7 +170,8 @@
     let (mut watch, _) = first.watch().await;
     watch.list(9, true, &[]).await;
     node.holds(9).await;
-    node.reconfigure("discovery", json!(second.address().to_string())).await;
+    node.reconfigure("discovery", json!(second.address().to_string()))
+        .await;
     let _watch = take_over(&second, 2, &[member("s", server.address(), "active")]).await;
     node.ready().await;
     watch.0.closed().await;
@@ -155,7 +191,8 @@
     for _ in 0..3 {
         node.signal("HUP").await;
     }
-    node.reconfigure("discovery", json!(other.address().to_string())).await;
+    node.reconfigure("discovery", json!(other.address().to_string()))
+        .await;
     let _watch = take_over(&other, 2, &[member("s", server.address(), "active")]).await;
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
--- a/node/tests/rude.rs
+++ b/node/tests/rude.rs
@@ -9,7 +9,10 @@
 async fn turned_down(node: &Node, text: &str, status: u16) {
     let mut client = node.client().await;
     client.write_what_is_taken(text).await;
-    let answer = client.read().await.unwrap_or_else(|| panic!("no answer to {text:.200}"));
+    let answer = client
+        .read()
+        .await
+        .unwrap_or_else(|| panic!("no answer to {text:.200}"));
     assert_eq!(answer.status(), status, "{text:.200}");
     assert_eq!(answer.header("connection"), Some("close"), "{text:.200}");
     client.ended().await;
@@ -26,10 +29,20 @@
     let length = format!("Content-Length: {}\r\n", body.len());
     let chunked = "Transfer-Encoding: chunked\r\n";
     for headers in [format!("{length}{chunked}"), format!("{chunked}{length}")] {
-        turned_down(&node, &format!("{HEAD}X-Request-ID: r\r\n{headers}\r\n{body}"), 400).await;
+        turned_down(
+            &node,
+            &format!("{HEAD}X-Request-ID: r\r\n{headers}\r\n{body}"),
+            400,
+        )
+        .await;
     }
     let differing = "Content-Length: 0\r\nContent-Length: 5\r\n";
-    turned_down(&node, &format!("{HEAD}X-Request-ID: r\r\n{differing}\r\n{hidden}"), 400).await;
+    turned_down(
+        &node,
+        &format!("{HEAD}X-Request-ID: r\r\n{differing}\r\n{hidden}"),
+        400,
+    )
+    .await;
     assert!(server.untouched().await, "passed on");
 }
 
@@ -40,7 +53,11 @@
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
     let chunked = "X-Request-ID: r\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
-    client.write(&format!("{HEAD}{chunked}{HEAD}X-Request-ID: behind\r\n\r\n")).await;
+    client
+        .write(&format!(
+            "{HEAD}{chunked}{HEAD}X-Request-ID: behind\r\n\r\n"
+        ))
+        .await;
     let (mut wire, request) = server.request().await;
     assert_eq!(request.body, b"abc");
     wire.answer("200 OK", "", "served").await;
@@ -55,14 +72,29 @@
 async fn lengths_that_make_no_sense_are_turned_down_at_once() {
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    for (length, status) in [("-5", 400), ("5x", 400), ("99999999999999999999999", 400), ("60000000", 413)] {
+    for (length, status) in [
+        ("-5", 400),
+        ("5x", 400),
+        ("99999999999999999999999", 400),
+        ("60000000", 413),
+    ] {
         let text = format!("{HEAD}X-Request-ID: r\r\nContent-Length: {length}\r\n\r\n");
         turned_down(&node, &text, status).await;
     }
     let text = format!("{HEAD}X-Request-ID: r\r\nContent-Length: 3\r\n\r\nabcdef");
     turned_down(&node, &text, 400).await;
-    turned_down(&node, &format!("{HEAD}X-Long: {}", "a".repeat(1 << 20)), 431).await;
-    turned_down(&node, &format!("{HEAD}{}", "X-Many: 1\r\n".repeat(500)), 431).await;
+    turned_down(
+        &node,
+        &format!("{HEAD}X-Long: {}", "a".repeat(1 << 20)),
+        431,
+    )
+    .await;
+    turned_down(
+        &node,
+        &format!("{HEAD}{}", "X-Many: 1\r\n".repeat(500)),
+        431,
+    )
+    .await;
     assert!(server.untouched().await, "passed on");
 }
 
@@ -123,7 +155,9 @@
     let discovery = Peer::new().await;
     let node = Node::with(&discovery, settings(), 64).await;
     let (mut watch, _) = discovery.watch().await;
-    watch.list(1, true, &[member("s", server.address(), "active")]).await;
+    watch
+        .list(1, true, &[member("s", server.address(), "active")])
+        .await;
     node.ready().await;
     let serving = tokio::spawn(async move {
         let mut wires = tokio::task::JoinSet::new();
@@ -144,12 +178,27 @@
     for k in 0..200 {
         crowd.push(node.client().await);
         if k % 20 == 0 {
-            assert_eq!(node.client().await.ask("unsafe").await.expect("an answer").status(), 200);
+            assert_eq!(
+                node.client()
+                    .await
+                    .ask("unsafe")
+                    .await
+                    .expect("an answer")
+                    .status(),
+                200
+            );
         }
     }
     // A machine too busy to come here within the time for which it is kept shows nothing.
     if began.elapsed().as_millis() < 1500 {
-        assert_eq!(usual.ask("unsafe").await.expect("its connection is kept").status(), 200);
+        assert_eq!(
+            usual
+                .ask("unsafe")
+                .await
+                .expect("its connection is kept")
+                .status(),
+            200
+        );
     }
     assert!(node.descriptors() <= 64);
     serving.abort();
@@ -182,7 +231,14 @@
     let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
     let mut client = node.client().await;
     let request = |id: &str| format!("{HEAD}X-Request-ID: {id}\r\nContent-Length: 2\r\n\r\n{id}");
-    client.write(&format!("{}{}GET nonsense\r\n\r\n{}", request("r1"), request("r2"), request("r3"))).await;
+    client
+        .write(&format!(
+            "{}{}GET nonsense\r\n\r\n{}",
+            request("r1"),
+            request("r2"),
+            request("r3")
+        ))
+        .await;
     for id in ["r1", "r2"] {
         let (mut wire, request) = server.request().await;
         assert_eq!(request.header("x-request-id"), Some(id));
@@ -207,10 +263,18 @@
     ] {
         turned_down(&node, &format!("{HEAD}{lines}\r\n"), status).await;
     }
-    for (from, to, status) in
-        [("POST", "GET", 405), ("POST", "DELETE", 405), ("unsafe", "safe", 405), ("unsafe", "none", 404)]
-    {
-        turned_down(&node, &format!("{}X-Request-ID: a\r\n\r\n", HEAD.replacen(from, to, 1)), status).await;
+    for (from, to, status) in [
+        ("POST", "GET", 405),
+        ("POST", "DELETE", 405),
+        ("unsafe", "safe", 405),
+        ("unsafe", "none", 404),
+    ] {
+        turned_down(
+            &node,
+            &format!("{}X-Request-ID: a\r\n\r\n", HEAD.replacen(from, to, 1)),
+            status,
+        )
+        .await;
     }
     assert!(server.untouched().await, "passed on");
     let answer = node.get("/health/live").await;
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -49,9 +49,18 @@
 
 impl Clients {
     fn new(world: Shared, node: Rc<Node>, kind: u64) -> Rc<Self> {
-        let seed = world.plan.seed.wrapping_mul(0x9e37_79b9).wrapping_add(node.index as u64 * 2 + kind);
+        let seed = world
+            .plan
+            .seed
+            .wrapping_mul(0x9e37_79b9)
+            .wrapping_add(node.index as u64 * 2 + kind);
         let random = RefCell::new(SmallRng::seed_from_u64(seed));
-        Rc::new(Clients { world, node, idle: RefCell::default(), random })
+        Rc::new(Clients {
+            world,
+            node,
+            idle: RefCell::default(),
+            random,
+        })
     }
 
     /// Clients that rest until about the time at which the node ends a resting connection, and then ask again on it.
@@ -63,15 +72,20 @@
             tasks.push(spawn_local(async move {
                 sleep(Duration::from_secs_f64(one.uniform())).await;
                 for turn in 0.. {
-                    let Some(connection) = one.connection().await else { return };
-                    let kept = one.ask(&format!("{}-r{number}-{turn}", one.node.index), connection).await;
+                    let Some(connection) = one.connection().await else {
+                        return;
+                    };
+                    let kept = one
+                        .ask(&format!("{}-r{number}-{turn}", one.node.index), connection)
+                        .await;
                     if one.world.over.get() {
                         return;
                     }
                     sleep(RESTED.mul_f64(0.97 + 0.06 * one.uniform())).await;
                     let Some(connection) = kept else { continue };
                     // Whatever the connection looks like: the node may be closing it at this moment.
-                    one.ask(&format!("{}-r{number}-{turn}b", one.node.index), connection).await;
+                    one.ask(&format!("{}-r{number}-{turn}b", one.node.index), connection)
+                        .await;
                 }
             }));
         }
@@ -119,12 +133,18 @@
         if let Some(connection) = self.idle_connection() {
             return Some(connection);
         }
-        let connecting = timeout(Duration::from_secs(1), TcpStream::connect(self.node.address)).await;
+        let connecting = timeout(
+            Duration::from_secs(1),
+            TcpStream::connect(self.node.address),
+        )
+        .await;
         connecting.ok()?.ok().map(Connection::new)
     }
 
     async fn request(&self, id: &str) {
-        let Some(connection) = self.connection().await else { return };
+        let Some(connection) = self.connection().await else {
+            return;
+        };
         let kept = self.ask(id, connection).await;
         if let Some(connection) = kept.filter(|_| self.uniform() < KEPT) {
             self.idle.borrow_mut().push(connection);
@@ -134,10 +154,20 @@
     /// Sends one request. The connection, if it is good for another.
     async fn ask(&self, id: &str, mut connection: Connection) -> Option<Connection> {
         let generation = self.node.generation();
-        let class = self.random.borrow_mut().random_range(0..self.world.plan.classes.len());
+        let class = self
+            .random
+            .borrow_mut()
+            .random_range(0..self.world.plan.classes.len());
         let (text, wait) = self.text(id, class);
-        self.world.judge.borrow_mut().request_begins(id, class, self.node.index, wait);
-        let parts = if self.uniform() < IN_PARTS { text.split_at(text.len() / 2) } else { (&text[..], "") };
+        self.world
+            .judge
+            .borrow_mut()
+            .request_begins(id, class, self.node.index, wait);
+        let parts = if self.uniform() < IN_PARTS {
+            text.split_at(text.len() / 2)
+        } else {
+            (&text[..], "")
+        };
         let mut written = connection.write(parts.0.as_bytes()).await.is_ok();
         if written && !parts.1.is_empty() {
             sleep(PART_PAUSE).await;
@@ -182,15 +212,22 @@
                     class.name
                 )
             }
-            Effect::SingleShot => format!("POST /{}/x {head}Content-Length: 4\r\n\r\nbody", class.name),
+            Effect::SingleShot => {
+                format!("POST /{}/x {head}Content-Length: 4\r\n\r\nbody", class.name)
+            }
         };
         (text, Duration::from_millis(wait.as_millis() as u64))
     }
 
     fn answered(&self, id: &str, connection: Connection, answer: &Message) -> Option<Connection> {
         let status = answer.status().unwrap_or(0);
-        self.world.judge.borrow_mut().answered(id, status, &answer.body);
-        let closes = answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+        self.world
+            .judge
+            .borrow_mut()
+            .answered(id, status, &answer.body);
+        let closes = answer
+            .header("connection")
+            .is_some_and(|value| value.eq_ignore_ascii_case("close"));
         (!closes).then_some(connection)
     }
 
@@ -214,8 +251,14 @@
     }
 
     async fn bad_peer(&self, number: u64) {
-        let connecting = timeout(Duration::from_secs(1), TcpStream::connect(self.node.address)).await;
-        let Some(mut connection) = connecting.ok().and_then(Result::ok).map(Connection::new) else { return };
+        let connecting = timeout(
+            Duration::from_secs(1),
+            TcpStream::connect(self.node.address),
+        )
+        .await;
+        let Some(mut connection) = connecting.ok().and_then(Result::ok).map(Connection::new) else {
+            return;
+        };
         let generation = self.node.generation();
         let text = BAD[number as usize % BAD.len()];
         if connection.write(text.as_bytes()).await.is_err() {
@@ -228,7 +271,10 @@
             Err(_) if self.node.was_killed(generation) => return,
             Err(_) => "got neither an error nor a close",
         };
-        self.world.judge.borrow_mut().violated(Rule::BadPeer, format!("a peer that sent {text:?} {problem}"));
+        self.world.judge.borrow_mut().violated(
+            Rule::BadPeer,
+            format!("a peer that sent {text:?} {problem}"),
+        );
     }
 }
 
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -31,7 +31,9 @@
 pub fn serve(world: Shared, node: usize, listener: TcpListener) -> AbortHandle {
     spawn_local(async move {
         loop {
-            let Ok((socket, _)) = listener.accept().await else { continue };
+            let Ok((socket, _)) = listener.accept().await else {
+                continue;
+            };
             let world = world.clone();
             spawn_local(async move {
                 let mut connection = Connection::new(socket);
@@ -53,7 +55,9 @@
 }
 
 async fn call(world: &Shared, node: usize, connection: &mut Connection) {
-    let Ok(request) = connection.read().await else { return };
+    let Ok(request) = connection.read().await else {
+        return;
+    };
     let Discovery::Answers(delay) = *world.discovery.borrow() else {
         return std::future::pending().await; // Silent: it never gets an answer, nor is it closed.
     };
@@ -72,12 +76,22 @@
 
 async fn whole(world: &World, node: usize, connection: &Connection) -> std::io::Result<()> {
     let list = list(world, node, None).to_string();
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+    let head = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+        list.len()
+    );
     connection.write(head.as_bytes()).await
 }
 
-async fn watch(world: &World, node: usize, connection: &Connection, since: u64) -> std::io::Result<()> {
-    connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+async fn watch(
+    world: &World,
+    node: usize,
+    connection: &Connection,
+    since: u64,
+) -> std::io::Result<()> {
+    connection
+        .write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .await?;
     let mut revision = world.revision.subscribe();
     let mut known = (since > 0).then_some(since);
     loop {
@@ -89,7 +103,9 @@
             Some(known) if known == latest => String::new(),
             known => list(world, node, known).to_string(),
         };
-        connection.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await?;
+        connection
+            .write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
+            .await?;
         known = Some(latest);
         let _ = tokio::time::timeout(HEARTBEAT, revision.changed()).await;
     }
@@ -135,7 +151,11 @@
 }
 
 /// A listener of a node's own for discovery, at an address that it has not had before.
-pub async fn listen(world: &Rc<World>, node: usize, turn: usize) -> std::io::Result<(TcpListener, String)> {
+pub async fn listen(
+    world: &Rc<World>,
+    node: usize,
+    turn: usize,
+) -> std::io::Result<(TcpListener, String)> {
     let listener =
         TcpListener::bind(world.address(100 + u8::try_from(turn % 100).unwrap_or(0), node)).await?;
     let address = listener.local_addr()?.to_string();
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -24,7 +24,10 @@
 impl Message {
     /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|header| header.0.eq_ignore_ascii_case(name)).map(|header| header.1.as_str())
+        self.headers
+            .iter()
+            .find(|header| header.0.eq_ignore_ascii_case(name))
+            .map(|header| header.1.as_str())
     }
 
     /// The status of an answer.
@@ -53,7 +56,10 @@
     /// On a socket that nothing was read from.
     pub fn new(socket: TcpStream) -> Self {
         let _ = socket.set_nodelay(true);
-        Connection { socket: Rc::new(socket), held: Vec::new() }
+        Connection {
+            socket: Rc::new(socket),
+            held: Vec::new(),
+        }
     }
 
     /// Writes all of this.
@@ -97,11 +103,22 @@
         let head = String::from_utf8_lossy(&self.held[..length]).into_owned();
         let mut lines = head.trim_end().lines();
         let start = lines.next().unwrap_or_default().to_owned();
-        let split =
-            |line: &str| line.split_once(':').map(|(name, value)| (name.to_owned(), value.trim().to_owned()));
+        let split = |line: &str| {
+            line.split_once(':')
+                .map(|(name, value)| (name.to_owned(), value.trim().to_owned()))
+        };
         let headers = lines.filter_map(split).collect();
-        let mut message = Message { start, headers, body: Vec::new(), first, last: first };
-        let body = message.header("content-length").and_then(|value| value.parse().ok()).unwrap_or(0);
+        let mut message = Message {
+            start,
+            headers,
+            body: Vec::new(),
+            first,
+            last: first,
+        };
+        let body = message
+            .header("content-length")
+            .and_then(|value| value.parse().ok())
+            .unwrap_or(0);
         while self.held.len() < length + body {
             self.fill().await?;
         }
@@ -132,7 +149,12 @@
     // SAFETY: The descriptor is the socket's, which is borrowed, and the buffer is one byte long.
     #[allow(unsafe_code)]
     let read = unsafe {
-        libc::recv(socket.as_raw_fd(), byte.as_mut_ptr().cast(), 1, libc::MSG_PEEK | libc::MSG_DONTWAIT)
+        libc::recv(
+            socket.as_raw_fd(),
+            byte.as_mut_ptr().cast(),
+            1,
+            libc::MSG_PEEK | libc::MSG_DONTWAIT,
+        )
     };
     usize::try_from(read).map_err(|_| io::Error::last_os_error())
 }
--- a/soak/src/judge.rs
+++ b/soak/src/judge.rs
@@ -60,7 +60,13 @@
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.3} s: {}", self.rule, self.at.as_secs_f64(), self.story)
+        write!(
+            f,
+            "{:?} at {:.3} s: {}",
+            self.rule,
+            self.at.as_secs_f64(),
+            self.story
+        )
     }
 }
 
@@ -83,7 +89,11 @@
 
 impl Attempt {
     fn is_out(&self) -> bool {
-        !self.answered && self.socket.upgrade().is_some_and(|socket| Connection::is_open(&socket))
+        !self.answered
+            && self
+                .socket
+                .upgrade()
+                .is_some_and(|socket| Connection::is_open(&socket))
     }
 }
 
@@ -172,8 +182,12 @@
     /// Of a play that begins now.
     pub fn new(plan: &Plan) -> Self {
         let now = Instant::now();
-        let listener =
-            Listener { began: now, reloaded: None, written: HashMap::new(), starts: HashMap::new() };
+        let listener = Listener {
+            began: now,
+            reloaded: None,
+            written: HashMap::new(),
+            starts: HashMap::new(),
+        };
         Judge {
             began: now,
             classes: plan.classes.clone(),
@@ -218,12 +232,18 @@
 
     /// Discovery has written to a node that a server takes nothing new.
     pub fn told_closed(&mut self, node: usize, server: usize) {
-        self.nodes[node].written.entry(server).or_insert_with(Instant::now);
+        self.nodes[node]
+            .written
+            .entry(server)
+            .or_insert_with(Instant::now);
     }
 
     /// Discovery has written a server's start to a node.
     pub fn told_start(&mut self, node: usize, server: usize) {
-        self.nodes[node].starts.entry(server).or_insert_with(Instant::now);
+        self.nodes[node]
+            .starts
+            .entry(server)
+            .or_insert_with(Instant::now);
     }
 
     /// Discovery does something else from now on.
@@ -248,26 +268,37 @@
 
     /// The part of its capacity that a server has at this moment.
     pub fn warmth(&self, server: usize, now: Instant) -> f64 {
-        let Some(started) = self.servers[server].started else { return 1.0 };
+        let Some(started) = self.servers[server].started else {
+            return 1.0;
+        };
         let age = (now - started).as_secs_f64() / self.plan.warm_up.as_secs_f64();
         (self.plan.cold_from + (1.0 - self.plan.cold_from) * age).min(1.0)
     }
 
     /// The first moment from `since` on at which discovery spoke in one of these ways, for so long at least.
     fn spoke(&self, since: Instant, least: Duration, how: &[Voice]) -> Option<Instant> {
-        let ends = self.voices.iter().skip(1).map(|voice| Some(voice.0)).chain([None]);
+        let ends = self
+            .voices
+            .iter()
+            .skip(1)
+            .map(|voice| Some(voice.0))
+            .chain([None]);
         let mut spells = self.voices.iter().zip(ends);
         let long_enough = |begin: Instant, end: Option<Instant>| {
             end.is_none_or(|end| end > since && end >= begin.max(since) + least)
         };
-        let spell = spells.find(|(voice, end)| how.contains(&voice.1) && long_enough(voice.0, *end));
+        let spell =
+            spells.find(|(voice, end)| how.contains(&voice.1) && long_enough(voice.0, *end));
         spell.map(|(voice, _)| voice.0.max(since))
     }
 
     /// What discovery did when, for a story.
     fn tell_voices(&self) -> String {
         let tell = |(at, voice): &(Instant, Voice)| {
-            format!("{voice:?} from {} ms", at.saturating_duration_since(self.began).as_millis())
+            format!(
+                "{voice:?} from {} ms",
+                at.saturating_duration_since(self.began).as_millis()
+            )
         };
         self.voices.iter().map(tell).collect::<Vec<_>>().join(", ")
     }
@@ -281,23 +312,38 @@
         let reachable = spoke.map(|at| at + TOLD_AT_LAST);
         let heard = self.spoke(since, LEAST_SPELL, &[Voice::Speaks]);
         let pushed = heard.filter(|at| self.plan.pushed && self.was_not_silent(*at));
-        let reloaded =
-            listener.reloaded.filter(|_| spoke.is_some()).map(|at| since.max(at) + TOLD_AFTER_RELOAD);
+        let reloaded = listener
+            .reloaded
+            .filter(|_| spoke.is_some())
+            .map(|at| since.max(at) + TOLD_AFTER_RELOAD);
         let written = listener.written.get(&server).copied();
-        [reachable, pushed, reloaded, written].into_iter().flatten().min()
+        [reachable, pushed, reloaded, written]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Whether discovery had not been silent right before: what a silent watch misses has longer.
     fn was_not_silent(&self, at: Instant) -> bool {
         let recent = |voice: &&(Instant, Voice)| voice.0 <= at && voice.1 == Voice::Silent;
-        self.voices.iter().rfind(recent).is_none_or(|voice| at - voice.0 > TOLD_AT_LAST + TOLD_AT_LAST)
+        self.voices
+            .iter()
+            .rfind(recent)
+            .is_none_or(|voice| at - voice.0 > TOLD_AT_LAST + TOLD_AT_LAST)
     }
 
     // ---- requests ----
     /// A client begins to write a request.
     pub fn request_begins(&mut self, id: &str, class: usize, node: usize, wait: Duration) {
         self.totals.requests += 1;
-        let request = Request { class, node, sent: None, wait, client_gone: None, attempts: Vec::new() };
+        let request = Request {
+            class,
+            node,
+            sent: None,
+            wait,
+            client_gone: None,
+            attempts: Vec::new(),
+        };
         self.requests.insert(id.to_owned(), request);
     }
 
@@ -318,7 +364,9 @@
 
     /// Whether any attempt of a request has reached a server.
     pub fn was_forwarded(&self, id: &str) -> bool {
-        self.requests.get(id).is_some_and(|request| !request.attempts.is_empty())
+        self.requests
+            .get(id)
+            .is_some_and(|request| !request.attempts.is_empty())
     }
 
     /// What became of a request, told as a story.
@@ -330,14 +378,21 @@
         let class = &self.classes[request.class];
         let mut story = format!("request {id} ({}) at node {}", class.name, request.node);
         if let Some(sent) = request.sent {
-            story += &format!(", sent {:.0} ms, wait {} ms", ms(sent), request.wait.as_millis());
+            story += &format!(
+                ", sent {:.0} ms, wait {} ms",
+                ms(sent),
+                request.wait.as_millis()
+            );
         }
         if let Some(gone) = request.client_gone {
             story += &format!(", client gone {:.0} ms", ms(gone));
         }
         for attempt in &request.attempts {
             let (server, first) = (attempt.server, ms(attempt.first));
-            story += &format!(", attempt at server {server} {first:.0} ms ({:?})", attempt.ran);
+            story += &format!(
+                ", attempt at server {server} {first:.0} ms ({:?})",
+                attempt.ran
+            );
         }
         story
     }
@@ -353,26 +408,39 @@
     ) -> Option<usize> {
         self.totals.attempts += 1;
         let Some(request) = self.requests.get(id) else {
-            self.violated(Rule::Invented, format!("server {server} got request {id}, which no client sent"));
+            self.violated(
+                Rule::Invented,
+                format!("server {server} got request {id}, which no client sent"),
+            );
             return None;
         };
         let mut broken = Vec::new();
         if let Some(problem) = self.repeat_problem(request, server, first) {
             broken.push((Rule::Duplicate, problem));
         }
-        if let Some(gone) = request.client_gone.filter(|gone| first > *gone + CLIENT_GONE + SOCKETS + SLACK) {
+        if let Some(gone) = request
+            .client_gone
+            .filter(|gone| first > *gone + CLIENT_GONE + SOCKETS + SLACK)
+        {
             let late = (first - gone).as_millis();
-            broken.push((Rule::Lost, format!("attempt {late} ms after its client had gone")));
+            broken.push((
+                Rule::Lost,
+                format!("attempt {late} ms after its client had gone"),
+            ));
         }
         match told {
             None => broken.push((Rule::Deadline, "no X-Timeout told to a server".to_owned())),
             Some(told) => {
-                let passed =
-                    request.sent.map_or(Duration::ZERO, |sent| first.saturating_duration_since(sent));
+                let passed = request
+                    .sent
+                    .map_or(Duration::ZERO, |sent| first.saturating_duration_since(sent));
                 let left = request.wait.saturating_sub(passed);
                 if told > left + TOLD_MORE + SLACK {
                     let (told, left) = (told.as_millis(), left.as_millis());
-                    broken.push((Rule::Deadline, format!("{told} ms told to a server, {left} ms left")));
+                    broken.push((
+                        Rule::Deadline,
+                        format!("{told} ms told to a server, {left} ms left"),
+                    ));
                 }
             }
         }
@@ -392,8 +460,17 @@
         if let Some(problem) = self.slow_start_problem(server, node, first) {
             broken.push((Rule::SlowStart, problem));
         }
-        let request = self.requests.get_mut(id).expect("it was there a moment ago");
-        request.attempts.push(Attempt { server, first, ran: Ran::Maybe, answered: false, socket });
+        let request = self
+            .requests
+            .get_mut(id)
+            .expect("it was there a moment ago");
+        request.attempts.push(Attempt {
+            server,
+            first,
+            ran: Ran::Maybe,
+            answered: false,
+            socket,
+        });
         let attempt = request.attempts.len() - 1;
         for (rule, problem) in broken {
             let story = self.story(id);
@@ -408,12 +485,18 @@
         if !self.plan.second_copies && request.attempts.iter().any(Attempt::is_out) {
             return Some("a second copy is out".to_owned());
         }
-        let earlier = request.attempts.iter().find(|attempt| attempt.ran == Ran::Maybe)?;
+        let earlier = request
+            .attempts
+            .iter()
+            .find(|attempt| attempt.ran == Ran::Maybe)?;
         match class.effect {
             Effect::Free => None,
-            Effect::SingleShot => Some("an unsafe request is sent again that may have run".to_owned()),
+            Effect::SingleShot => {
+                Some("an unsafe request is sent again that may have run".to_owned())
+            }
             Effect::Guarded => {
-                let ((zone, cell), (new_zone, new_cell)) = (self.places[earlier.server], self.places[server]);
+                let ((zone, cell), (new_zone, new_cell)) =
+                    (self.places[earlier.server], self.places[server]);
                 let same = match class.group {
                     Group::All => true,
                     Group::Zone => zone == new_zone,
@@ -422,7 +505,9 @@
                 let late = first > earlier.first + class.window + SOCKETS + SLACK;
                 match (same, late) {
                     (false, _) => Some("a keyed request is sent to another group".to_owned()),
-                    (true, true) => Some("a keyed request is sent again after its window".to_owned()),
+                    (true, true) => {
+                        Some("a keyed request is sent again after its window".to_owned())
+                    }
                     (true, false) => None,
                 }
             }
@@ -437,41 +522,70 @@
             return None;
         }
         record.arrivals.push_back((now, node));
-        while record.arrivals.front().is_some_and(|arrival| now - arrival.0 > FALL_TIME) {
+        while record
+            .arrivals
+            .front()
+            .is_some_and(|arrival| now - arrival.0 > FALL_TIME)
+        {
             record.arrivals.pop_front();
         }
         let capacity = CORES / self.plan.work.as_secs_f64() * warmth;
         let allowed = FALL_MULTIPLE * capacity * FALL_TIME.as_secs_f64();
-        let chance = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
+        let chance = if allowed < 30.0 {
+            3.0 * allowed.sqrt() + 3.0
+        } else {
+            2.0 * allowed.sqrt() + 2.0
+        };
         let got = record.arrivals.len();
         if got as f64 <= allowed + chance {
             return None;
         }
         record.overloaded = true;
         let knew = |arrival: &&(Instant, usize)| {
-            self.nodes[arrival.1].starts.get(&server).is_some_and(|told| *told < arrival.0)
+            self.nodes[arrival.1]
+                .starts
+                .get(&server)
+                .is_some_and(|told| *told < arrival.0)
         };
         let told = record.arrivals.iter().filter(knew).count();
-        (told * 3 > got * 2).then(|| format!("cold server {server} got {got} of {allowed:.0} allowed"))
+        (told * 3 > got * 2)
+            .then(|| format!("cold server {server} got {got} of {allowed:.0} allowed"))
     }
 
     /// How an attempt ended at its server.
     pub fn attempt_ended(&mut self, id: &str, attempt: usize, ran: Ran) {
-        let Some(request) = self.requests.get_mut(id) else { return };
-        (request.attempts[attempt].ran, request.attempts[attempt].answered) = (ran, true);
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        (
+            request.attempts[attempt].ran,
+            request.attempts[attempt].answered,
+        ) = (ran, true);
     }
 
     /// A request has its final answer.
     pub fn answered(&mut self, id: &str, status: u16, body: &[u8]) {
-        let Some(request) = self.requests.get(id) else { return };
-        let by = request.sent.map(|sent| sent + request.wait + ANSWER_LATE + SOCKETS + SLACK);
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let by = request
+            .sent
+            .map(|sent| sent + request.wait + ANSWER_LATE + SOCKETS + SLACK);
         if by.is_some_and(|by| Instant::now() > by) {
             let story = self.story(id);
-            self.violated(Rule::Lost, format!("the answer {status} came too late: {story}"));
+            self.violated(
+                Rule::Lost,
+                format!("the answer {status} came too late: {story}"),
+            );
         }
-        let Some(request) = self.requests.get(id) else { return };
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
         let class = &self.classes[request.class];
-        let risky = request.attempts.iter().any(|attempt| attempt.ran == Ran::Maybe);
+        let risky = request
+            .attempts
+            .iter()
+            .any(|attempt| attempt.ran == Ran::Maybe);
         let harmless = match class.effect {
             Effect::Free => true,
             Effect::Guarded => class.group == Group::All || !risky,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -79,11 +79,17 @@
 fn main() -> ExitCode {
     let options = Options::parse();
     let beside = std::env::current_exe().unwrap_or_default();
-    let node = options.node.clone().unwrap_or_else(|| beside.with_file_name("birchswitch"));
+    let node = options
+        .node
+        .clone()
+        .unwrap_or_else(|| beside.with_file_name("birchswitch"));
     let shim = options.shim.clone().unwrap_or_else(|| find_shim(&beside));
     for needed in [&node, &shim] {
         if !needed.exists() {
-            eprintln!("soak: {} is not there; build the workspace first", needed.display());
+            eprintln!(
+                "soak: {} is not there; build the workspace first",
+                needed.display()
+            );
             return ExitCode::FAILURE;
         }
     }
@@ -91,7 +97,10 @@
     std::thread::scope(|scope| {
         for job in 0..options.jobs.max(1) {
             let (options, next, summary) = (&options, &next, &summary);
-            let programs = Programs { node: &node, shim: &shim };
+            let programs = Programs {
+                node: &node,
+                shim: &shim,
+            };
             scope.spawn(move || loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed >= options.seed + options.count {
@@ -109,10 +118,19 @@
         println!("failed seeds: {:?}", summary.failed);
     }
     if !summary.unproven.is_empty() {
-        println!("unproven seeds, the observer was late itself: {:?}", summary.unproven);
+        println!(
+            "unproven seeds, the observer was late itself: {:?}",
+            summary.unproven
+        );
     }
-    println!("{} passed, {} failed", summary.passed, summary.failed.len() + summary.unproven.len());
-    ExitCode::from(u8::from(!summary.failed.is_empty() || !summary.unproven.is_empty()))
+    println!(
+        "{} passed, {} failed",
+        summary.passed,
+        summary.failed.len() + summary.unproven.len()
+    );
+    ExitCode::from(u8::from(
+        !summary.failed.is_empty() || !summary.unproven.is_empty(),
+    ))
 }
 
 /// The shim stands beside this program, or among what it depends on.
@@ -125,16 +143,25 @@
     }
 }
 
-fn play_seed(seed: u64, network: u8, options: &Options, programs: &Programs, summary: &Mutex<Summary>) {
+fn play_seed(
+    seed: u64,
+    network: u8,
+    options: &Options,
+    programs: &Programs,
+    summary: &Mutex<Summary>,
+) {
     for _ in 0..REPEATS {
         let folder = match tempfile::tempdir() {
             Ok(folder) => folder,
             Err(error) => return eprintln!("soak: no folder: {error}"),
         };
         let plan = Plan::draw(seed, options.nodes, Duration::from_secs(options.seconds));
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.expect("a runtime can be built");
-        let played = LocalSet::new().block_on(&runtime, play::play(plan, network, folder.path(), programs));
+        let played =
+            LocalSet::new().block_on(&runtime, play::play(plan, network, folder.path(), programs));
         let report = match played {
             Ok(report) => report,
             Err(error) => {
@@ -143,11 +170,16 @@
             }
         };
         if report.lag > MOST_LAG {
-            println!("seed {seed}: the observer was {} ms late itself, again", report.lag.as_millis());
+            println!(
+                "seed {seed}: the observer was {} ms late itself, again",
+                report.lag.as_millis()
+            );
             continue;
         }
         tell(seed, &report);
-        let mut summary = summary.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut summary = summary
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         for violation in &report.violations {
             *summary.violations.entry(violation.rule).or_default() += 1;
         }
@@ -162,7 +194,11 @@
         }
         return;
     }
-    summary.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).unproven.push(seed);
+    summary
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
+        .unproven
+        .push(seed);
 }
 
 fn tell(seed: u64, report: &Report) {
--- a/soak/src/node.rs
+++ b/soak/src/node.rs
@@ -128,7 +128,10 @@
         self.generation.set(self.generation.get() + 1);
         self.ending.set(false);
         self.world.judge.borrow_mut().node_begins(self.index);
-        let log = std::fs::File::options().create(true).append(true).open(self.folder.join("log"));
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("log"));
         let mut command = Command::new(&self.program);
         command
             .env_clear()
@@ -144,7 +147,8 @@
         }
         match command.spawn() {
             Ok(child) => {
-                self.pid.set(child.id().and_then(|pid| i32::try_from(pid).ok()));
+                self.pid
+                    .set(child.id().and_then(|pid| i32::try_from(pid).ok()));
                 *self.child.borrow_mut() = Some(child);
             }
             Err(error) => return self.violated(format!("could not be started: {error}")),
@@ -159,9 +163,13 @@
         loop {
             if let Ok(socket) = TcpStream::connect(self.address).await {
                 let mut connection = Connection::new(socket);
-                let _ = connection.write(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n").await;
+                let _ = connection
+                    .write(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+                    .await;
                 let answer = timeout(Duration::from_secs(1), connection.read()).await;
-                if answer.is_ok_and(|answer| answer.is_ok_and(|answer| answer.status() == Some(200))) {
+                if answer
+                    .is_ok_and(|answer| answer.is_ok_and(|answer| answer.status() == Some(200)))
+                {
                     return;
                 }
             }
@@ -170,7 +178,10 @@
     }
 
     fn violated(&self, what: String) {
-        self.world.judge.borrow_mut().violated(Rule::Process, format!("node {}: {what}", self.index));
+        self.world
+            .judge
+            .borrow_mut()
+            .violated(Rule::Process, format!("node {}: {what}", self.index));
     }
 
     fn signal(&self, signal: i32) {
@@ -185,7 +196,10 @@
     /// Whether its process runs. Notes a crash.
     pub fn look(&self) -> bool {
         let mut child = self.child.borrow_mut();
-        let Some(ended) = child.as_mut().and_then(|child| child.try_wait().ok().flatten()) else {
+        let Some(ended) = child
+            .as_mut()
+            .and_then(|child| child.try_wait().ok().flatten())
+        else {
             return child.is_some();
         };
         *child = None;
@@ -242,7 +256,9 @@
         if self.ending.get() || !self.takes_new.get() {
             return;
         }
-        let Ok(old) = self.move_discovery().await else { return };
+        let Ok(old) = self.move_discovery().await else {
+            return;
+        };
         self.world.judge.borrow_mut().node_reloads(self.index);
         self.signal(libc::SIGHUP);
         sleep(OLD_ADDRESS).await;
@@ -257,7 +273,10 @@
         self.ending.set(true);
         self.signal(libc::SIGTERM);
         let longest = self.world.plan.longest_deadline().max(LEAST_DEADLINE);
-        if !self.ended(Instant::now() + longest + KILL_BEYOND + Duration::from_secs(1)).await {
+        if !self
+            .ended(Instant::now() + longest + KILL_BEYOND + Duration::from_secs(1))
+            .await
+        {
             self.violated("did not end on SIGTERM".to_owned());
             self.signal(libc::SIGKILL);
         }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -199,17 +199,26 @@
         let servers = random.random_range(6..=10);
         let groups = [Group::All, Group::Zone, Group::Cell];
         let group = *groups.choose(random).expect("there are some");
-        let deadline = |random: &mut SmallRng| Duration::from_millis(random.random_range(250..=2000));
+        let deadline =
+            |random: &mut SmallRng| Duration::from_millis(random.random_range(250..=2000));
         let class = |name, effect, random: &mut SmallRng| {
             let window = Duration::from_millis(random.random_range(400..=2500));
-            Class { name, effect, group, window, deadline: deadline(random) }
+            Class {
+                name,
+                effect,
+                group,
+                window,
+                deadline: deadline(random),
+            }
         };
         let classes = vec![
             class("read", Effect::Free, random),
             class("post", Effect::Guarded, random),
             class("pay", Effect::SingleShot, random),
         ];
-        let places = (0..servers).map(|server| (server % ZONES.len(), (server / 3) as u16)).collect();
+        let places = (0..servers)
+            .map(|server| (server % ZONES.len(), (server / 3) as u16))
+            .collect();
         let mut plan = Plan {
             seed,
             nodes,
@@ -235,7 +244,11 @@
                 let at = Duration::from_secs_f64(cluster + random.random_range(0.0..1.0));
                 let length = Duration::from_secs_f64(random.random_range(0.5..3.0));
                 let trouble = plan.draw_trouble(random);
-                plan.episodes.push(Episode { at, length, trouble });
+                plan.episodes.push(Episode {
+                    at,
+                    length,
+                    trouble,
+                });
             }
         }
         plan.episodes.sort_by_key(|episode| episode.at);
@@ -260,12 +273,17 @@
             10 => Trouble::DiscoveryDown,
             11 => Trouble::DiscoverySilent,
             12 => match random.random_bool(0.5) {
-                true => Trouble::DiscoverySlow(Duration::from_millis(random.random_range(100..=1500))),
+                true => {
+                    Trouble::DiscoverySlow(Duration::from_millis(random.random_range(100..=1500)))
+                }
                 false => Trouble::WatchesReset,
             },
             13 => Trouble::Calls(nodes, *FAILING.choose(random).expect("there are some")),
             14 => Trouble::HeldUp(nodes),
-            15 => Trouble::Step(nodes, *[3600, -3600, 5, -5].choose(random).expect("there are some")),
+            15 => Trouble::Step(
+                nodes,
+                *[3600, -3600, 5, -5].choose(random).expect("there are some"),
+            ),
             _ => match random.random_bool(0.5) {
                 true => Trouble::ClientsLeave,
                 false => Trouble::BadPeers,
@@ -310,6 +328,10 @@
 
     /// The longest that a client waits.
     pub fn longest_deadline(&self) -> Duration {
-        self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
+        self.classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or_default()
     }
 }
--- a/soak/src/play.rs
+++ b/soak/src/play.rs
@@ -62,11 +62,16 @@
     let mut nodes = Vec::new();
     for index in 0..world.plan.nodes {
         let node = Node::new(&world, index, folder, programs.node, programs.shim).await?;
-        node.control.seed.store(world.plan.seed, std::sync::atomic::Ordering::Relaxed);
+        node.control
+            .seed
+            .store(world.plan.seed, std::sync::atomic::Ordering::Relaxed);
         nodes.push(node);
     }
-    let starting: Vec<_> =
-        nodes.iter().cloned().map(|n| spawn_local(async move { n.start().await })).collect();
+    let starting: Vec<_> = nodes
+        .iter()
+        .cloned()
+        .map(|n| spawn_local(async move { n.start().await }))
+        .collect();
     for start in starting {
         let _ = start.await;
     }
@@ -89,13 +94,22 @@
     for task in clients.into_iter().chain(troubles) {
         let _ = task.await;
     }
-    let ending: Vec<_> = nodes.iter().cloned().map(|n| spawn_local(async move { n.end().await })).collect();
+    let ending: Vec<_> = nodes
+        .iter()
+        .cloned()
+        .map(|n| spawn_local(async move { n.end().await }))
+        .collect();
     for end in ending {
         let _ = end.await;
     }
     let judge = world.judge.borrow();
     let (totals, violations, lag) = (judge.totals, judge.violations.clone(), judge.lag.get());
-    Ok(Report { plan: world.plan.clone(), totals, violations, lag })
+    Ok(Report {
+        plan: world.plan.clone(),
+        totals,
+        violations,
+        lag,
+    })
 }
 
 async fn make_world(plan: Plan, network: u8) -> std::io::Result<(Shared, Vec<TcpListener>)> {
@@ -151,16 +165,26 @@
 async fn trouble(world: Shared, nodes: Vec<Rc<Node>>, episode: Episode) {
     sleep(episode.at).await;
     match &episode.trouble {
-        Trouble::Terminate(chosen) => each(&nodes, chosen, |node| async move { node.restart().await }).await,
-        Trouble::Kill(chosen) => each(&nodes, chosen, |node| async move { node.kill().await }).await,
-        Trouble::Reload(chosen) => each(&nodes, chosen, |node| async move { node.reload().await }).await,
+        Trouble::Terminate(chosen) => {
+            each(&nodes, chosen, |node| async move { node.restart().await }).await
+        }
+        Trouble::Kill(chosen) => {
+            each(&nodes, chosen, |node| async move { node.kill().await }).await
+        }
+        Trouble::Reload(chosen) => {
+            each(&nodes, chosen, |node| async move { node.reload().await }).await
+        }
         Trouble::Drain(servers) => close(&world, servers, Phase::Leaving),
         Trouble::Remove(servers) => close(&world, servers, Phase::Left),
         Trouble::Restart(servers) => servers.iter().for_each(|&server| restart(&world, server)),
         Trouble::Misbehave(servers, conduct) => {
-            servers.iter().for_each(|&server| world.servers[server].conduct.set(*conduct));
+            servers
+                .iter()
+                .for_each(|&server| world.servers[server].conduct.set(*conduct));
             sleep(episode.length).await;
-            servers.iter().for_each(|&server| world.servers[server].conduct.set(Conduct::Serve));
+            servers
+                .iter()
+                .for_each(|&server| world.servers[server].conduct.set(Conduct::Serve));
         }
         Trouble::DiscoveryDown => discovery_for(&world, Discovery::Down, episode.length).await,
         Trouble::DiscoverySilent => discovery_for(&world, Discovery::Silent, episode.length).await,
@@ -169,19 +193,26 @@
         }
         Trouble::WatchesReset => world.resets.send_modify(|resets| *resets += 1),
         Trouble::Calls(chosen, calls) => {
-            chosen.iter().for_each(|&node| fail_calls(&nodes[node], *calls));
+            chosen
+                .iter()
+                .for_each(|&node| fail_calls(&nodes[node], *calls));
             sleep(episode.length).await;
             chosen.iter().for_each(|&node| nodes[node].control.quiet());
         }
         Trouble::HeldUp(chosen) => {
-            chosen
-                .iter()
-                .for_each(|&node| nodes[node].control.after_wait.set_rate(SOMETIMES, HELD_UP, BETWEEN));
+            chosen.iter().for_each(|&node| {
+                nodes[node]
+                    .control
+                    .after_wait
+                    .set_rate(SOMETIMES, HELD_UP, BETWEEN)
+            });
             sleep(episode.length).await;
             chosen.iter().for_each(|&node| nodes[node].control.quiet());
         }
         Trouble::Step(chosen, seconds) => {
-            chosen.iter().for_each(|&node| nodes[node].control.step_wall_clock(*seconds));
+            chosen
+                .iter()
+                .for_each(|&node| nodes[node].control.step_wall_clock(*seconds));
         }
         Trouble::ClientsLeave => {
             world.clients_leave.set(true);
@@ -201,7 +232,10 @@
     chosen: &[usize],
     act: impl Fn(Rc<Node>) -> F,
 ) {
-    let acts: Vec<_> = chosen.iter().map(|&node| spawn_local(act(nodes[node].clone()))).collect();
+    let acts: Vec<_> = chosen
+        .iter()
+        .map(|&node| spawn_local(act(nodes[node].clone())))
+        .collect();
     for act in acts {
         let _ = act.await;
     }
@@ -239,7 +273,12 @@
             );
         }
         FailingCalls::Connect => {
-            let errors = [libc::ENFILE, libc::ENOBUFS, libc::EADDRNOTAVAIL, libc::ENETUNREACH];
+            let errors = [
+                libc::ENFILE,
+                libc::ENOBUFS,
+                libc::EADDRNOTAVAIL,
+                libc::ENETUNREACH,
+            ];
             set(Call::Socket, 5 * SOMETIMES, &[libc::ENFILE]);
             set(Call::Connect, 10 * SOMETIMES, &errors);
         }
@@ -248,8 +287,14 @@
             set(Call::Poll, 10 * SOMETIMES, &[libc::EINTR]);
         }
         FailingCalls::Short => {
-            node.control.short_rate.store(10 * SOMETIMES, std::sync::atomic::Ordering::Relaxed);
+            node.control
+                .short_rate
+                .store(10 * SOMETIMES, std::sync::atomic::Ordering::Relaxed);
         }
-        FailingCalls::Broken => set(Call::Receive, SOMETIMES / 4, &[libc::ETIMEDOUT, libc::EHOSTUNREACH]),
+        FailingCalls::Broken => set(
+            Call::Receive,
+            SOMETIMES / 4,
+            &[libc::ETIMEDOUT, libc::EHOSTUNREACH],
+        ),
     }
 }
--- a/soak/src/server.rs
+++ b/soak/src/server.rs
@@ -19,7 +19,9 @@
 pub async fn serve(world: Shared, server: usize, listener: TcpListener) {
     let cores = Rc::new(Semaphore::new(CORES as usize));
     loop {
-        let Ok((socket, _)) = listener.accept().await else { continue };
+        let Ok((socket, _)) = listener.accept().await else {
+            continue;
+        };
         let (world, cores) = (world.clone(), cores.clone());
         spawn_local(async move {
             let mut start = world.servers[server].start.subscribe();
@@ -50,10 +52,17 @@
     request: &Message,
     cores: &Semaphore,
 ) -> bool {
-    let id = request.header("x-request-id").unwrap_or_default().to_owned();
+    let id = request
+        .header("x-request-id")
+        .unwrap_or_default()
+        .to_owned();
     let told = request.header("x-timeout").and_then(parse_wait);
     let socket = Rc::downgrade(&connection.socket);
-    let Some(attempt) = world.judge.borrow_mut().attempt(&id, server, request.first, told, socket) else {
+    let Some(attempt) = world
+        .judge
+        .borrow_mut()
+        .attempt(&id, server, request.first, told, socket)
+    else {
         return false;
     };
     let ended = |ran| world.judge.borrow_mut().attempt_ended(&id, attempt, ran);
@@ -61,7 +70,8 @@
     let conduct = this.conduct.get();
     if conduct == Conduct::TurnAway || this.in_hand.get() >= QUEUE {
         ended(Ran::Never);
-        let head = "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+        let head =
+            "HTTP/1.1 503 Service Unavailable\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
         return connection.write(head.as_bytes()).await.is_ok();
     }
     this.in_hand.set(this.in_hand.get() + 1);
@@ -102,7 +112,10 @@
         ),
         false => String::new(),
     };
-    let head = format!("HTTP/1.1 200 OK\r\n{report}Content-Length: {}\r\n\r\n{body}", body.len());
+    let head = format!(
+        "HTTP/1.1 200 OK\r\n{report}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     let written = connection.write(head.as_bytes()).await.is_ok();
     if conduct == Conduct::CloseSoon {
         tokio::time::sleep(SOON).await;
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -91,8 +91,11 @@
 
     /// Unix time in milliseconds, by the clock by which servers are stamped.
     pub fn stamp(&self) -> u64 {
-        let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-        let stepped = i64::try_from(now.as_millis()).unwrap_or(i64::MAX) + self.clock_step.get() * 1000;
+        let now = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap_or_default();
+        let stepped =
+            i64::try_from(now.as_millis()).unwrap_or(i64::MAX) + self.clock_step.get() * 1000;
         u64::try_from(stepped).unwrap_or(1)
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -12,7 +12,10 @@
     type Output = Time;
     /// Saturates at the end of the clock.
     fn add(self, d: Duration) -> Time {
-        Time(self.0.saturating_add(u64::try_from(d.as_nanos()).unwrap_or(u64::MAX)))
+        Time(
+            self.0
+                .saturating_add(u64::try_from(d.as_nanos()).unwrap_or(u64::MAX)),
+        )
     }
 }
 
@@ -285,7 +288,10 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::Unreachable | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::TurnedAway | Outcome::Unreachable | Outcome::NotSent
+        )
     }
 }
 
@@ -515,11 +521,17 @@
         }
         let least = |setting, value: f64, least, most| {
             let fine = value.is_finite() && value >= least && value <= most;
-            fine.then_some(()).ok_or(SettingsError::BadFigure { setting, value })
+            fine.then_some(())
+                .ok_or(SettingsError::BadFigure { setting, value })
         };
         for class in &self.classes {
             least("classes.aim", class.aim.as_secs_f64(), 1e-9, f64::MAX)?;
-            least("classes.deadline", class.deadline.as_secs_f64(), 1e-9, f64::MAX)?;
+            least(
+                "classes.deadline",
+                class.deadline.as_secs_f64(),
+                1e-9,
+                f64::MAX,
+            )?;
             least("classes.worth", class.worth, 0.0, f64::MAX)?;
             least("classes.late_worth", class.late_worth, 0.0, f64::MAX)?;
             least("classes.aim_stretch", class.aim_stretch, 0.0, f64::MAX)?;
@@ -529,11 +541,19 @@
         }
         least("over_share_worth", self.over_share_worth, 0.0, f64::MAX)?;
         least("rules.cold_from", self.rules.cold_from, 0.0, 1.0)?;
-        least("rules.fall_multiple", self.rules.fall_multiple, 0.0, f64::MAX)?;
+        least(
+            "rules.fall_multiple",
+            self.rules.fall_multiple,
+            0.0,
+            f64::MAX,
+        )?;
         least("nodes", f64::from(self.nodes), 1.0, f64::MAX)?;
         least("max_attempts", f64::from(self.max_attempts), 1.0, f64::MAX)?;
         if self.zone.0 >= self.zones {
-            return Err(SettingsError::UnknownZone { zone: self.zone.0, zones: self.zones });
+            return Err(SettingsError::UnknownZone {
+                zone: self.zone.0,
+                zones: self.zones,
+            });
         }
         Ok(())
     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -67,7 +67,11 @@
             Event::List { kind, entries } => self.list(now, kind, &entries, actions),
             Event::Arrival(arrival) => self.arrival(now, &arrival, actions),
             Event::Uploaded { request } => self.uploaded(now, request),
-            Event::Begun { request, attempt, latency } => {
+            Event::Begun {
+                request,
+                attempt,
+                latency,
+            } => {
                 if let Some((server, class, work)) = self.begun(request, attempt) {
                     let latency = latency.as_secs_f64();
                     self.answered(now, server, latency, work);
@@ -94,17 +98,35 @@
     }
 
     // ---- the list ----
-    fn list(&mut self, now: Time, kind: ListKind, entries: &[ServerEntry], actions: &mut Vec<Action>) {
+    fn list(
+        &mut self,
+        now: Time,
+        kind: ListKind,
+        entries: &[ServerEntry],
+        actions: &mut Vec<Action>,
+    ) {
         // Where lists come on request, calls are spread at random: all nodes may have started together, and
         // calls that fail in a row mean that discovery is busy. A watch that has served and broken is opened
         // anew soon: what it misses counts as told. The last list stays valid.
         if self.settings.list_on_request && matches!(kind, ListKind::Cached | ListKind::Failed) {
             let known = entries.iter().any(|e| e.state == ServerState::Ready);
             let longest = if known { 30.0 } else { 5.0 * ASK_MOST };
-            let spread = self.settings.rules.ask_within.as_secs_f64().clamp(1.0, longest) / 5.0;
-            let most = if kind == ListKind::Failed { self.backoff(now).min(spread) } else { spread };
+            let spread = self
+                .settings
+                .rules
+                .ask_within
+                .as_secs_f64()
+                .clamp(1.0, longest)
+                / 5.0;
+            let most = if kind == ListKind::Failed {
+                self.backoff(now).min(spread)
+            } else {
+                spread
+            };
             let wait = self.random() * most;
-            self.list_failures = self.list_failures.saturating_add(u32::from(kind == ListKind::Failed));
+            self.list_failures = self
+                .list_failures
+                .saturating_add(u32::from(kind == ListKind::Failed));
             self.list_timer = Some(self.set_timer(now, wait, actions));
         } else {
             self.list_failures = 0;
@@ -137,14 +159,20 @@
         }
         let since = (s.stepped - s.reported).as_secs_f64();
         s.stepped = s.stepped + Duration::from_secs_f64(ticks * TICK);
-        let mut live = s.load.map_or(0.0, |_| (self.report_life - since).clamp(0.0, ticks * TICK));
+        let mut live = s
+            .load
+            .map_or(0.0, |_| (self.report_life - since).clamp(0.0, ticks * TICK));
         let mut load = s.load.unwrap_or(0.0);
         // A hung server reports nothing: its oldest unanswered send speaks for it.
-        let overdue = s.out.first().map_or(0.0, |&t| (now - t).as_secs_f64() / (OVERDUE * self.latency));
+        let overdue = s
+            .out
+            .first()
+            .map_or(0.0, |&t| (now - t).as_secs_f64() / (OVERDUE * self.latency));
         if overdue > 1.0 {
             (live, load) = (ticks * TICK, overdue.min(LOAD_MOST));
         }
-        s.price = (s.price + STEP * live * (load - load_factor)).clamp(0.0, self.going_price + PRICE_MOST);
+        s.price = (s.price + STEP * live * (load - load_factor))
+            .clamp(0.0, self.going_price + PRICE_MOST);
         // A server that gets nothing reports nothing: without a way back it would be avoided for ever.
         s.price += (self.going_price - s.price) * ((ticks * TICK - live) / DRIFT).min(1.0);
         // A cold one is idle by its bound: cheap for that, it would be rushed as soon as it is warm.
@@ -174,7 +202,9 @@
             weight += s.weight / n;
             // Old reports fade out of the fleet's mean load: a fleet that refuses much hears little news.
             if let Some(l) = s.load {
-                let trust = (self.report_life - (now - s.reported).as_secs_f64()).min(0.0).exp();
+                let trust = (self.report_life - (now - s.reported).as_secs_f64())
+                    .min(0.0)
+                    .exp();
                 load += l * trust;
                 loads += trust;
             }
@@ -189,42 +219,67 @@
         self.mean_price = price;
         self.mean_load = if loads > 0.01 { load / loads } else { 0.0 };
         self.mean_speed = if speeds > 0.0 { speed / speeds } else { 1.0 };
-        let flows: Vec<f64> = self.markets.iter_mut().map(|m| m.arrivals.add(now, 0.0)).collect();
+        let flows: Vec<f64> = self
+            .markets
+            .iter_mut()
+            .map(|m| m.arrivals.add(now, 0.0))
+            .collect();
         let asked = flows.iter().sum::<f64>().max(1e-9);
         let known = self.settings.reports_rate && speeds > 0.0;
-        let paces: f64 = self.ready.iter().map(|&i| self.pace(&self.servers[i], KIND_PRIOR)).sum();
+        let paces: f64 = self
+            .ready
+            .iter()
+            .map(|&i| self.pace(&self.servers[i], KIND_PRIOR))
+            .sum();
         self.mean_pace = paces / n;
         let own_price = if self.blind { OWN } else { 0.0 };
         let own = self.ready.iter().map(|&i| &self.servers[i]);
-        let (out, shares) = own.fold((0.0, 1e-9), |sum, s| (sum.0 + s.out.len() as f64, sum.1 + s.share));
+        let (out, shares) = own.fold((0.0, 1e-9), |sum, s| {
+            (sum.0 + s.out.len() as f64, sum.1 + s.share)
+        });
         let lines = self.ready.iter().map(|&i| {
             let s = &self.servers[i];
             // A weight tells a server's size, an answer the pace of one of its cores.
             let speed = match (self.settings.weights_given, self.settings.reports_rate) {
                 (true, true) => s.weight / weight,
                 (true, false) => s.weight / weight * self.pace(s, KIND_PRIOR) / self.mean_pace,
-                (false, true) => (s.speed / self.mean_speed * s.evidence + PRIOR) / (s.evidence + PRIOR),
+                (false, true) => {
+                    (s.speed / self.mean_speed * s.evidence + PRIOR) / (s.evidence + PRIOR)
+                }
                 (false, false) => self.pace(s, KIND_PRIOR) / self.mean_pace,
             };
             // No node asks more of a server than its part of what that can do (the paper's local constraint,
             // eq. 10): else shares gather on one cheap server and break it.
             let mut most = f64::INFINITY;
             if known {
-                let capacity = if s.evidence > 0.0 { s.speed } else { self.mean_speed * UNKNOWN };
+                let capacity = if s.evidence > 0.0 {
+                    s.speed
+                } else {
+                    self.mean_speed * UNKNOWN
+                };
                 most = ADMIT * capacity * self.part * n / asked;
             }
             // A cold server falls over when all nodes together rush it: its share stays within a part of
             // what the rule allows it, measured by what a warm peer of its speed takes.
             let warmth = s.warmth(&self.settings.rules, now);
             if warmth < 1.0 {
-                most = most.min(speed.min(FAST) * warmth * self.settings.rules.fall_multiple * COLD_PART);
+                most = most
+                    .min(speed.min(FAST) * warmth * self.settings.rules.fall_multiple * COLD_PART);
             }
             // Reports lag; what this node itself has out beyond the usual is known at once.
             let usual = out * s.share / shares;
             let price = s.price + own_price * (s.out.len() as f64 - usual) / (usual + 1.0);
             // Where new connections fail, a server without an open one is dearer.
-            let shut = if known || s.connected(now, self.settings.conn_idle) { 0.0 } else { self.refused };
-            Line { price: price + shut, speed: speed.max(0.01), most }
+            let shut = if known || s.connected(now, self.settings.conn_idle) {
+                0.0
+            } else {
+                self.refused
+            };
+            Line {
+                price: price + shut,
+                speed: speed.max(0.01),
+                most,
+            }
         });
         let lines: Vec<Line> = lines.collect();
         let floor = if known { FLOOR } else { 0.0 };
@@ -239,30 +294,50 @@
     fn trade(&mut self, lines: &[Line], flows: &[f64], floor: f64, now: Time, dt: f64) {
         let (n, asked) = (lines.len() as f64, flows.iter().sum::<f64>().max(1e-9));
         let mut open = self.placed();
-        let (mut density, mut taken) = (vec![0.0; lines.len()], vec![vec![0.0; lines.len()]; flows.len()]);
-        let works: Vec<f64> = self.markets.iter().zip(flows).map(|(m, flow)| m.work * flow).collect();
+        let (mut density, mut taken) = (
+            vec![0.0; lines.len()],
+            vec![vec![0.0; lines.len()]; flows.len()],
+        );
+        let works: Vec<f64> = self
+            .markets
+            .iter()
+            .zip(flows)
+            .map(|(m, flow)| m.work * flow)
+            .collect();
         for (c, placed) in open.iter().enumerate() {
             let count = placed.len() as f64;
-            placed.iter().for_each(|&k| density[k] += flows[c] / asked * n / count);
+            placed
+                .iter()
+                .for_each(|&k| density[k] += flows[c] / asked * n / count);
             // What more tightly placed classes bring to a server is no longer there for the others.
-            for (g, tight) in open.iter().enumerate().filter(|g| g.1.len() < placed.len() && works[c] > 0.0) {
+            for (g, tight) in open
+                .iter()
+                .enumerate()
+                .filter(|g| g.1.len() < placed.len() && works[c] > 0.0)
+            {
                 let speeds: f64 = tight.iter().map(|&k| lines[k].speed).sum();
                 let brought = works[g] / works[c] * count / speeds;
-                tight.iter().for_each(|&k| taken[c][k] += brought * lines[k].speed);
+                tight
+                    .iter()
+                    .for_each(|&k| taken[c][k] += brought * lines[k].speed);
             }
         }
         // A blind node deals with as many servers as it can hear of in time. Without reports closed ones, and
         // what cold ones can't take, make room: else all that would fall on the few that are well.
         let untold = self.settings.reports == Reports::Absent;
-        let few: Vec<f64> =
-            self.markets.iter_mut().map(|m| (NEWS * m.steady.young(now)).max(LEAST_OPEN).ceil()).collect();
+        let few: Vec<f64> = self
+            .markets
+            .iter_mut()
+            .map(|m| (NEWS * m.steady.young(now)).max(LEAST_OPEN).ceil())
+            .collect();
         for (open, few) in open.iter_mut().zip(few).filter(|_| self.blind) {
             let mut sum = 0.0;
-            let takes = |k: usize| match self.servers[self.ready[k]].price > self.going_price + CLOSED {
-                _ if !untold => 1.0,
-                true => 0.0,
-                false => lines[k].most.min(1.0),
-            };
+            let takes =
+                |k: usize| match self.servers[self.ready[k]].price > self.going_price + CLOSED {
+                    _ if !untold => 1.0,
+                    true => 0.0,
+                    false => lines[k].most.min(1.0),
+                };
             open.retain(|&k| {
                 let before = sum;
                 sum += takes(k);
@@ -270,7 +345,9 @@
             });
         }
         let kept = 0.95f64.powf(dt / TICK);
-        self.ready.iter().for_each(|&i| self.servers[i].share *= kept);
+        self.ready
+            .iter()
+            .for_each(|&i| self.servers[i].share *= kept);
         let (mut going, mut sums) = (0.0, vec![(0.0, 0.0); flows.len()]);
         for (c, open) in open.iter().enumerate() {
             let m = &mut self.markets[c];
@@ -280,7 +357,11 @@
             let left = |k: usize| lines[k].speed / (1.0 + taken[c][k]);
             let mean = open.iter().map(|&k| left(k)).sum::<f64>() / m.open;
             let most = |k: usize| lines[k].most / density[k].max(1e-9);
-            let own = |&k: &usize| Line { price: lines[k].price, speed: left(k) / mean, most: most(k) };
+            let own = |&k: &usize| Line {
+                price: lines[k].price,
+                speed: left(k) / mean,
+                most: most(k),
+            };
             let own: Vec<Line> = open.iter().map(own).collect();
             let mut shares = Vec::new();
             m.lambda = solve_shares(&own, floor, m.lambda, &mut shares);
@@ -309,11 +390,23 @@
     fn set_thresholds(&mut self, leader: usize, refused: f64) {
         let worths = &self.markets[leader].worths;
         let all = threshold(worths.iter().map(|w| w.1), refused);
-        let own =
-            |c: usize| threshold(worths.iter().filter(|w| usize::from(w.0 .0) == c).map(|w| w.1), refused);
+        let own = |c: usize| {
+            threshold(
+                worths
+                    .iter()
+                    .filter(|w| usize::from(w.0 .0) == c)
+                    .map(|w| w.1),
+                refused,
+            )
+        };
         let own: Vec<f64> = (0..self.markets.len()).map(own).collect();
         self.markets[leader].threshold = all;
-        for (m, own) in self.markets.iter_mut().zip(own).filter(|m| m.0.leader == leader) {
+        for (m, own) in self
+            .markets
+            .iter_mut()
+            .zip(own)
+            .filter(|m| m.0.leader == leader)
+        {
             m.own_threshold = own;
         }
     }
@@ -323,14 +416,19 @@
     fn shed_chance(&self, class: ClassId, worth: f64) -> f64 {
         let m = &self.markets[usize::from(class.0)];
         let chance = |threshold: f64| (threshold / worth.max(1e-9)).min(1.0);
-        CLASS_PART * chance(m.own_threshold) + (1.0 - CLASS_PART) * chance(self.markets[m.leader].threshold)
+        CLASS_PART * chance(m.own_threshold)
+            + (1.0 - CLASS_PART) * chance(self.markets[m.leader].threshold)
     }
 
     /// Takes in a server's word on its load.
     fn report(&mut self, now: Time, server: ServerId, report: &LoadReport) {
-        let Some(&i) = self.index.get(&server) else { return };
+        let Some(&i) = self.index.get(&server) else {
+            return;
+        };
         let usable = |v: Option<f64>| v.filter(|v| v.is_finite() && *v >= 0.0);
-        let Some(busy) = usable(report.busy).map(|b| b.min(LOAD_MOST)) else { return };
+        let Some(busy) = usable(report.busy).map(|b| b.min(LOAD_MOST)) else {
+            return;
+        };
         self.step(i, now);
         let aims = self.settings.classes.iter().map(|c| c.aim.as_secs_f64());
         let aim = aims.fold(f64::INFINITY, f64::min);
@@ -342,11 +440,16 @@
         let mut load = busy + waiting * self.latency / aim;
         // Held beyond what goes with its busy part waits.
         if let Some(held) = held {
-            self.usual_held.learn(busy > LEAST_BUSY && busy < SATURATED, held, busy);
+            self.usual_held
+                .learn(busy > LEAST_BUSY && busy < SATURATED, held, busy);
             load = load.max(self.usual_held.load(held));
         }
         // Where a report tells what waits, nothing beyond the busy part is left to guess.
-        let full = if report.waiting.is_some() { 0.0 } else { (busy - SATURATED) / (1.0 - SATURATED) };
+        let full = if report.waiting.is_some() {
+            0.0
+        } else {
+            (busy - SATURATED) / (1.0 - SATURATED)
+        };
         s.load = Some((load + EXCESS * full.clamp(0.0, 1.0)).min(LOAD_MOST));
         s.rate = usable(report.rate).unwrap_or(0.0);
         if s.rate > 0.0 && busy > LEAST_BUSY {
@@ -362,28 +465,43 @@
         let latency = latency.max(1e-6);
         // A quantile, not a mean: answers of servers in trouble must not pass for usual.
         self.latency *= if latency > self.latency { 1.012 } else { 0.992 };
-        let Some(&i) = self.index.get(&server) else { return };
+        let Some(&i) = self.index.get(&server) else {
+            return;
+        };
         let s = &mut self.servers[i];
         s.note_answer(false, FAILURES);
         if !self.settings.reports_rate {
-            let work = work.unwrap_or(if self.mean_work > 0.0 { self.mean_work } else { 1.0 });
+            let work = work.unwrap_or(if self.mean_work > 0.0 {
+                self.mean_work
+            } else {
+                1.0
+            });
             s.pace.learn(work, latency, MEMORY);
             s.answered = now;
             // A cold server's answers tell its age, not its kind.
             if s.warmth(&self.settings.rules, now) >= 1.0 {
-                self.kinds.entry(s.kind).or_default().learn(work, latency, KIND_MEMORY);
+                self.kinds
+                    .entry(s.kind)
+                    .or_default()
+                    .learn(work, latency, KIND_MEMORY);
             }
         }
     }
 
     /// Failures cost: failing fast would look idle. To a blind node full or timed out is at the limit.
     fn failed(&mut self, now: Time, server: ServerId, outcome: Outcome) {
-        let Some(&i) = self.index.get(&server) else { return };
+        let Some(&i) = self.index.get(&server) else {
+            return;
+        };
         self.step(i, now);
         let s = &mut self.servers[i];
         let full = self.blind && outcome == Outcome::TurnedAway;
         let answer = matches!(outcome, Outcome::Error | Outcome::Broken);
-        let failing = if answer { s.note_answer(true, FAILURES) } else { 1.0 };
+        let failing = if answer {
+            s.note_answer(true, FAILURES)
+        } else {
+            1.0
+        };
         if !full {
             s.price = (s.price + FAILED_PRICE * failing).min(self.going_price + PRICE_MOST);
             self.solved = None;
@@ -439,7 +557,12 @@
         let hopeless = work.is_some_and(|w| w > self.aim(class, work));
         if let (Some(w), false) = (work, hopeless) {
             self.markets[usize::from(class.0)].learn_work(w);
-            self.mean_work += (w - self.mean_work) * if self.mean_work > 0.0 { 1.0 / 32.0 } else { 1.0 };
+            self.mean_work += (w - self.mean_work)
+                * if self.mean_work > 0.0 {
+                    1.0 / 32.0
+                } else {
+                    1.0
+                };
         }
         // The mark is drawn for these alone: the others need none.
         let reason = match hopeless {
@@ -465,7 +588,8 @@
         if let Some(rate) = self.tenants.get_mut(usize::from(tenant.0)) {
             let rate = rate.add(now, 0.0) * f64::from(self.settings.nodes);
             let within = self.settings.tenants[usize::from(tenant.0)].quota_per_s / rate.max(1e-9);
-            worth *= within.min(WORTH_MOST) + (1.0 - within).max(0.0) * self.settings.over_share_worth;
+            worth *=
+                within.min(WORTH_MOST) + (1.0 - within).max(0.0) * self.settings.over_share_worth;
         }
         let leader = self.markets[usize::from(class.0)].leader;
         self.markets[leader].note_worth(class, worth, WORTHS);
@@ -478,7 +602,11 @@
         let rules = &self.settings.rules;
         let warmth = s.warmth(rules, now);
         // One heavy request can spend a cold server's whole budget. Without a time for it there is none.
-        let within = if rules.fall_time.is_zero() { f64::INFINITY } else { rules.fall_time.as_secs_f64() };
+        let within = if rules.fall_time.is_zero() {
+            f64::INFINITY
+        } else {
+            rules.fall_time.as_secs_f64()
+        };
         let budget = HEAVY_PART * rules.fall_multiple * within * warmth;
         if s.state != ServerState::Ready
             || !placed(class, s)
@@ -488,14 +616,22 @@
         {
             return false;
         }
-        let Some(risky) = r.attempts.iter().find(|a| a.risky()) else { return true };
+        let Some(risky) = r.attempts.iter().find(|a| a.risky()) else {
+            return true;
+        };
         match class.effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed { window, .. } if now - risky.sent >= window => false,
-            Effect::Keyed { group: Group::All, .. } => true,
-            Effect::Keyed { group: Group::Zone, .. } => s.zone == risky.zone,
-            Effect::Keyed { group: Group::Cell, .. } => s.cell == risky.cell,
+            Effect::Keyed {
+                group: Group::All, ..
+            } => true,
+            Effect::Keyed {
+                group: Group::Zone, ..
+            } => s.zone == risky.zone,
+            Effect::Keyed {
+                group: Group::Cell, ..
+            } => s.cell == risky.cell,
         }
     }
 
@@ -546,18 +682,30 @@
     fn patience(&self, now: Time, r: &Request) -> Duration {
         let untold = self.settings.reports == Reports::Absent;
         match untold && self.settings.classes[usize::from(r.class.0)].late_worth == 0.0 {
-            true => r.ends.min(r.arrived + Duration::from_secs_f64(self.aim(r.class, r.work))) - now,
+            true => {
+                r.ends
+                    .min(r.arrived + Duration::from_secs_f64(self.aim(r.class, r.work)))
+                    - now
+            }
             false => r.ends - now,
         }
     }
 
     fn send(&mut self, now: Time, id: RequestId, server: Option<usize>, actions: &mut Vec<Action>) {
-        let fits = |i: &usize| self.requests.get(&id).is_some_and(|r| self.open(now, r, &self.servers[*i]));
+        let fits = |i: &usize| {
+            self.requests
+                .get(&id)
+                .is_some_and(|r| self.open(now, r, &self.servers[*i]))
+        };
         let Some(i) = server.filter(fits) else {
             return self.finish(id, Reason::NoServer, actions);
         };
-        let Some(limit) = self.requests.get(&id).map(|r| self.patience(now, r)) else { return };
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(limit) = self.requests.get(&id).map(|r| self.patience(now, r)) else {
+            return;
+        };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let s = &mut self.servers[i];
         let fresh = !s.connected(now, self.settings.conn_idle);
         // Until the request is whole the server has nothing to work on.
@@ -569,14 +717,36 @@
         self.sent_since += 1.0;
         self.markets[usize::from(r.class.0)].steady.add(now, 1.0);
         let (server, zone, cell) = (s.id, s.zone, s.cell);
-        r.attempts.push(Attempt { server, zone, cell, sent: now, ended: false, may_have_run: false, fresh });
-        actions.push(Action::Send { request: id, server, limit: Some(limit) });
+        r.attempts.push(Attempt {
+            server,
+            zone,
+            cell,
+            sent: now,
+            ended: false,
+            may_have_run: false,
+            fresh,
+        });
+        actions.push(Action::Send {
+            request: id,
+            server,
+            limit: Some(limit),
+        });
     }
 
     fn ended(&mut self, now: Time, end: &Ended, actions: &mut Vec<Action>) {
-        end.report.iter().for_each(|report| self.report(now, end.server, report));
-        let Some(r) = self.requests.get_mut(&end.request) else { return };
-        let Some(a) = r.attempts.get_mut(end.attempt as usize).filter(|a| !a.ended) else { return };
+        end.report
+            .iter()
+            .for_each(|report| self.report(now, end.server, report));
+        let Some(r) = self.requests.get_mut(&end.request) else {
+            return;
+        };
+        let Some(a) = r
+            .attempts
+            .get_mut(end.attempt as usize)
+            .filter(|a| !a.ended)
+        else {
+            return;
+        };
         a.ended = true;
         a.may_have_run = !end.outcome.never_ran();
         let (server, sent, fresh) = (a.server, a.sent, a.fresh);
@@ -589,7 +759,10 @@
             self.markets[class].learn_work(end.latency.as_secs_f64());
         }
         let aim = self.aim(ClassId(class as u8), work);
-        let load = end.report.and(self.index.get(&server)).and_then(|&i| self.servers[i].load);
+        let load = end
+            .report
+            .and(self.index.get(&server))
+            .and_then(|&i| self.servers[i].load);
         let latency = end.latency.as_secs_f64();
         let load = match end.outcome {
             Outcome::TurnedAway => Some(1.0 + EXCESS),
@@ -611,7 +784,9 @@
             return self.forget(end.request);
         }
         // Another attempt where class, time and the retry budget allow; the budget keeps collapses unfed.
-        let Some(r) = self.requests.get(&end.request) else { return };
+        let Some(r) = self.requests.get(&end.request) else {
+            return;
+        };
         let left = self.aim(r.class, r.work) - (now - r.arrived).as_secs_f64();
         let tries = (r.attempts.len() as u32) < self.settings.max_attempts;
         let reason = match () {
@@ -628,11 +803,16 @@
 
     /// The final answer of a request that is given up: refused where that is true to its class, else failed.
     fn finish(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.open && !r.begun) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.open && !r.begun) else {
+            return;
+        };
         r.open = false;
         let class = usize::from(r.class.0);
         let harmless = match self.settings.classes[usize::from(r.class.0)].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             _ => !r.attempts.iter().any(Attempt::risky),
         };
         // Back once a place is free and while its answer still counts, the later the more is shed.
@@ -641,8 +821,15 @@
         let back = back.max(Duration::from_secs_f64(self.latency));
         let wait = self.settings.max_wait.map(|most| most.min(back));
         actions.push(match harmless {
-            true => Action::Refuse { request: id, wait, reason },
-            false => Action::Fail { request: id, reason },
+            true => Action::Refuse {
+                request: id,
+                wait,
+                reason,
+            },
+            false => Action::Fail {
+                request: id,
+                reason,
+            },
         });
         self.forget(id);
     }
@@ -653,10 +840,16 @@
     fn ask(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let wait = PROBE_WAIT * self.probe_latency;
         for k in 0..PROBES {
-            let Some(i) = self.draw(now, id, k > 0) else { break };
+            let Some(i) = self.draw(now, id, k > 0) else {
+                break;
+            };
             let s = &mut self.servers[i];
-            let Some(r) = self.requests.get_mut(&id) else { break };
-            let fresh = s.held.filter(|_| (now - s.heard).as_secs_f64() < FRESH * self.latency);
+            let Some(r) = self.requests.get_mut(&id) else {
+                break;
+            };
+            let fresh = s
+                .held
+                .filter(|_| (now - s.heard).as_secs_f64() < FRESH * self.latency);
             r.asked.push((s.id, fresh));
             if fresh.is_none() && s.probing.is_none_or(|at| (now - at).as_secs_f64() >= wait) {
                 s.probing = Some(now);
@@ -687,7 +880,11 @@
                 self.probe_latency += (p.latency.as_secs_f64() - self.probe_latency) / 32.0;
                 let report = p.report.unwrap_or_default();
                 self.report(now, p.server, &report);
-                load = report.held.or(report.busy).filter(|h| h.is_finite() && *h >= 0.0).unwrap_or(load);
+                load = report
+                    .held
+                    .or(report.busy)
+                    .filter(|h| h.is_finite() && *h >= 0.0)
+                    .unwrap_or(load);
                 if let (Some(&i), true) = (self.index.get(&p.server), load.is_finite()) {
                     (self.servers[i].held, self.servers[i].heard) = (Some(load), now);
                 }
@@ -697,8 +894,14 @@
         }
         for k in (0..self.choosing.len()).rev() {
             let id = self.choosing[k].0;
-            let Some(r) = self.requests.get_mut(&id) else { continue };
-            if let Some(a) = r.asked.iter_mut().find(|a| a.0 == p.server && a.1.is_none()) {
+            let Some(r) = self.requests.get_mut(&id) else {
+                continue;
+            };
+            if let Some(a) = r
+                .asked
+                .iter_mut()
+                .find(|a| a.0 == p.server && a.1.is_none())
+            {
                 a.1 = Some(load);
                 self.choose(now, id, false, actions);
             }
@@ -707,7 +910,9 @@
 
     /// Sends to the best of the servers asked, once all have answered or the wait is over.
     fn choose(&mut self, now: Time, id: RequestId, late: bool, actions: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         if !late && r.asked.iter().any(|a| a.1.is_none()) {
             return;
         }
@@ -739,8 +944,14 @@
 
 /// Whether a class may ever go to a server: its placement, by zone and kind.
 pub(crate) fn placed(class: &Class, s: &Server) -> bool {
-    class.zones.as_ref().is_none_or(|open| open.contains(&s.zone))
-        && class.kinds.as_ref().is_none_or(|open| open.contains(&s.kind))
+    class
+        .zones
+        .as_ref()
+        .is_none_or(|open| open.contains(&s.zone))
+        && class
+            .kinds
+            .as_ref()
+            .is_none_or(|open| open.contains(&s.kind))
 }
 
 /// The worth below which arrivals are turned away in part, so that of those like these such a part is.
@@ -752,7 +963,10 @@
     let (mut low, mut high) = (0.0, 2.0 * worths.clone().fold(0.0, f64::max));
     while high - low > 1e-3 * high {
         let middle = (low + high) / 2.0;
-        let turned: f64 = worths.clone().map(|w| (middle / w.max(1e-9)).min(1.0)).sum();
+        let turned: f64 = worths
+            .clone()
+            .map(|w| (middle / w.max(1e-9)).min(1.0))
+            .sum();
         *(if turned < wanted { &mut low } else { &mut high }) = middle;
     }
     high
@@ -768,12 +982,25 @@
     };
     // Where the bounds leave no room for n the rest is refused: lower, even dear servers would fill up. A
     // bounded server that stays cheap, as an idle cold one does, doesn't count: it would close the others.
-    let least = |bounded: bool| lines.iter().filter(move |l| l.most.is_finite() == bounded).map(|l| l.price);
+    let least = |bounded: bool| {
+        lines
+            .iter()
+            .filter(move |l| l.most.is_finite() == bounded)
+            .map(|l| l.price)
+    };
     let least = |bounded| least(bounded).fold(f64::INFINITY, f64::min);
-    let cheapest = if least(false).is_finite() { least(false) } else { least(true) };
+    let cheapest = if least(false).is_finite() {
+        least(false)
+    } else {
+        least(true)
+    };
     let mut low = floor - cheapest;
     let mut high = lines.iter().map(|l| l.speed - l.price).fold(low, f64::max);
-    let mut lambda = if start > low && start < high { start } else { (low + high) / 2.0 };
+    let mut lambda = if start > low && start < high {
+        start
+    } else {
+        (low + high) / 2.0
+    };
     for _ in 0..60 {
         let (mut sum, mut slope) = (0.0, 0.0);
         for l in lines {
@@ -788,7 +1015,11 @@
         }
         *(if sum > n { &mut low } else { &mut high }) = lambda;
         let newton = lambda - (sum - n) / slope;
-        lambda = if newton > low && newton < high { newton } else { (low + high) / 2.0 };
+        lambda = if newton > low && newton < high {
+            newton
+        } else {
+            (low + high) / 2.0
+        };
     }
     shares.clear();
     shares.extend(lines.iter().map(|l| share(l, lambda)));
