--- a/src/logic_tests.rs
+++ b/src/logic_tests.rs
@@ -7,7 +7,11 @@
 use common::{arrival, at, ended, entry, list, ms, report, settings};
 
 fn line(price: f64, speed: f64) -> Line {
-    Line { price, speed, most: f64::INFINITY }
+    Line {
+        price,
+        speed,
+        most: f64::INFINITY,
+    }
 }
 
 fn solved(lines: &[Line]) -> Vec<f64> {
@@ -17,12 +21,20 @@
 }
 
 fn utility(lines: &[Line], shares: &[f64]) -> f64 {
-    lines.iter().zip(shares).map(|(l, s)| (1.0 + s * l.speed).ln() - l.price * s).sum()
+    lines
+        .iter()
+        .zip(shares)
+        .map(|(l, s)| (1.0 + s * l.speed).ln() - l.price * s)
+        .sum()
 }
 
 /// The share of a server in a class.
 fn share(b: &Balancer, class: usize, server: u32) -> f64 {
-    let k = b.ready.iter().position(|&i| b.servers[i].id == ServerId(server)).expect("ready");
+    let k = b
+        .ready
+        .iter()
+        .position(|&i| b.servers[i].id == ServerId(server))
+        .expect("ready");
     b.markets[class].shares[k]
 }
 
@@ -46,7 +58,9 @@
 fn shares_are_feasible_and_optimal() {
     let mut rng = Balancer::new(settings(), 3, at(0)).expect("sound settings");
     for n in 1..30usize {
-        let lines: Vec<Line> = (0..n).map(|_| line(rng.random() * 2.0, 0.1 + 2.0 * rng.random())).collect();
+        let lines: Vec<Line> = (0..n)
+            .map(|_| line(rng.random() * 2.0, 0.1 + 2.0 * rng.random()))
+            .collect();
         let shares = solved(&lines);
         assert!((shares.iter().sum::<f64>() - n as f64).abs() < 1e-4 * n as f64);
         assert!(shares.iter().all(|s| *s >= 0.0));
@@ -59,7 +73,10 @@
                 let moved = (0.01f64).min(other[from]);
                 other[from] -= moved;
                 other[to] += moved;
-                assert!(utility(&lines, &other) <= best + 1e-6, "{from} to {to} of {n}");
+                assert!(
+                    utility(&lines, &other) <= best + 1e-6,
+                    "{from} to {to} of {n}"
+                );
             }
         }
     }
@@ -69,9 +86,15 @@
 /// are beside it: on days of releases half of the requests were refused for want of shares.
 #[test]
 fn a_cheap_bounded_server_does_not_close_the_others() {
-    let cold = Line { most: 0.1, ..line(0.0, 1.0) };
+    let cold = Line {
+        most: 0.1,
+        ..line(0.0, 1.0)
+    };
     let shares = solved(&[cold, line(1.5, 1.0), line(1.6, 1.0), line(1.7, 1.0)]);
-    assert!((shares.iter().sum::<f64>() - 4.0).abs() < 1e-3, "{shares:?}");
+    assert!(
+        (shares.iter().sum::<f64>() - 4.0).abs() < 1e-3,
+        "{shares:?}"
+    );
     assert!(
         shares[0] <= 0.1 && shares[1] > shares[2] && shares[2] > shares[3] && shares[3] > 0.0,
         "{shares:?}"
@@ -81,13 +104,29 @@
 #[test]
 fn shares_bear_extreme_prices_and_speeds() {
     assert!((solved(&[line(5.0, 1.0)])[0] - 1.0).abs() < 1e-5);
-    let shares = solved(&[line(1e9, 1.0), line(0.0, 1e6), line(0.0, 0.01), line(3.0, 1.0)]);
-    assert!((shares.iter().sum::<f64>() - 4.0).abs() < 1e-3, "{shares:?}");
+    let shares = solved(&[
+        line(1e9, 1.0),
+        line(0.0, 1e6),
+        line(0.0, 0.01),
+        line(3.0, 1.0),
+    ]);
+    assert!(
+        (shares.iter().sum::<f64>() - 4.0).abs() < 1e-3,
+        "{shares:?}"
+    );
     assert_eq!(shares[0], 0.0);
     // Bounds that leave no room: what is left over is not forced on anyone.
-    let tight: Vec<Line> = (0..4).map(|_| Line { most: 0.5, ..line(0.1, 1.0) }).collect();
+    let tight: Vec<Line> = (0..4)
+        .map(|_| Line {
+            most: 0.5,
+            ..line(0.1, 1.0)
+        })
+        .collect();
     assert_eq!(solved(&tight), vec![0.5; 4]);
-    let closed = [Line { most: 0.0, ..line(0.0, 1.0) }];
+    let closed = [Line {
+        most: 0.0,
+        ..line(0.0, 1.0)
+    }];
     assert_eq!(solved(&closed), vec![0.0]);
 }
 
@@ -117,7 +156,14 @@
     let mut b = balancer(2);
     b.mean_price = 0.4;
     let entries = vec![entry(9, ServerState::Ready, None)];
-    b.handle(at(1), Event::List { kind: ListKind::Changes, entries }, &mut vec![]);
+    b.handle(
+        at(1),
+        Event::List {
+            kind: ListKind::Changes,
+            entries,
+        },
+        &mut vec![],
+    );
     assert_eq!(b.servers[b.index[&ServerId(9)]].price, 0.4);
 }
 
@@ -146,7 +192,10 @@
         counts[b.draw(at(1), RequestId(1), false).expect("all are ready")] += 1.0;
     }
     for (i, count) in counts.iter().enumerate() {
-        assert!((count / 40_000.0 - share(&b, 0, i as u32) / 4.0).abs() < 0.01, "{counts:?}");
+        assert!(
+            (count / 40_000.0 - share(&b, 0, i as u32) / 4.0).abs() < 0.01,
+            "{counts:?}"
+        );
     }
 }
 
@@ -158,13 +207,28 @@
     let started = at(1000);
     let mut all: Vec<Balancer> = (0..nodes)
         .map(|n| {
-            Balancer::new(Settings { nodes: nodes as u32, ..settings() }, n, at(0)).expect("sound settings")
+            Balancer::new(
+                Settings {
+                    nodes: nodes as u32,
+                    ..settings()
+                },
+                n,
+                at(0),
+            )
+            .expect("sound settings")
         })
         .collect();
     for b in &mut all {
         b.handle(at(0), list(servers), &mut vec![]);
         let entries = vec![entry(0, ServerState::Ready, Some(started))];
-        b.handle(started, Event::List { kind: ListKind::Changes, entries }, &mut vec![]);
+        b.handle(
+            started,
+            Event::List {
+                kind: ListKind::Changes,
+                entries,
+            },
+            &mut vec![],
+        );
     }
     // Each node sends once every 1/rate of 50 ms; warm peers take total / servers a second.
     let (mut id, mut cold) = (0, vec![]);
@@ -179,9 +243,15 @@
     }
     let peer = nodes as f64 * 100.0 / f64::from(servers) * rate / 2.0;
     for from in (0..3000u64).step_by(100) {
-        let window = cold.iter().filter(|t| (from..from + 1000).contains(t)).count() as f64;
+        let window = cold
+            .iter()
+            .filter(|t| (from..from + 1000).contains(t))
+            .count() as f64;
         let warmth = rules.cold_from + (1.0 - rules.cold_from) * from as f64 / 20_000.0;
-        assert!(window < 0.5 * rules.fall_multiple * warmth * peer, "{window} at {from}");
+        assert!(
+            window < 0.5 * rules.fall_multiple * warmth * peer,
+            "{window} at {from}"
+        );
     }
     assert!(!cold.is_empty(), "it must get work to warm up");
 }
@@ -203,8 +273,15 @@
     }
     b.solve(at(2000));
     let most = ADMIT * 25.0 * b.part * 4.0 / b.markets[0].arrivals.add(at(2000), 0.0);
-    assert!(b.markets[0].shares.iter().all(|s| *s <= most * 1.01), "{:?} above {most}", b.markets[0].shares);
-    assert!(b.markets[0].threshold > 0.0, "what finds no place is turned away");
+    assert!(
+        b.markets[0].shares.iter().all(|s| *s <= most * 1.01),
+        "{:?} above {most}",
+        b.markets[0].shares
+    );
+    assert!(
+        b.markets[0].threshold > 0.0,
+        "what finds no place is turned away"
+    );
 }
 
 /// A server that fails fast reports little load; its failures must make it dear all the same.
@@ -240,19 +317,30 @@
     b.failed(at(160), ServerId(2), Outcome::Broken);
     b.solve(at(220));
     assert!(share(&b, 0, 2) > 0.8 * before, "{:?}", b.markets[0].shares);
-    assert!(b.servers[b.index[&ServerId(2)]].load.is_some(), "its load still counts");
+    assert!(
+        b.servers[b.index[&ServerId(2)]].load.is_some(),
+        "its load still counts"
+    );
     for _ in 0..8 {
         b.failed(at(230), ServerId(2), Outcome::Broken);
     }
     b.solve(at(300));
-    assert!(share(&b, 0, 2) < 0.2 * before, "failing on and on closes it: {:?}", b.markets[0].shares);
+    assert!(
+        share(&b, 0, 2) < 0.2 * before,
+        "failing on and on closes it: {:?}",
+        b.markets[0].shares
+    );
 }
 
 /// A large fleet, join+vast: the list gave every server the same weight, while the kinds differ three times in speed, and a
 /// node met a single server too seldom to learn it. What answers of a kind's other servers tell counts for it.
 #[test]
 fn a_server_never_met_is_valued_by_its_kind() {
-    let settings = Settings { weights_given: true, reports_rate: false, ..settings() };
+    let settings = Settings {
+        weights_given: true,
+        reports_rate: false,
+        ..settings()
+    };
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(5), &mut vec![]);
     // Kinds go by id modulo 3. One server of each of two is met, the second at three times the time for its work.
@@ -261,8 +349,16 @@
         b.answered(at(k), ServerId(1), 0.06, Some(0.02));
     }
     b.solve(at(100));
-    assert!(share(&b, 0, 4) < 0.7 * share(&b, 0, 3), "{:?}", b.markets[0].shares);
-    assert!((share(&b, 0, 0) / share(&b, 0, 3) - 1.0).abs() < 0.05, "{:?}", b.markets[0].shares);
+    assert!(
+        share(&b, 0, 4) < 0.7 * share(&b, 0, 3),
+        "{:?}",
+        b.markets[0].shares
+    );
+    assert!(
+        (share(&b, 0, 0) / share(&b, 0, 3) - 1.0).abs() < 0.05,
+        "{:?}",
+        b.markets[0].shares
+    );
     // A heavy request's long answer does not tell of a slow server.
     let before = share(&b, 0, 0);
     (0..40).for_each(|_| b.answered(at(100), ServerId(0), 0.2, Some(0.2)));
@@ -274,7 +370,11 @@
 /// bound was the same for fast and slow. It follows a server's speed, and stays within what it can do by then.
 #[test]
 fn a_cold_servers_bound_follows_its_speed() {
-    let settings = Settings { weights_given: true, reports_rate: false, ..settings() };
+    let settings = Settings {
+        weights_given: true,
+        reports_rate: false,
+        ..settings()
+    };
     let (fall, rules) = (settings.rules.fall_multiple, settings.rules.clone());
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(5), &mut vec![]);
@@ -282,13 +382,25 @@
         b.answered(at(k), ServerId(0), 0.02, Some(0.02));
         b.answered(at(k), ServerId(1), 0.04, Some(0.02));
     }
-    let entries = [3, 4].map(|s| entry(s, ServerState::Ready, Some(at(90)))).to_vec();
-    b.handle(at(100), Event::List { kind: ListKind::Changes, entries }, &mut vec![]);
+    let entries = [3, 4]
+        .map(|s| entry(s, ServerState::Ready, Some(at(90))))
+        .to_vec();
+    b.handle(
+        at(100),
+        Event::List {
+            kind: ListKind::Changes,
+            entries,
+        },
+        &mut vec![],
+    );
     (0..20).for_each(|k| b.handle(at(100 + 50 * k), arrival(k, 0), &mut vec![]));
     let (fast, slow) = (share(&b, 0, 3), share(&b, 0, 4));
     assert!(fast > 1.5 * slow && slow > 0.0, "{fast} and {slow}");
     let warmth = b.servers[b.index[&ServerId(3)]].warmth(&rules, at(1050));
-    assert!(fast <= FAST * warmth * 1.01 && fast < 0.5 * fall * warmth, "{fast} at {warmth}");
+    assert!(
+        fast <= FAST * warmth * 1.01 && fast < 0.5 * fall * warmth,
+        "{fast} at {warmth}"
+    );
 }
 
 /// A hung server reports nothing: its oldest unanswered send makes it dear.
@@ -301,7 +413,11 @@
     let dear = b.servers[i].price;
     assert!(dear > 0.5, "{dear}");
     // Once it is answered the price drifts back: no lasting avoidance.
-    b.handle(at(3000), ended(1, 0, hung, Outcome::Served, None), &mut vec![]);
+    b.handle(
+        at(3000),
+        ended(1, 0, hung, Outcome::Served, None),
+        &mut vec![],
+    );
     for k in 0..400 {
         b.step(i, at(3000 + 50 * k));
     }
@@ -311,13 +427,18 @@
 #[test]
 fn shedding_turns_away_the_least_worth_first() {
     let mut b = balancer(2);
-    b.markets[0].worths.extend([1.0, 1.0, 10.0, 10.0].map(|worth| (ClassId(0), worth)));
+    b.markets[0]
+        .worths
+        .extend([1.0, 1.0, 10.0, 10.0].map(|worth| (ClassId(0), worth)));
     b.set_thresholds(0, 0.3);
     let turned = |w: f64| b.shed_chance(ClassId(0), w);
     assert!(turned(1.0) > 3.0 * turned(10.0));
     assert!(((turned(1.0) + turned(10.0)) / 2.0 - 0.3).abs() < 0.02);
     b.set_thresholds(0, 0.0);
-    assert_eq!((b.markets[0].threshold, b.shed_chance(ClassId(0), 0.01)), (0.0, 0.0));
+    assert_eq!(
+        (b.markets[0].threshold, b.shed_chance(ClassId(0), 0.01)),
+        (0.0, 0.0)
+    );
 }
 
 /// Of classes whose worths differ tenfold the cheapest was shed nearly whole before the dearest was touched: with six in ten
@@ -326,7 +447,11 @@
 #[test]
 fn no_class_is_shed_whole_for_the_others() {
     for refused in [0.2, 0.4, 0.6, 0.8] {
-        let mut settings = Settings { reports_rate: false, reports: Reports::Absent, ..settings() };
+        let mut settings = Settings {
+            reports_rate: false,
+            reports: Reports::Absent,
+            ..settings()
+        };
         settings.classes.truncate(3);
         for (class, worth) in settings.classes.iter_mut().zip([1.0, 2.0, 10.0]) {
             (class.effect, class.worth) = (Effect::Safe, worth);
@@ -338,22 +463,33 @@
             let class = [0, 1, 0, 2, 0, 1, 0, 1, 0, 1][k as usize % 10];
             (b.markets[0].refused, b.solved) = (refused, None);
             let mut actions = vec![];
-            let Event::Arrival(a) = arrival(k, class) else { unreachable!("an arrival") };
+            let Event::Arrival(a) = arrival(k, class) else {
+                unreachable!("an arrival")
+            };
             b.handle(at(k), Event::Arrival(a), &mut actions);
             asked[usize::from(class)] += 1.0;
-            let_in[usize::from(class)] += f64::from(u8::from(matches!(actions[..], [Action::Send { .. }])));
+            let_in[usize::from(class)] +=
+                f64::from(u8::from(matches!(actions[..], [Action::Send { .. }])));
         }
         let part: Vec<f64> = let_in.iter().zip(asked).map(|(l, a)| l / a).collect();
         let all = let_in.iter().sum::<f64>() / asked.iter().sum::<f64>();
         assert!((all - (1.0 - refused)).abs() < 0.03, "{all} of {refused}");
         assert!(part[0] > 0.62 * all, "{part:?} at {refused}");
-        assert!(part[0] < part[1] && part[1] < part[2], "worth still decides: {part:?}");
+        assert!(
+            part[0] < part[1] && part[1] < part[2],
+            "worth still decides: {part:?}"
+        );
     }
 }
 
 #[test]
 fn probed_choice_takes_the_idlest_and_refuses_the_hopeless() {
-    let probing = Settings { reports: Reports::ByProbe, reports_rate: false, may_probe: true, ..settings() };
+    let probing = Settings {
+        reports: Reports::ByProbe,
+        reports_rate: false,
+        may_probe: true,
+        ..settings()
+    };
     let probed = |held: &dyn Fn(usize) -> f64| {
         let mut b = Balancer::new(probing.clone(), 5, at(0)).expect("sound settings");
         let mut actions = vec![];
@@ -362,45 +498,92 @@
         let (request, class, tenant) = (RequestId(1), ClassId(1), TenantId(0));
         b.handle(
             at(1),
-            Event::Arrival(Arrival { request, class, tenant, remaining: ms(900), work, coming: false }),
+            Event::Arrival(Arrival {
+                request,
+                class,
+                tenant,
+                remaining: ms(900),
+                work,
+                coming: false,
+            }),
             &mut actions,
         );
         let asked: Vec<ServerId> = actions
             .iter()
-            .filter_map(|a| if let Action::Probe { server } = a { Some(*server) } else { None })
+            .filter_map(|a| {
+                if let Action::Probe { server } = a {
+                    Some(*server)
+                } else {
+                    None
+                }
+            })
             .collect();
         assert_eq!(asked.len(), PROBES);
         actions.clear();
         for (k, server) in asked.iter().enumerate() {
-            let report = Some(LoadReport { held: Some(held(k)), ..report(0.5, 0.0) });
-            let p = Probed { server: *server, outcome: Outcome::Served, latency: ms(1), report };
+            let report = Some(LoadReport {
+                held: Some(held(k)),
+                ..report(0.5, 0.0)
+            });
+            let p = Probed {
+                server: *server,
+                outcome: Outcome::Served,
+                latency: ms(1),
+                report,
+            };
             b.handle(at(2), Event::Probed(p), &mut actions);
         }
         (asked, actions)
     };
     let (asked, actions) = probed(&|k| if k == 3 { 0.0 } else { 2.0 });
-    assert!(matches!(actions[..], [Action::Send { server, .. }] if server == asked[3]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Send { server, .. }] if server == asked[3]),
+        "{actions:?}"
+    );
     let (_, actions) = probed(&|_| 9.0);
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Refuse { .. }]),
+        "{actions:?}"
+    );
 }
 
 /// An estimated wait is an average, and what is late by a little is worth nothing and still takes its room. A request's own
 /// work is no such guess: at an idle server a heavy one can be in time.
 #[test]
 fn long_waits_are_taken_for_longer() {
-    let probing = Settings { reports: Reports::ByProbe, reports_rate: false, may_probe: true, ..settings() };
+    let probing = Settings {
+        reports: Reports::ByProbe,
+        reports_rate: false,
+        may_probe: true,
+        ..settings()
+    };
     let aim = probing.classes[1].aim;
     let decided = |work: Duration, held: f64| {
         let mut b = Balancer::new(probing.clone(), 5, at(0)).expect("sound settings");
         let mut actions = vec![];
         b.handle(at(0), list(3), &mut actions);
         let (request, class, tenant) = (RequestId(1), ClassId(1), TenantId(0));
-        let arrival = Arrival { request, class, tenant, remaining: 2 * aim, work: Some(work), coming: false };
+        let arrival = Arrival {
+            request,
+            class,
+            tenant,
+            remaining: 2 * aim,
+            work: Some(work),
+            coming: false,
+        };
         b.handle(at(1), Event::Arrival(arrival), &mut actions);
         actions.clear();
         for server in 0..3 {
-            let report = Some(LoadReport { held: Some(held), ..report(0.5, 0.0) });
-            let p = Probed { server: ServerId(server), outcome: Outcome::Served, latency: ms(1), report };
+            let report = Some(LoadReport {
+                held: Some(held),
+                ..report(0.5, 0.0)
+            });
+            let p = Probed {
+                server: ServerId(server),
+                outcome: Outcome::Served,
+                latency: ms(1),
+                report,
+            };
             b.handle(at(2), Event::Probed(p), &mut actions);
         }
         actions
@@ -415,33 +598,67 @@
 /// not in that answer and must be counted in, or all requests of a moment go to one server.
 #[test]
 fn what_was_just_heard_is_not_asked_again() {
-    let probing = Settings { reports: Reports::ByProbe, reports_rate: false, may_probe: true, ..settings() };
+    let probing = Settings {
+        reports: Reports::ByProbe,
+        reports_rate: false,
+        may_probe: true,
+        ..settings()
+    };
     let mut b = Balancer::new(probing, 5, at(0)).expect("sound settings");
     let mut actions = vec![];
     b.handle(at(0), list(3), &mut actions);
     let arrive = |b: &mut Balancer, now, id| {
         let (request, class, tenant) = (RequestId(id), ClassId(1), TenantId(0));
-        let arrival =
-            Arrival { request, class, tenant, remaining: ms(900), work: Some(ms(100)), coming: false };
+        let arrival = Arrival {
+            request,
+            class,
+            tenant,
+            remaining: ms(900),
+            work: Some(ms(100)),
+            coming: false,
+        };
         let mut actions = vec![];
         b.handle(now, Event::Arrival(arrival), &mut actions);
         actions
     };
-    let probes = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count();
+    let probes = |actions: &[Action]| {
+        actions
+            .iter()
+            .filter(|a| matches!(a, Action::Probe { .. }))
+            .count()
+    };
     assert_eq!(probes(&arrive(&mut b, at(1), 1)), 3);
     assert_eq!(probes(&arrive(&mut b, at(1), 2)), 0, "asked already");
     actions.clear();
     for server in 0..3 {
-        let report = Some(LoadReport { held: Some(0.0), ..report(0.1, 0.0) });
-        let p = Probed { server: ServerId(server), outcome: Outcome::Served, latency: ms(1), report };
+        let report = Some(LoadReport {
+            held: Some(0.0),
+            ..report(0.1, 0.0)
+        });
+        let p = Probed {
+            server: ServerId(server),
+            outcome: Outcome::Served,
+            latency: ms(1),
+            report,
+        };
         b.handle(at(2), Event::Probed(p), &mut actions);
     }
     actions.extend(arrive(&mut b, at(3), 3));
-    let sent = |a: &Action| if let Action::Send { server, .. } = a { Some(*server) } else { None };
+    let sent = |a: &Action| {
+        if let Action::Send { server, .. } = a {
+            Some(*server)
+        } else {
+            None
+        }
+    };
     let mut sent: Vec<_> = actions.iter().filter_map(sent).collect();
     sent.sort();
     assert_eq!(sent, [ServerId(0), ServerId(1), ServerId(2)], "{actions:?}");
-    assert_eq!(probes(&arrive(&mut b, at(3000), 4)), 3, "heard too long ago");
+    assert_eq!(
+        probes(&arrive(&mut b, at(3000), 4)),
+        3,
+        "heard too long ago"
+    );
 }
 
 #[test]
@@ -449,7 +666,10 @@
     let bad = |change: fn(&mut Settings)| {
         let mut s = settings();
         change(&mut s);
-        Balancer::new(s, 0, at(0)).err().map(|e| e.to_string()).unwrap_or_default()
+        Balancer::new(s, 0, at(0))
+            .err()
+            .map(|e| e.to_string())
+            .unwrap_or_default()
     };
     assert!(bad(|s| s.classes.clear()).contains("classes"));
     assert!(bad(|s| s.zone = ZoneId(9)).contains("zone"));
@@ -466,19 +686,29 @@
     let mut settings = settings();
     settings.rules.fall_time = Duration::ZERO;
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
-    let Event::List { kind, mut entries } = list(3) else { panic!("a list") };
+    let Event::List { kind, mut entries } = list(3) else {
+        panic!("a list")
+    };
     entries.iter_mut().for_each(|e| e.started = Some(at(1)));
     b.handle(at(1), Event::List { kind, entries }, &mut vec![]);
     let mut actions = vec![];
     for k in 0..50 {
-        let Event::Arrival(a) = arrival(k, 0) else { panic!("an arrival") };
+        let Event::Arrival(a) = arrival(k, 0) else {
+            panic!("an arrival")
+        };
         b.handle(
             at(2 + k),
-            Event::Arrival(Arrival { work: Some(Duration::from_millis(5)), ..a }),
+            Event::Arrival(Arrival {
+                work: Some(Duration::from_millis(5)),
+                ..a
+            }),
             &mut actions,
         );
     }
-    assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })), "{actions:?}");
+    assert!(
+        actions.iter().any(|a| matches!(a, Action::Send { .. })),
+        "{actions:?}"
+    );
 }
 
 #[test]
@@ -496,13 +726,23 @@
 #[test]
 fn a_watch_that_has_served_is_opened_anew_at_once() {
     for seed in 0..50 {
-        let mut settings = Settings { list_on_request: true, ..settings() };
+        let mut settings = Settings {
+            list_on_request: true,
+            ..settings()
+        };
         settings.rules.ask_within = Duration::from_secs(30);
         let mut b = Balancer::new(settings, seed, at(0)).expect("sound settings");
         b.handle(at(0), list(3), &mut vec![]);
         let wait = |b: &mut Balancer| {
             let mut actions = vec![];
-            b.handle(at(0), Event::List { kind: ListKind::Failed, entries: vec![] }, &mut actions);
+            b.handle(
+                at(0),
+                Event::List {
+                    kind: ListKind::Failed,
+                    entries: vec![],
+                },
+                &mut actions,
+            );
             match actions[..] {
                 [Action::SetTimer { at: then, .. }] => (then - at(0)).as_secs_f64(),
                 _ => panic!("{actions:?}"),
@@ -525,8 +765,17 @@
     const ANSWER: u64 = 500; // Left for the call that brings the list.
     let fail = |b: &mut Balancer, now: Time| -> Time {
         let mut actions = vec![];
-        b.handle(now, Event::List { kind: ListKind::Failed, entries: vec![] }, &mut actions);
-        let [Action::SetTimer { at: then, timer }] = actions[..] else { panic!("{actions:?}") };
+        b.handle(
+            now,
+            Event::List {
+                kind: ListKind::Failed,
+                entries: vec![],
+            },
+            &mut actions,
+        );
+        let [Action::SetTimer { at: then, timer }] = actions[..] else {
+            panic!("{actions:?}")
+        };
         let mut actions = vec![];
         b.handle(then, Event::Timer { timer }, &mut actions);
         assert_eq!(actions, [Action::Watch]);
@@ -535,8 +784,12 @@
     for seed in 0..200 {
         for ask_within in [1, 10, 30, 600] {
             for before in 0..8 {
-                for (first, second) in [(0, 0), (0, GIVEN_UP), (GIVEN_UP, 0), (GIVEN_UP, GIVEN_UP)] {
-                    let mut settings = Settings { list_on_request: true, ..settings() };
+                for (first, second) in [(0, 0), (0, GIVEN_UP), (GIVEN_UP, 0), (GIVEN_UP, GIVEN_UP)]
+                {
+                    let mut settings = Settings {
+                        list_on_request: true,
+                        ..settings()
+                    };
                     settings.rules.ask_within = Duration::from_secs(ask_within);
                     let mut b = Balancer::new(settings, seed, at(0)).expect("sound settings");
                     let mut now = at(10_000);
@@ -562,14 +815,26 @@
 #[test]
 fn a_process_that_knows_no_server_asks_soon() {
     let longest = |entries: &[ServerEntry]| {
-        let mut settings = Settings { list_on_request: true, ..settings() };
+        let mut settings = Settings {
+            list_on_request: true,
+            ..settings()
+        };
         settings.rules.ask_within = Duration::from_secs(60);
         let waits = (0..200).map(|seed| {
             let mut b = Balancer::new(settings.clone(), seed, at(0)).expect("sound settings");
             let mut actions = vec![];
             let entries = entries.to_vec();
-            b.handle(at(0), Event::List { kind: ListKind::Cached, entries }, &mut actions);
-            let [Action::SetTimer { at: then, .. }] = actions[..] else { panic!("{actions:?}") };
+            b.handle(
+                at(0),
+                Event::List {
+                    kind: ListKind::Cached,
+                    entries,
+                },
+                &mut actions,
+            );
+            let [Action::SetTimer { at: then, .. }] = actions[..] else {
+                panic!("{actions:?}")
+            };
             then - at(0)
         });
         waits.max().expect("waits")
@@ -584,7 +849,11 @@
 #[test]
 fn a_fleet_does_not_storm_a_discovery_that_is_out() {
     const NODES: usize = 350;
-    let settings = Settings { list_on_request: true, nodes: NODES as u32, ..settings() };
+    let settings = Settings {
+        list_on_request: true,
+        nodes: NODES as u32,
+        ..settings()
+    };
     let mut calls = vec![0; 600]; // In each 50 ms of 30 s, with every call refused at once.
     for seed in 0..NODES as u64 {
         let mut b = Balancer::new(settings.clone(), seed, at(0)).expect("sound settings");
@@ -592,8 +861,17 @@
         let mut now = at(0);
         loop {
             let mut actions = vec![];
-            b.handle(now, Event::List { kind: ListKind::Failed, entries: vec![] }, &mut actions);
-            let [Action::SetTimer { at: then, timer }] = actions[..] else { panic!("{actions:?}") };
+            b.handle(
+                now,
+                Event::List {
+                    kind: ListKind::Failed,
+                    entries: vec![],
+                },
+                &mut actions,
+            );
+            let [Action::SetTimer { at: then, timer }] = actions[..] else {
+                panic!("{actions:?}")
+            };
             b.handle(then, Event::Timer { timer }, &mut vec![]);
             now = then;
             let slot = ((now - at(0)).as_millis() / 50) as usize;
@@ -618,20 +896,43 @@
     b.solve(at(0));
     let m = &b.markets[1];
     assert_eq!(m.open, 6.0);
-    assert!((m.shares.iter().sum::<f64>() - 6.0).abs() < 1e-3, "{:?}", m.shares);
+    assert!(
+        (m.shares.iter().sum::<f64>() - 6.0).abs() < 1e-3,
+        "{:?}",
+        m.shares
+    );
     let open = (0..9).filter(|&s| share(&b, 1, s) > 0.0);
     assert_eq!(open.filter(|s| s % 3 != 1).count(), 6, "{:?}", m.shares);
     // Class 2 has server 4 only: once that has turned it away nothing is left, and it is refused.
     let mut actions = vec![];
     b.handle(at(1), arrival(1, 2), &mut actions);
-    assert!(matches!(actions[..], [Action::Send { server: ServerId(4), .. }]), "{actions:?}");
+    assert!(
+        matches!(
+            actions[..],
+            [Action::Send {
+                server: ServerId(4),
+                ..
+            }]
+        ),
+        "{actions:?}"
+    );
     actions.clear();
-    b.handle(at(2), ended(1, 0, ServerId(4), Outcome::TurnedAway, None), &mut actions);
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
+    b.handle(
+        at(2),
+        ended(1, 0, ServerId(4), Outcome::TurnedAway, None),
+        &mut actions,
+    );
+    assert!(
+        matches!(actions[..], [Action::Refuse { .. }]),
+        "{actions:?}"
+    );
     // Class 3 is open nowhere.
     actions.clear();
     b.handle(at(3), arrival(2, 3), &mut actions);
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Refuse { .. }]),
+        "{actions:?}"
+    );
     // The last gate holds whatever chose the server.
     actions.clear();
     b.handle(at(4), arrival(3, 1), &mut vec![]);
@@ -639,7 +940,10 @@
     request.attempts.clear();
     let wrong = b.index[&ServerId(1)];
     b.send(at(4), RequestId(3), Some(wrong), &mut actions);
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "{actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Refuse { .. }]),
+        "{actions:?}"
+    );
 }
 
 /// What tried or closed servers leave goes to warm ones: a cold server's chance does not grow.
@@ -647,13 +951,22 @@
 fn cold_servers_do_not_take_what_others_leave() {
     let mut b = balancer(4);
     let entries = vec![entry(0, ServerState::Ready, Some(at(900)))];
-    b.handle(at(1000), Event::List { kind: ListKind::Changes, entries }, &mut vec![]);
+    b.handle(
+        at(1000),
+        Event::List {
+            kind: ListKind::Changes,
+            entries,
+        },
+        &mut vec![],
+    );
     let mut counts = [0u32; 4];
     for k in 0..20_000 {
         let id = RequestId(k);
         let mut actions = vec![];
         b.handle(at(1000), arrival(k, 0), &mut actions);
-        let Some(r) = b.requests.get_mut(&id) else { continue };
+        let Some(r) = b.requests.get_mut(&id) else {
+            continue;
+        };
         for a in &mut r.attempts {
             (a.ended, a.server) = (true, ServerId(1 + (k % 2) as u32));
         }
@@ -662,15 +975,25 @@
         }
         b.requests.remove(&id);
     }
-    let i = b.ready.iter().position(|&i| b.servers[i].id == ServerId(0)).expect("ready");
+    let i = b
+        .ready
+        .iter()
+        .position(|&i| b.servers[i].id == ServerId(0))
+        .expect("ready");
     let share = b.markets[0].shares[i] / 4.0;
     assert!(share > 0.005, "{share}");
-    assert!((f64::from(counts[0]) / 20_000.0 - share).abs() < 0.005, "{counts:?} for {share}");
+    assert!(
+        (f64::from(counts[0]) / 20_000.0 - share).abs() < 0.005,
+        "{counts:?} for {share}"
+    );
 }
 
 /// Reports of load and requests held, but of no rate: the node cannot measure capacity.
 fn blind() -> Balancer {
-    let settings = Settings { reports_rate: false, ..settings() };
+    let settings = Settings {
+        reports_rate: false,
+        ..settings()
+    };
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(40), &mut vec![]);
     b
@@ -682,7 +1005,11 @@
 /// few stay as they are: with more of them a large fleet heard too little of each.
 #[test]
 fn closed_and_cold_servers_make_room_for_others() {
-    let settings = Settings { reports_rate: false, reports: Reports::Absent, ..settings() };
+    let settings = Settings {
+        reports_rate: false,
+        reports: Reports::Absent,
+        ..settings()
+    };
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(40), &mut vec![]);
     // The most servers dealt with, once it has settled, and those that are sent to.
@@ -690,9 +1017,20 @@
         let (mut most, mut used) = (0.0f64, std::collections::BTreeSet::new());
         for k in 0..400 {
             let (now, id) = (at(from + k * 100), from + k);
-            let Some(server) = sent(b, now, id) else { continue };
-            let outcome = if bad.contains(&server) { Outcome::Unreachable } else { Outcome::Served };
-            let end = Ended { closed: true, latency: ms(50), report: None, ..plain_end(id, server, outcome) };
+            let Some(server) = sent(b, now, id) else {
+                continue;
+            };
+            let outcome = if bad.contains(&server) {
+                Outcome::Unreachable
+            } else {
+                Outcome::Served
+            };
+            let end = Ended {
+                closed: true,
+                latency: ms(50),
+                report: None,
+                ..plain_end(id, server, outcome)
+            };
             b.handle(now, Event::Ended(end), &mut vec![]);
             if k >= 200 {
                 most = most.max(b.markets[0].open);
@@ -705,7 +1043,10 @@
     let bad: Vec<ServerId> = first.iter().copied().take(5).collect();
     let (more, used) = settle(&mut b, 100_000, &bad);
     assert!(more >= few + 3.0, "{more} of {few}");
-    assert!(used.iter().any(|s| !first.contains(s)), "{used:?} of {first:?}");
+    assert!(
+        used.iter().any(|s| !first.contains(s)),
+        "{used:?} of {first:?}"
+    );
     assert_eq!(settle(&mut b, 300_000, &[]).0, few);
     let mut told = blind();
     let (few, first) = settle(&mut told, 1, &[]);
@@ -713,10 +1054,23 @@
     assert_eq!(settle(&mut told, 100_000, &bad).0, few);
     // All cold: each takes a part only.
     let mut cold = Balancer::new(b.settings.clone(), 7, at(0)).expect("sound settings");
-    let entries = (0..40).map(|s| entry(s, ServerState::Ready, Some(at(0)))).collect();
-    cold.handle(at(0), Event::List { kind: ListKind::Full, entries }, &mut vec![]);
+    let entries = (0..40)
+        .map(|s| entry(s, ServerState::Ready, Some(at(0))))
+        .collect();
+    cold.handle(
+        at(0),
+        Event::List {
+            kind: ListKind::Full,
+            entries,
+        },
+        &mut vec![],
+    );
     cold.handle(at(1), arrival(1, 0), &mut vec![]);
-    assert!(cold.markets[0].open > 2.0 * LEAST_OPEN, "{}", cold.markets[0].open);
+    assert!(
+        cold.markets[0].open > 2.0 * LEAST_OPEN,
+        "{}",
+        cold.markets[0].open
+    );
 }
 
 /// Where no report tells load, what an attempt meets does: it ends with the aim, beyond which its answer earns nothing. Where
@@ -724,16 +1078,33 @@
 #[test]
 fn attempts_that_can_earn_nothing_more_end_where_nothing_else_tells_load() {
     let limit = |reports: Reports, late_worth: f64| {
-        let mut settings = Settings { reports_rate: false, reports, ..settings() };
+        let mut settings = Settings {
+            reports_rate: false,
+            reports,
+            ..settings()
+        };
         settings.classes[0].late_worth = late_worth;
         let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
         b.handle(at(0), list(40), &mut vec![]);
         let mut actions = vec![];
         b.handle(at(5), arrival(1, 0), &mut actions);
-        let Some(&Action::Send { server, limit: first, .. }) = actions.first() else { panic!("{actions:?}") };
+        let Some(&Action::Send {
+            server,
+            limit: first,
+            ..
+        }) = actions.first()
+        else {
+            panic!("{actions:?}")
+        };
         actions.clear();
-        b.handle(at(105), ended(1, 0, server, Outcome::Error, None), &mut actions);
-        let Some(&Action::Send { limit: second, .. }) = actions.first() else { panic!("{actions:?}") };
+        b.handle(
+            at(105),
+            ended(1, 0, server, Outcome::Error, None),
+            &mut actions,
+        );
+        let Some(&Action::Send { limit: second, .. }) = actions.first() else {
+            panic!("{actions:?}")
+        };
         (first, second)
     };
     let aim = settings().classes[0].aim;
@@ -743,7 +1114,10 @@
         "of the whole request, not of each attempt"
     );
     assert_eq!(limit(Reports::Absent, 0.3), (Some(ms(1000)), Some(ms(900))));
-    assert_eq!(limit(Reports::WithAnswers, 0.0), (Some(ms(1000)), Some(ms(900))));
+    assert_eq!(
+        limit(Reports::WithAnswers, 0.0),
+        (Some(ms(1000)), Some(ms(900)))
+    );
 }
 
 /// Etichete big-1: every node opened connections to every server, whose tables filled up, and heard of each too
@@ -756,7 +1130,11 @@
             // Answered at once: one that answers nothing would make room for others.
             let (now, id) = (at(from + k * gap), from + k);
             let server = sent(b, now, id).expect("an idle server");
-            b.handle(now, Event::Ended(plain_end(id, server, Outcome::Served)), &mut vec![]);
+            b.handle(
+                now,
+                Event::Ended(plain_end(id, server, Outcome::Served)),
+                &mut vec![],
+            );
         }
         b.markets[0].open
     };
@@ -767,14 +1145,22 @@
     assert!(fast > 2.0 * slow, "{fast}");
     let mut other = Balancer::new(b.settings.clone(), 8, at(0)).expect("sound settings");
     other.handle(at(0), list(40), &mut vec![]);
-    let first = |b: &Balancer| b.ready[..5].iter().map(|&i| b.servers[i].id).collect::<Vec<_>>();
+    let first = |b: &Balancer| {
+        b.ready[..5]
+            .iter()
+            .map(|&i| b.servers[i].id)
+            .collect::<Vec<_>>()
+    };
     assert_ne!(first(&b), first(&other));
 }
 
 /// Etichete quiet: proofs preferred the fast servers, the only ones for bookings, and crowded them.
 #[test]
 fn bound_classes_leave_less_speed_to_the_others() {
-    let mut settings = Settings { weights_given: true, ..settings() };
+    let mut settings = Settings {
+        weights_given: true,
+        ..settings()
+    };
     settings.classes.truncate(2);
     settings.classes[1].kinds = Some(vec![KindId(0)]);
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
@@ -785,7 +1171,11 @@
     for k in 0..100 {
         b.handle(at(1 + 10 * k), arrival(k, (k % 2) as u8), &mut vec![]);
     }
-    assert!(share(&b, 0, 0) < 0.1, "bookings fill it: {:?}", b.markets[0].shares);
+    assert!(
+        share(&b, 0, 0) < 0.1,
+        "bookings fill it: {:?}",
+        b.markets[0].shares
+    );
     assert!((share(&b, 1, 0) - 1.0).abs() < 1e-3);
     assert!((share(&b, 0, 1) - share(&b, 0, 2)).abs() < 0.1);
 }
@@ -800,9 +1190,19 @@
             let id = from + k;
             let now = at(from + 20 * k);
             if let Some(server) = sent(b, now, id) {
-                let end = Ended { latency: ms(900), ..plain_end(id, server, outcome) };
-                let quick = Ended { latency: ms(100), ..end };
-                let end = if outcome == Outcome::Served { quick } else { end };
+                let end = Ended {
+                    latency: ms(900),
+                    ..plain_end(id, server, outcome)
+                };
+                let quick = Ended {
+                    latency: ms(100),
+                    ..end
+                };
+                let end = if outcome == Outcome::Served {
+                    quick
+                } else {
+                    end
+                };
                 b.handle(now, Event::Ended(end), &mut vec![]);
             }
         }
@@ -830,15 +1230,31 @@
         b.latency = 0.05;
         for k in 0..200 {
             let now = at(20 * k);
-            let Some(server) = sent(&mut b, now, k) else { continue };
+            let Some(server) = sent(&mut b, now, k) else {
+                continue;
+            };
             let end = plain_end(k, server, Outcome::Served);
-            let report = Some(LoadReport { waiting: Some(waiting), ..report(0.5, 0.0) });
-            b.handle(now, Event::Ended(Ended { latency: ms(50), report, ..end }), &mut vec![]);
+            let report = Some(LoadReport {
+                waiting: Some(waiting),
+                ..report(0.5, 0.0)
+            });
+            b.handle(
+                now,
+                Event::Ended(Ended {
+                    latency: ms(50),
+                    report,
+                    ..end
+                }),
+                &mut vec![],
+            );
         }
         b.markets[0].refused
     };
     assert_eq!(shed(2.0), 0.0);
-    assert!(shed(30.0) > 0.5, "a queue as long as the aim is an overload");
+    assert!(
+        shed(30.0) > 0.5,
+        "a queue as long as the aim is an overload"
+    );
 }
 
 /// Where no report tells load an answer's time is all that speaks, and by the time that it takes the whole aim the servers
@@ -846,21 +1262,39 @@
 #[test]
 fn without_reports_slow_answers_shed_before_they_take_the_aim() {
     let shed = |reports: Reports, part: f64| {
-        let settings = Settings { reports_rate: false, reports, ..settings() };
+        let settings = Settings {
+            reports_rate: false,
+            reports,
+            ..settings()
+        };
         let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
         b.handle(at(0), list(40), &mut vec![]);
         let latency = Duration::from_secs_f64(b.aim(ClassId(0), None) * part);
         for k in 0..200 {
             let now = at(20 * k);
-            let Some(server) = sent(&mut b, now, k) else { continue };
+            let Some(server) = sent(&mut b, now, k) else {
+                continue;
+            };
             let told = (reports != Reports::Absent).then(|| report(0.5, 0.0));
-            let end = Ended { latency, report: told, ..plain_end(k, server, Outcome::Served) };
+            let end = Ended {
+                latency,
+                report: told,
+                ..plain_end(k, server, Outcome::Served)
+            };
             b.handle(now, Event::Ended(end), &mut vec![]);
         }
         b.markets[0].refused
     };
-    assert!(shed(Reports::Absent, 0.65) > 0.6, "{}", shed(Reports::Absent, 0.65));
-    assert!(shed(Reports::Absent, 0.3) > 0.1, "{}", shed(Reports::Absent, 0.3));
+    assert!(
+        shed(Reports::Absent, 0.65) > 0.6,
+        "{}",
+        shed(Reports::Absent, 0.65)
+    );
+    assert!(
+        shed(Reports::Absent, 0.3) > 0.1,
+        "{}",
+        shed(Reports::Absent, 0.3)
+    );
     assert_eq!(shed(Reports::Absent, 0.15), 0.0);
     assert_eq!(shed(Reports::WithAnswers, 0.85), 0.0);
 }
@@ -874,15 +1308,28 @@
         b.latency = 0.05;
         for k in 0..200 {
             let now = at(20 * k);
-            let Some(server) = sent(&mut b, now, k) else { continue };
-            let report = Some(LoadReport { waiting: Some(waiting), ..report(busy, 0.0) });
-            let end = Ended { latency: ms(50), report, ..plain_end(k, server, Outcome::Served) };
+            let Some(server) = sent(&mut b, now, k) else {
+                continue;
+            };
+            let report = Some(LoadReport {
+                waiting: Some(waiting),
+                ..report(busy, 0.0)
+            });
+            let end = Ended {
+                latency: ms(50),
+                report,
+                ..plain_end(k, server, Outcome::Served)
+            };
             b.handle(now, Event::Ended(end), &mut vec![]);
         }
         b.markets[0].refused
     };
     assert_eq!(shed(0.95, 0.0), 0.0);
-    assert!(shed(1.0, 4.0) > 0.3, "saturated and half the aim of waiting: {}", shed(1.0, 4.0));
+    assert!(
+        shed(1.0, 4.0) > 0.3,
+        "saturated and half the aim of waiting: {}",
+        shed(1.0, 4.0)
+    );
 }
 
 /// Incident inc5571: refused clients were told to wait 1.2 s, the longest that any would, where an answer counts for
@@ -904,8 +1351,15 @@
     };
     let (light, heavy) = (advised(0.2, Some(ms(1000))), advised(0.9, Some(ms(1000))));
     let aim = blind().settings.classes[0].aim;
-    assert!(Some(ms(50)) <= light && light < heavy && heavy <= Some(aim), "{light:?} {heavy:?}");
-    assert_eq!(advised(0.9, Some(ms(100))), Some(ms(100)), "no longer than the site has it");
+    assert!(
+        Some(ms(50)) <= light && light < heavy && heavy <= Some(aim),
+        "{light:?} {heavy:?}"
+    );
+    assert_eq!(
+        advised(0.9, Some(ms(100))),
+        Some(ms(100)),
+        "no longer than the site has it"
+    );
     assert_eq!(advised(0.9, None), None);
 }
 
@@ -915,7 +1369,14 @@
 fn busy_cores_with_nothing_waiting_are_no_overload() {
     let load = |waiting| {
         let mut b = blind();
-        b.report(at(0), ServerId(3), &LoadReport { waiting, ..report(1.0, 0.0) });
+        b.report(
+            at(0),
+            ServerId(3),
+            &LoadReport {
+                waiting,
+                ..report(1.0, 0.0)
+            },
+        );
         b.servers[b.index[&ServerId(3)]].load
     };
     assert_eq!(load(Some(0.0)), Some(1.0));
@@ -927,19 +1388,41 @@
 #[test]
 fn a_tenant_whose_clients_come_back_is_not_worth_less() {
     let tenants = vec![Tenant { quota_per_s: 60.0 }, Tenant { quota_per_s: 60.0 }];
-    let mut b = Balancer::new(Settings { tenants, nodes: 1, ..blind().settings }, 7, at(0)).expect("sound");
+    let mut b = Balancer::new(
+        Settings {
+            tenants,
+            nodes: 1,
+            ..blind().settings
+        },
+        7,
+        at(0),
+    )
+    .expect("sound");
     b.handle(at(0), list(40), &mut vec![]);
     // Both are let in at the same rate; the second comes three times more, and is turned away.
     for k in 0..250u64 {
-        for (n, (tenant, remaining)) in [(0, 1000), (1, 1000), (1, 0), (1, 0), (1, 0)].into_iter().enumerate()
+        for (n, (tenant, remaining)) in [(0, 1000), (1, 1000), (1, 0), (1, 0), (1, 0)]
+            .into_iter()
+            .enumerate()
         {
             let id = 5 * k + n as u64;
-            let Event::Arrival(a) = arrival(id, 0) else { unreachable!("an arrival") };
-            let a = Arrival { tenant: TenantId(tenant), remaining: ms(remaining), ..a };
+            let Event::Arrival(a) = arrival(id, 0) else {
+                unreachable!("an arrival")
+            };
+            let a = Arrival {
+                tenant: TenantId(tenant),
+                remaining: ms(remaining),
+                ..a
+            };
             let mut actions = vec![];
             b.handle(at(20 * k), Event::Arrival(a), &mut actions);
-            let Some(Action::Send { server, .. }) = actions.pop() else { continue };
-            let end = Ended { latency: ms(50), ..plain_end(id, server, Outcome::Served) };
+            let Some(Action::Send { server, .. }) = actions.pop() else {
+                continue;
+            };
+            let end = Ended {
+                latency: ms(50),
+                ..plain_end(id, server, Outcome::Served)
+            };
             b.handle(at(20 * k), Event::Ended(end), &mut vec![]);
         }
     }
@@ -949,7 +1432,9 @@
 
 fn plain_end(id: u64, server: ServerId, outcome: Outcome) -> Ended {
     let report = (outcome == Outcome::Served).then(|| report(0.3, 0.0));
-    let Event::Ended(end) = ended(id, 0, server, outcome, report) else { unreachable!("an end") };
+    let Event::Ended(end) = ended(id, 0, server, outcome, report) else {
+        unreachable!("an end")
+    };
     end
 }
 
@@ -960,7 +1445,11 @@
     let mut b = blind();
     for k in 0..60 {
         let server = sent(&mut b, at(k * 20), k).expect("sent");
-        b.handle(at(k * 20 + 10), ended(k, 0, server, Outcome::Served, None), &mut vec![]);
+        b.handle(
+            at(k * 20 + 10),
+            ended(k, 0, server, Outcome::Served, None),
+            &mut vec![],
+        );
     }
     let held = b.servers[b.ready[0]].id;
     let i = b.index[&held];
@@ -970,7 +1459,11 @@
     b.servers[i].out = vec![at(1200); 3];
     b.solved = None;
     b.solve(at(1200));
-    assert!(share(&b, 0, held.0) < 0.7 * before, "{} from {before}", share(&b, 0, held.0));
+    assert!(
+        share(&b, 0, held.0) < 0.7 * before,
+        "{} from {before}",
+        share(&b, 0, held.0)
+    );
 }
 
 /// Incident inc3539: shares were solved once in 50 ms, in which a node sends a dozen requests and more, and all of them
@@ -981,14 +1474,24 @@
     b.handle(at(0), list(8), &mut vec![]);
     for k in 0..100 {
         let server = sent(&mut b, at(50 * k), k).expect("sent");
-        b.handle(at(50 * k), ended(k, 0, server, Outcome::Served, None), &mut vec![]);
+        b.handle(
+            at(50 * k),
+            ended(k, 0, server, Outcome::Served, None),
+            &mut vec![],
+        );
     }
     let cheap = b.ready[0];
-    b.ready[1..].iter().for_each(|&i| b.servers[i].price = b.servers[cheap].price + 0.6);
+    b.ready[1..]
+        .iter()
+        .for_each(|&i| b.servers[i].price = b.servers[cheap].price + 0.6);
     for k in 0..20 {
         sent(&mut b, at(5000), 100 + k);
     }
-    assert!((2..=8).contains(&b.servers[cheap].out.len()), "{} of 20", b.servers[cheap].out.len());
+    assert!(
+        (2..=8).contains(&b.servers[cheap].out.len()),
+        "{} of 20",
+        b.servers[cheap].out.len()
+    );
 }
 
 /// Incident ia21743: new connections failed, open ones served on, and servers that nobody reached looked idle to
@@ -1002,10 +1505,17 @@
     b.servers[k].connected = Some(at(0));
     b.solved = None;
     b.solve(at(50));
-    assert!((share(&b, 0, near.0) - share(&b, 0, far.0)).abs() < 1e-3, "as long as new ones succeed");
+    assert!(
+        (share(&b, 0, near.0) - share(&b, 0, far.0)).abs() < 1e-3,
+        "as long as new ones succeed"
+    );
     for id in 0..40 {
         if let Some(server) = sent(&mut b, at(60), id).filter(|s| *s != near) {
-            b.handle(at(61), ended(id, 0, server, Outcome::Unreachable, None), &mut vec![]);
+            b.handle(
+                at(61),
+                ended(id, 0, server, Outcome::Unreachable, None),
+                &mut vec![],
+            );
         }
     }
     assert!(b.refused > 0.9);
@@ -1014,11 +1524,20 @@
     }
     b.solved = None;
     b.solve(at(200));
-    assert!(share(&b, 0, near.0) > 3.0 * share(&b, 0, far.0), "{:?}", b.markets[0].shares);
+    assert!(
+        share(&b, 0, near.0) > 3.0 * share(&b, 0, far.0),
+        "{:?}",
+        b.markets[0].shares
+    );
     // Once the connection has surely closed it is as far as the others.
     b.solve(at(70_000));
     let (near, far) = (share(&b, 0, near.0), share(&b, 0, far.0));
-    assert!(b.refused < 0.1 && near < 2.0 * far, "{} {near} {far} {:?}", b.refused, b.markets[0].shares);
+    assert!(
+        b.refused < 0.1 && near < 2.0 * far,
+        "{} {near} {far} {:?}",
+        b.refused,
+        b.markets[0].shares
+    );
 }
 
 /// The design on the ordinary path, for a small and a large fleet: prices move by the projected step on the reported
@@ -1026,7 +1545,11 @@
 #[test]
 fn the_ordinary_path_follows_prices_and_shares() {
     for servers in [6u32, 300] {
-        let settings = Settings { nodes: 1, weights_given: true, ..settings() };
+        let settings = Settings {
+            nodes: 1,
+            weights_given: true,
+            ..settings()
+        };
         let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
         b.handle(at(0), list(servers), &mut vec![]);
         let (mut drawn, mut meant) = (vec![0.0; servers as usize], vec![0.0; servers as usize]);
@@ -1035,7 +1558,11 @@
             let now = at(k / 4);
             for s in 0..servers {
                 if k % 400 == 0 {
-                    b.report(now, ServerId(s), &report(0.4 + 0.4 * f64::from(s % 2), 1000.0));
+                    b.report(
+                        now,
+                        ServerId(s),
+                        &report(0.4 + 0.4 * f64::from(s % 2), 1000.0),
+                    );
                 }
             }
             let server = sent(&mut b, now, k).expect("nothing is refused");
@@ -1050,10 +1577,20 @@
         assert!(solved <= 201, "{solved} solutions for {servers} servers");
         for s in 0..servers as usize {
             let noise = 5.0 * meant[s].sqrt() + 5.0;
-            assert!((drawn[s] - meant[s]).abs() < noise, "server {s}: {} for {}", drawn[s], meant[s]);
+            assert!(
+                (drawn[s] - meant[s]).abs() < noise,
+                "server {s}: {} for {}",
+                drawn[s],
+                meant[s]
+            );
         }
         let price = |s: u32| b.servers[b.index[&ServerId(s)]].price;
-        assert!(price(1) > 0.05 && price(0) == 0.0, "{} {}", price(1), price(0));
+        assert!(
+            price(1) > 0.05 && price(0) == 0.0,
+            "{} {}",
+            price(1),
+            price(0)
+        );
     }
 }
 
@@ -1063,17 +1600,33 @@
 fn a_request_that_is_still_coming_counts_from_its_last_byte() {
     let mut b = balancer(4);
     let mut actions = vec![];
-    let Event::Arrival(a) = arrival(1, 0) else { unreachable!() };
-    b.handle(at(0), Event::Arrival(Arrival { coming: true, ..a }), &mut actions);
-    let Some(Action::Send { server, .. }) = actions.pop() else { panic!("{actions:?}") };
+    let Event::Arrival(a) = arrival(1, 0) else {
+        unreachable!()
+    };
+    b.handle(
+        at(0),
+        Event::Arrival(Arrival { coming: true, ..a }),
+        &mut actions,
+    );
+    let Some(Action::Send { server, .. }) = actions.pop() else {
+        panic!("{actions:?}")
+    };
     let i = b.index[&server];
     let price = b.servers[i].price;
     b.step(i, at(5000));
     assert!(b.servers[i].out.is_empty() && b.servers[i].price <= price);
-    b.handle(at(5000), Event::Uploaded { request: a.request }, &mut actions);
+    b.handle(
+        at(5000),
+        Event::Uploaded { request: a.request },
+        &mut actions,
+    );
     assert_eq!(b.servers[i].out, [at(5000)]);
     // Its first server turns it away at once: there is all the time for another.
-    b.handle(at(5001), ended(1, 0, server, Outcome::TurnedAway, None), &mut actions);
+    b.handle(
+        at(5001),
+        ended(1, 0, server, Outcome::TurnedAway, None),
+        &mut actions,
+    );
     assert!(matches!(actions[..], [Action::Send { .. }]), "{actions:?}");
     assert!(b.servers[i].out.is_empty());
 }
@@ -1081,13 +1634,30 @@
 /// How long a large answer takes to pass on is the client's doing.
 #[test]
 fn a_passed_on_answer_counts_by_its_first_bytes() {
-    let blind = Settings { reports_rate: false, ..settings() };
+    let blind = Settings {
+        reports_rate: false,
+        ..settings()
+    };
     let mut b = Balancer::new(blind, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(4), &mut vec![]);
     let server = sent(&mut b, at(0), 1).expect("a server");
-    b.handle(at(20), Event::Begun { request: RequestId(1), attempt: 0, latency: ms(20) }, &mut vec![]);
-    let Event::Ended(end) = ended(1, 0, server, Outcome::Served, None) else { unreachable!() };
-    let end = Ended { latency: ms(30_000), closed: true, ..end };
+    b.handle(
+        at(20),
+        Event::Begun {
+            request: RequestId(1),
+            attempt: 0,
+            latency: ms(20),
+        },
+        &mut vec![],
+    );
+    let Event::Ended(end) = ended(1, 0, server, Outcome::Served, None) else {
+        unreachable!()
+    };
+    let end = Ended {
+        latency: ms(30_000),
+        closed: true,
+        ..end
+    };
     b.handle(at(30_000), Event::Ended(end), &mut vec![]);
     assert_eq!(b.markets[0].refused, 0.0);
     assert!(b.requests.is_empty());
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,9 @@
 //! What the decision module remembers: plain data, no decisions.
 
 use crate::interface::*;
-use crate::logic::{placed, KIND_PRIOR, PART_WINDOW, RATE_WINDOW, REPORT_LIFE, RETRY_MOST, TENANT_WINDOW};
+use crate::logic::{
+    placed, KIND_PRIOR, PART_WINDOW, RATE_WINDOW, REPORT_LIFE, RETRY_MOST, TENANT_WINDOW,
+};
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
@@ -18,7 +20,12 @@
 
 impl Rate {
     pub(crate) fn new(now: Time, window: f64) -> Self {
-        Rate { count: 0.0, began: now, at: now, window }
+        Rate {
+            count: 0.0,
+            began: now,
+            at: now,
+            window,
+        }
     }
 
     /// The same for a rate that is still young.
@@ -96,7 +103,11 @@
             kind: entry.kind,
             cell: entry.cell,
             state: entry.state,
-            weight: if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 },
+            weight: if entry.weight.is_finite() && entry.weight > 0.0 {
+                entry.weight
+            } else {
+                1.0
+            },
             started: entry.started,
             price,
             stepped: now,
@@ -120,7 +131,9 @@
 
     /// Part of its capacity that it surely has by now.
     pub(crate) fn warmth(&self, rules: &Rules, now: Time) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         let age = (now - started).as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9);
         (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
     }
@@ -346,14 +359,24 @@
         settings.check()?;
         let aims = settings.classes.iter().map(|c| c.aim.as_secs_f64());
         let same = |a: &Class, b: &Class| a.zones == b.zones && a.kinds == b.kinds;
-        let leader = |c: &Class| settings.classes.iter().position(|other| same(other, c)).unwrap_or(0);
+        let leader = |c: &Class| {
+            settings
+                .classes
+                .iter()
+                .position(|other| same(other, c))
+                .unwrap_or(0)
+        };
         Ok(Balancer {
             salt: seed.rotate_left(32),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             servers: Vec::new(),
             index: FxHashMap::default(),
             ready: Vec::new(),
-            markets: settings.classes.iter().map(|c| Market::new(now, leader(c))).collect(),
+            markets: settings
+                .classes
+                .iter()
+                .map(|c| Market::new(now, leader(c)))
+                .collect(),
             mean_price: 0.0,
             going_price: 0.0,
             mean_load: 0.0,
@@ -379,7 +402,11 @@
             part: 1.0 / f64::from(settings.nodes),
             began: now,
             retry_budget: RETRY_MOST,
-            tenants: settings.tenants.iter().map(|_| Rate::new(now, TENANT_WINDOW)).collect(),
+            tenants: settings
+                .tenants
+                .iter()
+                .map(|_| Rate::new(now, TENANT_WINDOW))
+                .collect(),
             settings,
         })
     }
@@ -387,7 +414,9 @@
     /// Brings the servers in line with a list or with changes to it.
     pub(crate) fn take_list(&mut self, now: Time, kind: ListKind, entries: &[ServerEntry]) {
         if kind != ListKind::Changes {
-            self.servers.iter_mut().for_each(|s| s.state = ServerState::Gone);
+            self.servers
+                .iter_mut()
+                .for_each(|s| s.state = ServerState::Gone);
         }
         for e in entries {
             let fresh = Server::new(e, self.salt, self.mean_price, now);
@@ -400,7 +429,10 @@
                     // Of a restarted process nothing is known but what is still out; of others all stays.
                     let s = &mut self.servers[i];
                     if e.started.is_some() && e.started != s.started {
-                        *s = Server { out: std::mem::take(&mut s.out), ..fresh };
+                        *s = Server {
+                            out: std::mem::take(&mut s.out),
+                            ..fresh
+                        };
                     } else {
                         (s.state, s.weight) = (e.state, fresh.weight);
                         (s.zone, s.kind, s.cell) = (e.zone, e.kind, e.cell);
@@ -408,17 +440,28 @@
                 }
             }
         }
-        self.servers.retain(|s| s.state != ServerState::Gone || !s.out.is_empty());
-        self.index = self.servers.iter().enumerate().map(|(i, s)| (s.id, i)).collect();
-        self.ready =
-            (0..self.servers.len()).filter(|&i| self.servers[i].state == ServerState::Ready).collect();
+        self.servers
+            .retain(|s| s.state != ServerState::Gone || !s.out.is_empty());
+        self.index = self
+            .servers
+            .iter()
+            .enumerate()
+            .map(|(i, s)| (s.id, i))
+            .collect();
+        self.ready = (0..self.servers.len())
+            .filter(|&i| self.servers[i].state == ServerState::Ready)
+            .collect();
         self.ready.sort_by_key(|&i| self.servers[i].rank);
     }
 
     /// Pace expected of a server: its own answers', as far as there are any, beside those of its kind. A node of a large
     /// fleet meets a single server seldom, its kind often.
     pub(crate) fn pace(&self, s: &Server, prior: f64) -> f64 {
-        let kind = self.kinds.get(&s.kind).and_then(Pace::speed).unwrap_or(self.mean_pace);
+        let kind = self
+            .kinds
+            .get(&s.kind)
+            .and_then(Pace::speed)
+            .unwrap_or(self.mean_pace);
         let own = s.pace.speed().unwrap_or(kind);
         (own * s.pace.count + kind * prior) / (s.pace.count + prior)
     }
@@ -440,36 +483,61 @@
 
     /// Ready servers open to each class, as positions in `ready`, in this node's order.
     pub(crate) fn placed(&self) -> Vec<Vec<usize>> {
-        let open = |c| (0..self.ready.len()).filter(|&k| placed(c, &self.servers[self.ready[k]])).collect();
+        let open = |c| {
+            (0..self.ready.len())
+                .filter(|&k| placed(c, &self.servers[self.ready[k]]))
+                .collect()
+        };
         self.settings.classes.iter().map(open).collect()
     }
 
     /// The request is whole from now on: its time begins, and so does that of the attempt that is out.
     pub(crate) fn uploaded(&mut self, now: Time, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.coming) else { return };
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.coming) else {
+            return;
+        };
         r.coming = false;
         r.ends = now + (r.ends - r.arrived);
         r.arrived = now;
         for a in r.attempts.iter_mut().filter(|a| !a.ended) {
             a.sent = now;
-            let Some(&i) = self.index.get(&a.server) else { continue };
+            let Some(&i) = self.index.get(&a.server) else {
+                continue;
+            };
             self.servers[i].out.push(now);
         }
     }
 
     /// Takes in that a streamed answer has begun, and says from where, and of which class and work. Of a class that is
     /// streamed always the work tells nothing of the first bytes.
-    pub(crate) fn begun(&mut self, id: RequestId, attempt: u32) -> Option<(ServerId, ClassId, Option<f64>)> {
+    pub(crate) fn begun(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+    ) -> Option<(ServerId, ClassId, Option<f64>)> {
         let r = self.requests.get_mut(&id)?;
-        let (server, sent) = r.attempts.get(attempt as usize).map(|a| (a.server, a.sent))?;
+        let (server, sent) = r
+            .attempts
+            .get(attempt as usize)
+            .map(|a| (a.server, a.sent))?;
         r.begun = true;
         let (class, work) = (r.class, r.work);
         self.returned(server, sent);
-        Some((server, class, work.filter(|_| !self.settings.classes[usize::from(class.0)].streamed)))
+        Some((
+            server,
+            class,
+            work.filter(|_| !self.settings.classes[usize::from(class.0)].streamed),
+        ))
     }
 
     /// Learns from an attempt which servers it has connections to, and how often new ones fail.
-    pub(crate) fn learn_connection(&mut self, now: Time, server: ServerId, fresh: bool, outcome: Outcome) {
+    pub(crate) fn learn_connection(
+        &mut self,
+        now: Time,
+        server: ServerId,
+        fresh: bool,
+        outcome: Outcome,
+    ) {
         if outcome == Outcome::NotSent {
             return;
         }
@@ -477,14 +545,18 @@
             let failed = f64::from(u8::from(outcome == Outcome::Unreachable));
             self.refused += (failed - self.refused) / 8.0;
         }
-        let Some(&i) = self.index.get(&server) else { return };
+        let Some(&i) = self.index.get(&server) else {
+            return;
+        };
         let held = !matches!(outcome, Outcome::Unreachable | Outcome::Broken);
         self.servers[i].connected = held.then_some(now).or(self.servers[i].connected);
     }
 
     /// One send less is out.
     pub(crate) fn returned(&mut self, server: ServerId, sent: Time) {
-        let Some(&i) = self.index.get(&server) else { return };
+        let Some(&i) = self.index.get(&server) else {
+            return;
+        };
         let s = &mut self.servers[i];
         if let Some(at) = s.out.iter().position(|t| *t == sent) {
             s.out.remove(at);
@@ -518,7 +590,9 @@
     pub fn view(&self, now: Time) -> View {
         let nodes = f64::from(self.settings.nodes);
         let tenants = self.tenants.iter().zip(&self.settings.tenants);
-        let tenants = tenants.map(|(rate, t)| rate.read(now) * nodes / t.quota_per_s).collect();
+        let tenants = tenants
+            .map(|(rate, t)| rate.read(now) * nodes / t.quota_per_s)
+            .collect();
         let shares = self.markets.first().map_or(&[][..], |m| &m.shares);
         let servers = self.ready.iter().enumerate().map(|(k, &i)| {
             let s = &self.servers[i];
@@ -530,7 +604,17 @@
             let share = shares.get(k).copied().unwrap_or(0.0);
             let (load, out, warmth) = (s.load, s.out.len(), s.warmth(&self.settings.rules, now));
             let (server, weight, price, report) = (s.id, s.weight, s.price, s.report);
-            ServerView { server, weight, price, load, report, warmth, speed, share, out }
+            ServerView {
+                server,
+                weight,
+                price,
+                load,
+                report,
+                warmth,
+                speed,
+                share,
+                out,
+            }
         });
         View {
             shed: self.markets.first().map_or(0.0, |m| m.refused),
@@ -546,7 +630,10 @@
     pub(crate) fn set_timer(&mut self, now: Time, wait: f64, actions: &mut Vec<Action>) -> TimerId {
         self.next_timer = self.next_timer.wrapping_add(1);
         let timer = TimerId(self.next_timer);
-        actions.push(Action::SetTimer { at: now + Duration::from_secs_f64(wait), timer });
+        actions.push(Action::SetTimer {
+            at: now + Duration::from_secs_f64(wait),
+            timer,
+        });
         timer
     }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -56,21 +56,35 @@
     let site = site(nodes, reports);
     let mut chance = Chance(seed << 32 | u64::from(nodes) << 16 | u64::from(servers));
     let mut fleet: Vec<Balancer> = (0..nodes)
-        .map(|k| Balancer::new(site.clone(), seed * 1000 + u64::from(k), at(0)).expect("sound settings"))
+        .map(|k| {
+            Balancer::new(site.clone(), seed * 1000 + u64::from(k), at(0)).expect("sound settings")
+        })
         .collect();
     let staying = (servers / 10).max(1);
     let started = at(REPLACED);
     let before = |b: &mut Balancer| {
-        let entries = (0..servers).map(|s| entry(s, ServerState::Ready, None)).collect();
-        b.handle(at(0), Event::List { kind: ListKind::Full, entries }, &mut vec![]);
+        let entries = (0..servers)
+            .map(|s| entry(s, ServerState::Ready, None))
+            .collect();
+        b.handle(
+            at(0),
+            Event::List {
+                kind: ListKind::Full,
+                entries,
+            },
+            &mut vec![],
+        );
     };
     fleet.iter_mut().for_each(before);
     // Some nodes see several times the mean.
-    let mut parts: Vec<f64> = (0..nodes).map(|_| 0.3 + 3.0 * chance.next().powi(3)).collect();
+    let mut parts: Vec<f64> = (0..nodes)
+        .map(|_| 0.3 + 3.0 * chance.next().powi(3))
+        .collect();
     let sum: f64 = parts.iter().sum();
     parts.iter_mut().for_each(|p| *p /= sum);
-    let heard: Vec<u64> =
-        (0..nodes).map(|_| REPLACED + (chance.next() * HEARD_WITHIN as f64) as u64).collect();
+    let heard: Vec<u64> = (0..nodes)
+        .map(|_| REPLACED + (chance.next() * HEARD_WITHIN as f64) as u64)
+        .collect();
     let mut knows = vec![false; nodes as usize];
     let rate = busy * PACE * f64::from(servers);
     let (mut now, mut next) = (0.0, 0u64);
@@ -91,9 +105,15 @@
         }
         let mut todo: Vec<(u64, usize, Event)> = Vec::new();
         while ends.peek().is_some_and(|e| e.0 .0 <= ms_now) {
-            let Some(Reverse((when, node, request, attempt, server))) = ends.pop() else { break };
+            let Some(Reverse((when, node, request, attempt, server))) = ends.pop() else {
+                break;
+            };
             let full = chance.next() < 0.03;
-            let outcome = if full { Outcome::TurnedAway } else { Outcome::Served };
+            let outcome = if full {
+                Outcome::TurnedAway
+            } else {
+                Outcome::Served
+            };
             let told = (reports != Reports::Absent).then(|| LoadReport {
                 busy: Some(busy.min(1.0)),
                 waiting: Some(0.0),
@@ -102,7 +122,15 @@
             let latency = Duration::from_secs_f64(1.0 / PACE);
             let closed = outcome == Outcome::Served;
             let request = RequestId(request);
-            let ended = Ended { request, attempt, server, outcome, latency, closed, report: told };
+            let ended = Ended {
+                request,
+                attempt,
+                server,
+                outcome,
+                latency,
+                closed,
+                report: told,
+            };
             todo.push((when, node as usize, Event::Ended(ended)));
         }
         let arrival = Arrival {
@@ -119,9 +147,12 @@
             if !knows[node] && when >= heard[node] {
                 knows[node] = true;
                 let old = (0..staying).map(|s| entry(s, ServerState::Ready, None));
-                let new =
-                    (servers..2 * servers - staying).map(|s| entry(s, ServerState::Ready, Some(started)));
-                let list = Event::List { kind: ListKind::Full, entries: old.chain(new).collect() };
+                let new = (servers..2 * servers - staying)
+                    .map(|s| entry(s, ServerState::Ready, Some(started)));
+                let list = Event::List {
+                    kind: ListKind::Full,
+                    entries: old.chain(new).collect(),
+                };
                 fleet[node].handle(at(when), list, &mut vec![]);
             }
             let arrived = matches!(event, Event::Arrival(_));
@@ -133,12 +164,22 @@
             fleet[node].handle(at(when), event, &mut actions);
             for action in actions {
                 match action {
-                    Action::Send { request, server, .. } => {
+                    Action::Send {
+                        request, server, ..
+                    } => {
                         sent.entry(server).or_default().push(when);
                         let took = (1000.0 / PACE) as u64;
-                        ends.push(Reverse((when + took, node as u32, request.0, attempt, server)));
+                        ends.push(Reverse((
+                            when + took,
+                            node as u32,
+                            request.0,
+                            attempt,
+                            server,
+                        )));
+                    }
+                    Action::Refuse { .. } if arrived && when >= REPLACED + HEARD_WITHIN => {
+                        refused += 1
                     }
-                    Action::Refuse { .. } if arrived && when >= REPLACED + HEARD_WITHIN => refused += 1,
                     _ => {}
                 }
             }
@@ -147,19 +188,30 @@
     }
     let rules = &site.rules;
     let window = rules.fall_time.as_millis() as u64;
-    let mut worst =
-        Worst { over: f64::MIN, told: String::new(), refused: f64::from(refused) / f64::from(asked) };
+    let mut worst = Worst {
+        over: f64::MIN,
+        told: String::new(),
+        refused: f64::from(refused) / f64::from(asked),
+    };
     for (server, times) in sent.iter().filter(|s| s.0 .0 >= servers) {
         for (k, &from) in times.iter().enumerate() {
-            let count = times[k..].iter().take_while(|&&t| t < from + window).count() as f64;
+            let count = times[k..]
+                .iter()
+                .take_while(|&&t| t < from + window)
+                .count() as f64;
             let age = (from - REPLACED) as f64 / rules.warm_up.as_millis() as f64;
             let warmth = (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0);
             let budget = rules.fall_multiple * warmth * PACE * rules.fall_time.as_secs_f64();
             let over = count - (budget + 2.0 * budget.sqrt() + 2.0);
             if over > worst.over {
-                let told =
-                    format!("server {server}: {count} within {window} ms from {from} ms on, of {budget:.1}");
-                worst = Worst { over, told, ..worst };
+                let told = format!(
+                    "server {server}: {count} within {window} ms from {from} ms on, of {budget:.1}"
+                );
+                worst = Worst {
+                    over,
+                    told,
+                    ..worst
+                };
             }
         }
     }
@@ -169,9 +221,14 @@
 #[test]
 fn a_fleets_sum_at_cold_servers_stays_within_their_budget_and_chance() {
     for reports in [Reports::Absent, Reports::WithAnswers] {
-        for (nodes, servers, seeds) in
-            [(1, 20, 3), (20, 60, 3), (20, 200, 1), (30, 60, 3), (30, 200, 1), (300, 180, 1)]
-        {
+        for (nodes, servers, seeds) in [
+            (1, 20, 3),
+            (20, 60, 3),
+            (20, 200, 1),
+            (30, 60, 3),
+            (30, 200, 1),
+            (300, 180, 1),
+        ] {
             for (busy, seed) in (0..seeds).flat_map(|seed| [(0.7, seed), (1.2, seed)]) {
                 let worst = play(nodes, servers, reports, busy, seed);
                 let told = format!(
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -30,7 +30,10 @@
 
 /// Safe, unsafe, and keyed with each group.
 pub fn settings() -> Settings {
-    let keyed = |group| Effect::Keyed { group, window: ms(500) };
+    let keyed = |group| Effect::Keyed {
+        group,
+        window: ms(500),
+    };
     Settings {
         nodes: 4,
         zone: ZoneId(0),
@@ -80,8 +83,13 @@
 }
 
 pub fn list(count: u32) -> Event {
-    let entries = (0..count).map(|s| entry(s, ServerState::Ready, None)).collect();
-    Event::List { kind: ListKind::Full, entries }
+    let entries = (0..count)
+        .map(|s| entry(s, ServerState::Ready, None))
+        .collect();
+    Event::List {
+        kind: ListKind::Full,
+        entries,
+    }
 }
 
 pub fn arrival(request: u64, class: u8) -> Event {
@@ -96,7 +104,11 @@
 }
 
 pub fn report(busy: f64, rate: f64) -> LoadReport {
-    LoadReport { busy: Some(busy), rate: Some(rate), ..LoadReport::default() }
+    LoadReport {
+        busy: Some(busy),
+        rate: Some(rate),
+        ..LoadReport::default()
+    }
 }
 
 pub fn ended(
@@ -174,15 +186,26 @@
                 for e in entries {
                     let held = self.servers.get(&e.server).and_then(|s| s.2);
                     let stop = (e.state != ServerState::Ready).then(|| held.unwrap_or(now));
-                    self.servers.insert(e.server, (e.zone, e.cell, stop, e.kind));
+                    self.servers
+                        .insert(e.server, (e.zone, e.cell, stop, e.kind));
                 }
             }
             Event::Arrival(a) => {
                 let (class, ends) = (a.class, now + a.remaining);
-                self.requests.insert(a.request, Seen { class, ends, open: true, tries: vec![] });
+                self.requests.insert(
+                    a.request,
+                    Seen {
+                        class,
+                        ends,
+                        open: true,
+                        tries: vec![],
+                    },
+                );
             }
             Event::Ended(e) => {
-                let Some(r) = self.requests.get_mut(&e.request) else { return };
+                let Some(r) = self.requests.get_mut(&e.request) else {
+                    return;
+                };
                 if let Some(t) = r.tries.get_mut(e.attempt as usize) {
                     t.outcome = Some(e.outcome);
                 }
@@ -193,25 +216,45 @@
                     r.open = false;
                 }
             }
-            Event::Uploaded { .. } | Event::Begun { .. } | Event::Timer { .. } | Event::Probed(_) => {}
+            Event::Uploaded { .. }
+            | Event::Begun { .. }
+            | Event::Timer { .. }
+            | Event::Probed(_) => {}
         }
     }
 
     pub fn action(&mut self, now: Time, action: &Action) -> Result<(), String> {
         let broken = |what: &str| Err(format!("{what}: {action:?} at {now:?}"));
         match action {
-            Action::Send { request, server, limit } => {
-                let Some(r) = self.requests.get_mut(request) else { return broken("unknown request") };
+            Action::Send {
+                request,
+                server,
+                limit,
+            } => {
+                let Some(r) = self.requests.get_mut(request) else {
+                    return broken("unknown request");
+                };
                 if !r.open || now > r.ends {
                     return broken("rule 1, sent after the end");
                 }
-                let Some(place) = self.servers.get(server) else { return broken("unknown server") };
-                if place.2.is_some_and(|stop| now - stop > self.settings.rules.drain_grace) {
+                let Some(place) = self.servers.get(server) else {
+                    return broken("unknown server");
+                };
+                if place
+                    .2
+                    .is_some_and(|stop| now - stop > self.settings.rules.drain_grace)
+                {
                     return broken("rule 3, sent to a server that drains");
                 }
                 let class = &self.settings.classes[usize::from(r.class.0)];
-                if class.zones.as_ref().is_some_and(|open| !open.contains(&place.0))
-                    || class.kinds.as_ref().is_some_and(|open| !open.contains(&place.3))
+                if class
+                    .zones
+                    .as_ref()
+                    .is_some_and(|open| !open.contains(&place.0))
+                    || class
+                        .kinds
+                        .as_ref()
+                        .is_some_and(|open| !open.contains(&place.3))
                 {
                     return broken("rule 5, sent where its class may not go");
                 }
@@ -221,7 +264,10 @@
                 if !self.settings.second_copies && r.tries.iter().any(|t| t.outcome.is_none()) {
                     return broken("two copies out");
                 }
-                let risky = r.tries.iter().find(|t| t.outcome.is_none_or(|o| !o.never_ran()));
+                let risky = r
+                    .tries
+                    .iter()
+                    .find(|t| t.outcome.is_none_or(|o| !o.never_ran()));
                 if let Some(t) = risky {
                     let first = self.servers[&t.server];
                     let fine = match self.settings.classes[usize::from(r.class.0)].effect {
@@ -241,13 +287,26 @@
                     }
                 }
                 let limit = limit.map_or(r.ends, |l| (now + l).min(r.ends));
-                r.tries.push(Try { server: *server, sent: now, limit, outcome: None });
+                r.tries.push(Try {
+                    server: *server,
+                    sent: now,
+                    limit,
+                    outcome: None,
+                });
             }
             Action::Refuse { request, .. } => {
-                let Some(r) = self.requests.get_mut(request) else { return broken("unknown request") };
-                let risky = r.tries.iter().any(|t| t.outcome.is_none_or(|o| !o.never_ran()));
+                let Some(r) = self.requests.get_mut(request) else {
+                    return broken("unknown request");
+                };
+                let risky = r
+                    .tries
+                    .iter()
+                    .any(|t| t.outcome.is_none_or(|o| !o.never_ran()));
                 let fine = match self.settings.classes[usize::from(r.class.0)].effect {
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+                    Effect::Safe
+                    | Effect::Keyed {
+                        group: Group::All, ..
+                    } => true,
                     _ => !risky,
                 };
                 if !fine {
@@ -258,7 +317,9 @@
                 }
             }
             Action::Fail { request, .. } => {
-                let Some(r) = self.requests.get_mut(request) else { return broken("unknown request") };
+                let Some(r) = self.requests.get_mut(request) else {
+                    return broken("unknown request");
+                };
                 if !std::mem::take(&mut r.open) {
                     return broken("rule 1, a second answer");
                 }
@@ -288,7 +349,10 @@
 
     /// Rule 1 from the other side: what is owed when the client's time is over.
     pub fn overdue(&self, now: Time) -> Option<RequestId> {
-        self.requests.iter().find(|(_, r)| r.open && now >= r.ends + ms(20)).map(|(id, _)| *id)
+        self.requests
+            .iter()
+            .find(|(_, r)| r.open && now >= r.ends + ms(20))
+            .map(|(id, _)| *id)
     }
 }
 
@@ -303,7 +367,12 @@
 impl Watched {
     pub fn new(settings: Settings, seed: u64) -> Self {
         let balancer = Balancer::new(settings.clone(), seed, at(0)).expect("sound settings");
-        Watched { balancer, observer: Observer::new(settings), now: at(0), log: vec![] }
+        Watched {
+            balancer,
+            observer: Observer::new(settings),
+            now: at(0),
+            log: vec![],
+        }
     }
 
     pub fn feed(&mut self, event: Event) -> Result<Vec<Action>, String> {
@@ -334,7 +403,12 @@
             match (timer, out) {
                 (Some(t), o) if t <= until && o.is_none_or(|o| t <= o.0) => {
                     self.now = self.now.max(t);
-                    let k = self.observer.timers.iter().position(|x| x.0 == t).expect("just found");
+                    let k = self
+                        .observer
+                        .timers
+                        .iter()
+                        .position(|x| x.0 == t)
+                        .expect("just found");
                     let timer = self.observer.timers.remove(k).1;
                     self.feed(Event::Timer { timer })?;
                 }
@@ -349,8 +423,8 @@
             }
         }
         self.now = until;
-        self.observer
-            .overdue(self.now)
-            .map_or(Ok(()), |id| Err(format!("rule 1, request {id} is owed an answer")))
+        self.observer.overdue(self.now).map_or(Ok(()), |id| {
+            Err(format!("rule 1, request {id} is owed an answer"))
+        })
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,13 +9,35 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    Arrive { class: u8, remaining: u64, work: Option<u64> },
-    End { which: usize, outcome: u8, busy: f64, closed: bool },
-    Probe { which: usize, outcome: u8, busy: f64 },
+    Arrive {
+        class: u8,
+        remaining: u64,
+        work: Option<u64>,
+    },
+    End {
+        which: usize,
+        outcome: u8,
+        busy: f64,
+        closed: bool,
+    },
+    Probe {
+        which: usize,
+        outcome: u8,
+        busy: f64,
+    },
     Wait(u64),
-    Change { server: u32, state: u8, started: bool },
-    Whole { count: u32, kind: u8 },
-    Leave { which: usize },
+    Change {
+        server: u32,
+        state: u8,
+        started: bool,
+    },
+    Whole {
+        count: u32,
+        kind: u8,
+    },
+    Leave {
+        which: usize,
+    },
     Stray(u64),
 }
 
@@ -38,7 +60,16 @@
 
 fn outcome(n: u8) -> Outcome {
     use Outcome::*;
-    [Served, Error, TurnedAway, TimedOut, Unreachable, Broken, Cancelled, NotSent][usize::from(n % 8)]
+    [
+        Served,
+        Error,
+        TurnedAway,
+        TimedOut,
+        Unreachable,
+        Broken,
+        Cancelled,
+        NotSent,
+    ][usize::from(n % 8)]
 }
 
 fn state(n: u8) -> ServerState {
@@ -51,7 +82,11 @@
     let mut id = 0;
     for op in ops {
         match *op {
-            Op::Arrive { class, remaining, work } => {
+            Op::Arrive {
+                class,
+                remaining,
+                work,
+            } => {
                 id += 1;
                 let class = ClassId(class % 5);
                 let (request, tenant) = (RequestId(id), TenantId(0));
@@ -64,7 +99,12 @@
                     coming: false,
                 }))?;
             }
-            Op::End { which, outcome: o, busy, closed } => {
+            Op::End {
+                which,
+                outcome: o,
+                busy,
+                closed,
+            } => {
                 let open = w.observer.requests.iter();
                 let out: Vec<_> = open
                     .flat_map(|(id, r)| {
@@ -77,8 +117,8 @@
                     .collect();
                 if let Some(&(id, n, server)) = out.get(which % out.len().max(1)) {
                     let outcome = outcome(o);
-                    let closed =
-                        outcome == Outcome::Served || (closed && !w.observer.requests[&RequestId(id)].open);
+                    let closed = outcome == Outcome::Served
+                        || (closed && !w.observer.requests[&RequestId(id)].open);
                     let report = Some(report(busy, busy * 100.0));
                     let (request, latency) = (RequestId(id), ms(30));
                     w.feed(Event::Ended(Ended {
@@ -92,23 +132,48 @@
                     }))?;
                 }
             }
-            Op::Probe { which, outcome: o, busy } => {
+            Op::Probe {
+                which,
+                outcome: o,
+                busy,
+            } => {
                 if !w.observer.probes.is_empty() {
                     let server = w.observer.probes.remove(which % w.observer.probes.len());
-                    let report = Some(LoadReport { held: Some(busy), ..report(busy, 0.0) });
-                    w.feed(Event::Probed(Probed { server, outcome: outcome(o), latency: ms(1), report }))?;
+                    let report = Some(LoadReport {
+                        held: Some(busy),
+                        ..report(busy, 0.0)
+                    });
+                    w.feed(Event::Probed(Probed {
+                        server,
+                        outcome: outcome(o),
+                        latency: ms(1),
+                        report,
+                    }))?;
                 }
             }
             Op::Wait(n) => w.wait(ms(n))?,
-            Op::Change { server, state: s, started } => {
+            Op::Change {
+                server,
+                state: s,
+                started,
+            } => {
                 let entries = vec![entry(server, state(s), started.then_some(w.now))];
-                w.feed(Event::List { kind: ListKind::Changes, entries })?;
+                w.feed(Event::List {
+                    kind: ListKind::Changes,
+                    entries,
+                })?;
             }
             Op::Whole { count, kind } => {
-                let kind = [ListKind::Full, ListKind::Cached, ListKind::Failed, ListKind::Full]
-                    [usize::from(kind % 4)];
+                let kind = [
+                    ListKind::Full,
+                    ListKind::Cached,
+                    ListKind::Failed,
+                    ListKind::Full,
+                ][usize::from(kind % 4)];
                 let count = if kind == ListKind::Failed { 0 } else { count };
-                let entries = (0..count).map(|s| entry(s % 7, ServerState::Ready, None)).collect();
+                let entries = (0..count)
+                    .map(|s| entry(s % 7, ServerState::Ready, None))
+                    .collect();
                 w.feed(Event::List { kind, entries })?;
             }
             Op::Leave { which } => {
@@ -127,12 +192,31 @@
                     Some(report(0.5, 1.0)),
                 ))?;
                 assert!(none.is_empty());
-                assert!(w.feed(Event::ClientGone { request: RequestId(n | 1 << 60) })?.is_empty());
-                assert!(w.feed(Event::Timer { timer: TimerId(u32::MAX) })?.is_empty());
+                assert!(w
+                    .feed(Event::ClientGone {
+                        request: RequestId(n | 1 << 60)
+                    })?
+                    .is_empty());
+                assert!(w
+                    .feed(Event::Timer {
+                        timer: TimerId(u32::MAX)
+                    })?
+                    .is_empty());
                 let (request, attempt) = (RequestId(n | 1 << 60), 3);
-                assert!(w.feed(Event::Begun { request, attempt, latency: ms(1) })?.is_empty());
+                assert!(w
+                    .feed(Event::Begun {
+                        request,
+                        attempt,
+                        latency: ms(1)
+                    })?
+                    .is_empty());
                 let (server, outcome) = (ServerId(u32::MAX), Outcome::Served);
-                let stray = Probed { server, outcome, latency: ms(1), report: None };
+                let stray = Probed {
+                    server,
+                    outcome,
+                    latency: ms(1),
+                    report: None,
+                };
                 assert!(w.feed(Event::Probed(stray))?.is_empty());
             }
         }
@@ -151,11 +235,24 @@
         second_copies: true,
         ..settings()
     };
-    let silent =
-        Settings { reports: Reports::Absent, reports_rate: false, list_on_request: true, ..settings() };
-    let weighed = Settings { weights_given: true, max_attempts: 1, max_wait: None, ..settings() };
-    let placed_probing =
-        Settings { classes: bound().classes, max_attempts: 5, second_copies: true, ..probing.clone() };
+    let silent = Settings {
+        reports: Reports::Absent,
+        reports_rate: false,
+        list_on_request: true,
+        ..settings()
+    };
+    let weighed = Settings {
+        weights_given: true,
+        max_attempts: 1,
+        max_wait: None,
+        ..settings()
+    };
+    let placed_probing = Settings {
+        classes: bound().classes,
+        max_attempts: 5,
+        second_copies: true,
+        ..probing.clone()
+    };
     vec![plain, probing, silent, weighed, bound(), placed_probing]
 }
 
@@ -183,26 +280,42 @@
 /// The observer itself catches a planted violation of each rule.
 #[test]
 fn observer_catches_planted_violations() {
-    let send =
-        |request, server| Action::Send { request: RequestId(request), server: ServerId(server), limit: None };
+    let send = |request, server| Action::Send {
+        request: RequestId(request),
+        server: ServerId(server),
+        limit: None,
+    };
     let start = || {
         let mut o = Observer::new(settings());
         o.event(at(0), &list(8));
         for class in 0..5 {
             o.event(at(0), &arrival(u64::from(class), class));
-            o.action(at(0), &send(u64::from(class), 0)).expect("a first send is fine");
+            o.action(at(0), &send(u64::from(class), 0))
+                .expect("a first send is fine");
         }
         o
     };
-    let refuse =
-        |request| Action::Refuse { request: RequestId(request), wait: None, reason: Reason::NoServer };
+    let refuse = |request| Action::Refuse {
+        request: RequestId(request),
+        wait: None,
+        reason: Reason::NoServer,
+    };
     // Rule 1: no answer, two answers, a send after the end.
     assert_eq!(start().overdue(at(1020)), Some(RequestId(0)));
     assert_eq!(start().overdue(at(900)), None);
     let mut o = start();
-    o.action(at(1), &refuse(0)).expect("safe requests may be refused");
+    o.action(at(1), &refuse(0))
+        .expect("safe requests may be refused");
     assert!(o.action(at(1), &refuse(0)).is_err());
-    assert!(o.action(at(1), &Action::Fail { request: RequestId(0), reason: Reason::NoServer }).is_err());
+    assert!(o
+        .action(
+            at(1),
+            &Action::Fail {
+                request: RequestId(0),
+                reason: Reason::NoServer
+            }
+        )
+        .is_err());
     assert!(o.action(at(1), &send(0, 1)).is_err());
     // Rule 2: unsafe again, keyed outside its group or window, refused though it may have run, two out.
     for (request, server, when, fine) in [
@@ -216,7 +329,10 @@
         (4, 2, 1, false),
     ] {
         let mut o = start();
-        assert!(o.action(at(1), &send(request, server)).is_err(), "two copies out");
+        assert!(
+            o.action(at(1), &send(request, server)).is_err(),
+            "two copies out"
+        );
         o.event(at(1), &ended(request, 0, ServerId(0), Outcome::Error, None));
         assert_eq!(
             o.action(at(when), &send(request, server)).is_ok(),
@@ -225,30 +341,53 @@
         );
         let mut o = start();
         o.event(at(1), &ended(request, 0, ServerId(0), Outcome::Error, None));
-        assert_eq!(o.action(at(1), &refuse(request)).is_ok(), request == 0 || request == 2);
+        assert_eq!(
+            o.action(at(1), &refuse(request)).is_ok(),
+            request == 0 || request == 2
+        );
     }
     // Rule 5: a first try and a further one outside the class's zone, kind, or both.
-    for (class, server, fine) in
-        [(0, 1, true), (0, 2, false), (1, 0, true), (1, 1, false), (2, 4, true), (2, 1, false), (3, 0, false)]
-    {
+    for (class, server, fine) in [
+        (0, 1, true),
+        (0, 2, false),
+        (1, 0, true),
+        (1, 1, false),
+        (2, 4, true),
+        (2, 1, false),
+        (3, 0, false),
+    ] {
         for tried in [false, true] {
             let mut o = Observer::new(bound());
             o.event(at(0), &list(8));
             o.event(at(0), &arrival(1, class));
             if tried {
                 if let Some(first) = [5, 3, 4].get(usize::from(class)) {
-                    o.action(at(0), &send(1, *first)).expect("open to the class");
-                    o.event(at(1), &ended(1, 0, ServerId(*first), Outcome::TurnedAway, None));
+                    o.action(at(0), &send(1, *first))
+                        .expect("open to the class");
+                    o.event(
+                        at(1),
+                        &ended(1, 0, ServerId(*first), Outcome::TurnedAway, None),
+                    );
                 }
             }
-            assert_eq!(o.action(at(1), &send(1, server)).is_ok(), fine, "{class} to {server}");
+            assert_eq!(
+                o.action(at(1), &send(1, server)).is_ok(),
+                fine,
+                "{class} to {server}"
+            );
         }
     }
     // Rule 3: a send after the grace.
     for (when, fine) in [(260, true), (261, false)] {
         let mut o = start();
         let entries = vec![entry(5, ServerState::Draining, None)];
-        o.event(at(10), &Event::List { kind: ListKind::Changes, entries });
+        o.event(
+            at(10),
+            &Event::List {
+                kind: ListKind::Changes,
+                entries,
+            },
+        );
         o.event(at(11), &arrival(9, 0));
         assert_eq!(o.action(at(when), &send(9, 5)).is_ok(), fine);
     }
