--- a/examples/by_hand.rs
+++ b/crates/balancer/examples/by_hand.rs
@@ -1,6 +1,7 @@
-//! Drives a balancer by hand-written events: a slow server, one that fails fast, an overload. Prints the choices.
+//! Drives a balancer by hand-written events: a slow server, one that fails fast, an overload.
+//! Prints the choices.
 
-use finchvale::*;
+use balancer::*;
 use std::time::Duration;
 
 fn settings() -> Settings {
@@ -46,7 +47,8 @@
     }
 }
 
-/// Plays `rate` requests a second for two seconds; server 2 has half the capacity, server 3 fails if `failing`.
+/// Plays `rate` requests a second for two seconds; server 2 has half the capacity, server 3 fails
+/// if `failing`.
 fn play(
     balancer: &mut Balancer,
     from_ms: u64,
--- a/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -87,7 +87,8 @@
 }
 
 impl Effect {
-    /// For how long after the first send that may have run a request may be repeated, where that is limited.
+    /// For how long after the first send that may have run a request may be repeated, where that is
+    /// limited.
     pub fn window(self) -> Option<Duration> {
         match self {
             Effect::Keyed { window, .. } => Some(window),
--- a/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,13 +1,14 @@
-//! finchvale makes the decisions of a reverse proxy that spreads requests over servers.
+//! The balancer makes the decisions of a reverse proxy that spreads requests over servers.
 //!
-//! Each node keeps a price per server, moved by a projected dual step on reported load, and draws servers from
-//! the shares that maximise concave, speed-valued utility minus price. The crate does no I/O, reads no clock,
-//! starts no threads and keeps no globals: the node feeds [`Event`]s with its own time and carries out the
-//! [`Action`]s. The same settings, seed and events give the same actions.
+//! Each node keeps a price per server, moved by a projected dual step on reported load, and draws
+//! servers from the shares that maximise concave, speed-valued utility minus price. The crate does
+//! no I/O, reads no clock, starts no threads and keeps no globals: the node feeds [`Event`]s with
+//! its own time and carries out the [`Action`]s. The same settings, seed and events give the same
+//! actions.
 //!
 //! ```
 //! use std::time::Duration;
-//! use finchvale::*;
+//! use balancer::*;
 //!
 //! let second = Duration::from_secs(1);
 //! let settings = Settings {
@@ -77,7 +78,7 @@
 #![deny(missing_docs)]
 
 #[cfg(test)]
-extern crate self as finchvale;
+extern crate self as balancer;
 
 mod interface;
 mod logic;
--- a/src/logic.rs
+++ b/crates/balancer/src/logic.rs
@@ -1,9 +1,10 @@
 //! Every decision of the balancer. Its settings, events and actions are in `src/interface.rs`.
 //!
-//! Each node keeps a price per server, moved by a projected dual step on reported load, and draws servers
-//! from the shares that maximise speed-valued concave utility minus price (`docs/design.md` has the symbols).
-//! Prices, shares and speeds are kept relative to the number n of ready servers: price = φ/n, lambda = λ/n,
-//! speed = ζ/n (mean 1) and share = η·n (sum n), so that no constant depends on the size of the fleet.
+//! Each node keeps a price per server, moved by a projected dual step on reported load, and draws
+//! servers from the shares that maximise speed-valued concave utility minus price (`docs/design.md`
+//! has the symbols). Prices, shares and speeds are kept relative to the number n of ready servers:
+//! price = φ/n, lambda = λ/n, speed = ζ/n (mean 1) and share = η·n (sum n), so that no constant
+//! depends on the size of the fleet.
 
 use crate::interface::*;
 use crate::state::{Attempt, Balancer, Line, Request, Server};
@@ -105,9 +106,10 @@
         entries: &[ServerEntry],
         actions: &mut Vec<Action>,
     ) {
-        // Where lists come on request, calls are spread at random: all nodes may have started together, and
-        // calls that fail in a row mean that discovery is busy. A watch that has served and broken is opened
-        // anew soon: what it misses counts as told. The last list stays valid.
+        // Where lists come on request, calls are spread at random: all nodes may have started
+        // together, and calls that fail in a row mean that discovery is busy. A watch that has
+        // served and broken is opened anew soon: what it misses counts as told. The last list stays
+        // valid.
         if self.settings.list_on_request && matches!(kind, ListKind::Cached | ListKind::Failed) {
             let known = entries.iter().any(|e| e.state == ServerState::Ready);
             let longest = if known { 30.0 } else { 5.0 * ASK_MOST };
@@ -137,8 +139,9 @@
         }
     }
 
-    /// The longest wait after a failed call for the list. Failures in a row double it, less the time that the
-    /// latest took: a call that was given up for its silence has been a pause already.
+    /// The longest wait after a failed call for the list. Failures in a row double it, less the
+    /// time that the latest took: a call that was given up for its silence has been a pause
+    /// already.
     fn backoff(&self, now: Time) -> f64 {
         let most = (ASK_AGAIN * f64::from(1u32 << self.list_failures.min(16))).min(ASK_MOST);
         match self.list_failures {
@@ -173,15 +176,18 @@
         }
         s.price = (s.price + STEP * live * (load - load_factor))
             .clamp(0.0, self.going_price + PRICE_MOST);
-        // A server that gets nothing reports nothing: without a way back it would be avoided for ever.
+        // A server that gets nothing reports nothing: without a way back it would be avoided for
+        // ever.
         s.price += (self.going_price - s.price) * ((ticks * TICK - live) / DRIFT).min(1.0);
-        // A cold one is idle by its bound: cheap for that, it would be rushed as soon as it is warm.
+        // A cold one is idle by its bound: cheap for that, it would be rushed as soon as it is
+        // warm.
         if cold {
             s.price = s.price.max(self.going_price);
         }
     }
 
-    /// Brings prices and shares up to date when a draw is due: once a tick, or after a few own sends.
+    /// Brings prices and shares up to date when a draw is due: once a tick, or after a few own
+    /// sends.
     fn solve(&mut self, now: Time) {
         let dt = self.solved.map_or(TICK, |at| (now - at).as_secs_f64());
         // What a node has out itself changes with each send: shares that rest on it are soon stale.
@@ -200,7 +206,8 @@
             let s = &mut self.servers[i];
             price += s.price / n;
             weight += s.weight / n;
-            // Old reports fade out of the fleet's mean load: a fleet that refuses much hears little news.
+            // Old reports fade out of the fleet's mean load: a fleet that refuses much hears little
+            // news.
             if let Some(l) = s.load {
                 let trust = (self.report_life - (now - s.reported).as_secs_f64())
                     .min(0.0)
@@ -248,8 +255,8 @@
                 }
                 (false, false) => self.pace(s, KIND_PRIOR) / self.mean_pace,
             };
-            // No node asks more of a server than its part of what that can do (the paper's local constraint,
-            // eq. 10): else shares gather on one cheap server and break it.
+            // No node asks more of a server than its part of what that can do (the paper's local
+            // constraint, eq. 10): else shares gather on one cheap server and break it.
             let mut most = f64::INFINITY;
             if known {
                 let capacity = if s.evidence > 0.0 {
@@ -259,8 +266,8 @@
                 };
                 most = ADMIT * capacity * self.part * n / asked;
             }
-            // A cold server falls over when all nodes together rush it: its share stays within a part of
-            // what the rule allows it, measured by what a warm peer of its speed takes.
+            // A cold server falls over when all nodes together rush it: its share stays within a
+            // part of what the rule allows it, measured by what a warm peer of its speed takes.
             let warmth = s.warmth(&self.settings.rules, now);
             if warmth < 1.0 {
                 most = most
@@ -289,8 +296,8 @@
         }
     }
 
-    /// Solves each class's shares over its open servers. Bounds are on a server's whole flow: a class gets
-    /// as much of them as of the flow that equal shares would bring there.
+    /// Solves each class's shares over its open servers. Bounds are on a server's whole flow: a
+    /// class gets as much of them as of the flow that equal shares would bring there.
     fn trade(&mut self, lines: &[Line], flows: &[f64], floor: f64, now: Time, dt: f64) {
         let (n, asked) = (lines.len() as f64, flows.iter().sum::<f64>().max(1e-9));
         let mut open = self.placed();
@@ -322,8 +329,9 @@
                     .for_each(|&k| taken[c][k] += brought * lines[k].speed);
             }
         }
-        // A blind node deals with as many servers as it can hear of in time. Without reports closed ones, and
-        // what cold ones can't take, make room: else all that would fall on the few that are well.
+        // A blind node deals with as many servers as it can hear of in time. Without reports closed
+        // ones, and what cold ones can't take, make room: else all that would fall on the few that
+        // are well.
         let untold = self.settings.reports == Reports::Absent;
         let few: Vec<f64> = self
             .markets
@@ -386,7 +394,8 @@
         }
     }
 
-    /// Sets the thresholds that turn away a part of recent arrivals: over all of a placement, and by class.
+    /// Sets the thresholds that turn away a part of recent arrivals: over all of a placement, and
+    /// by class.
     fn set_thresholds(&mut self, leader: usize, refused: f64) {
         let worths = &self.markets[leader].worths;
         let all = threshold(worths.iter().map(|w| w.1), refused);
@@ -411,8 +420,9 @@
         }
     }
 
-    /// Chance that an arrival is turned away. Of what is let in, a part goes to all classes alike; over the
-    /// rest worth decides between them too. Where it alone did, a class of little worth got hardly anything.
+    /// Chance that an arrival is turned away. Of what is let in, a part goes to all classes alike;
+    /// over the rest worth decides between them too. Where it alone did, a class of little worth
+    /// got hardly anything.
     fn shed_chance(&self, class: ClassId, worth: f64) -> f64 {
         let m = &self.markets[usize::from(class.0)];
         let chance = |threshold: f64| (threshold / worth.max(1e-9)).min(1.0);
@@ -488,7 +498,8 @@
         }
     }
 
-    /// Failures cost: failing fast would look idle. To a blind node full or timed out is at the limit.
+    /// Failures cost: failing fast would look idle. To a blind node full or timed out is at the
+    /// limit.
     fn failed(&mut self, now: Time, server: ServerId, outcome: Outcome) {
         let Some(&i) = self.index.get(&server) else {
             return;
@@ -515,7 +526,8 @@
         s.reported = if spent { now } else { s.reported };
     }
 
-    /// Moves the shed part of a class's arrivals by what one attempt met; without news it drifts back slowly.
+    /// Moves the shed part of a class's arrivals by what one attempt met; without news it drifts
+    /// back slowly.
     fn weigh(&mut self, now: Time, class: usize, load: f64) {
         let leader = self.markets[class].leader;
         let untold = self.settings.reports == Reports::Absent;
@@ -581,8 +593,9 @@
         }
     }
 
-    /// Worth of a request by the part of its quota that its tenant is let in for: the less, the more. What is
-    /// turned away doesn't count. It comes again, and for each refusal its tenant would be refused the more.
+    /// Worth of a request by the part of its quota that its tenant is let in for: the less, the
+    /// more. What is turned away doesn't count. It comes again, and for each refusal its tenant
+    /// would be refused the more.
     fn worth(&mut self, now: Time, class: ClassId, tenant: TenantId) -> f64 {
         let mut worth = self.settings.classes[usize::from(class.0)].worth;
         if let Some(rate) = self.tenants.get_mut(usize::from(tenant.0)) {
@@ -601,7 +614,8 @@
         let class = &self.settings.classes[usize::from(r.class.0)];
         let rules = &self.settings.rules;
         let warmth = s.warmth(rules, now);
-        // One heavy request can spend a cold server's whole budget. Without a time for it there is none.
+        // One heavy request can spend a cold server's whole budget. Without a time for it there is
+        // none.
         let within = if rules.fall_time.is_zero() {
             f64::INFINITY
         } else {
@@ -635,8 +649,8 @@
         }
     }
 
-    /// Draws a server by share among those open to this request. What closed servers leave goes to warm ones:
-    /// a cold server keeps its share and no more, since its bound holds for that.
+    /// Draws a server by share among those open to this request. What closed servers leave goes to
+    /// warm ones: a cold server keeps its share and no more, since its bound holds for that.
     fn draw(&mut self, now: Time, id: RequestId, warm_only: bool) -> Option<usize> {
         self.solve(now);
         let mark = self.random();
@@ -677,8 +691,8 @@
         server.is_some()
     }
 
-    /// How long an attempt may take. Where no report tells load, that it takes the whole aim does: if it can
-    /// earn nothing any more, it ends, and its server is known to be past what it can do.
+    /// How long an attempt may take. Where no report tells load, that it takes the whole aim does:
+    /// if it can earn nothing any more, it ends, and its server is known to be past what it can do.
     fn patience(&self, now: Time, r: &Request) -> Duration {
         let untold = self.settings.reports == Reports::Absent;
         match untold && self.settings.classes[usize::from(r.class.0)].late_worth == 0.0 {
@@ -767,7 +781,8 @@
         let load = match end.outcome {
             Outcome::TurnedAway => Some(1.0 + EXCESS),
             Outcome::TimedOut if latency > OVERDUE * self.latency => Some(1.0 + EXCESS),
-            // How long a large answer takes to pass on is its client's doing: its first bytes have counted.
+            // How long a large answer takes to pass on is its client's doing: its first bytes have
+            // counted.
             Outcome::Served if streamed => load,
             Outcome::Served => Some(load.unwrap_or(0.0).max((latency / aim).min(1.0 + EXCESS))),
             _ => load,
@@ -783,7 +798,8 @@
         if over {
             return self.forget(end.request);
         }
-        // Another attempt where class, time and the retry budget allow; the budget keeps collapses unfed.
+        // Another attempt where class, time and the retry budget allow; the budget keeps collapses
+        // unfed.
         let Some(r) = self.requests.get(&end.request) else {
             return;
         };
@@ -801,7 +817,8 @@
         }
     }
 
-    /// The final answer of a request that is given up: refused where that is true to its class, else failed.
+    /// The final answer of a request that is given up: refused where that is true to its class,
+    /// else failed.
     fn finish(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.open && !r.begun) else {
             return;
@@ -835,8 +852,8 @@
     }
 
     // ---- probes ----
-    /// Probes a few servers drawn by share; only the first may be cold, lest the best-of draw rush it. What
-    /// was heard a moment ago, or is being asked already, is not asked again.
+    /// Probes a few servers drawn by share; only the first may be cold, lest the best-of draw rush
+    /// it. What was heard a moment ago, or is being asked already, is not asked again.
     fn ask(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let wait = PROBE_WAIT * self.probe_latency;
         for k in 0..PROBES {
@@ -954,7 +971,8 @@
             .is_none_or(|open| open.contains(&s.kind))
 }
 
-/// The worth below which arrivals are turned away in part, so that of those like these such a part is.
+/// The worth below which arrivals are turned away in part, so that of those like these such a part
+/// is.
 fn threshold(worths: impl Iterator<Item = f64> + Clone, refused: f64) -> f64 {
     if refused <= 1e-3 {
         return 0.0;
@@ -972,16 +990,18 @@
     high
 }
 
-/// share = [1/(price + lambda) − 1/speed]₊, at most `most`, of sum n: the maximum of Σ ln(1 + share·speed)
-/// − price·share. Newton steps on lambda, kept inside a shrinking bracket. Returns lambda.
+/// share = [1/(price + lambda) − 1/speed]₊, at most `most`, of sum n: the maximum of Σ ln(1 +
+/// share·speed) − price·share. Newton steps on lambda, kept inside a shrinking bracket. Returns
+/// lambda.
 fn solve_shares(lines: &[Line], floor: f64, start: f64, shares: &mut Vec<f64>) -> f64 {
     let n = lines.len() as f64;
     let share = |l: &Line, lambda: f64| match l.price + lambda {
         dear if dear > 0.0 => (1.0 / dear - 1.0 / l.speed).clamp(0.0, l.most),
         _ => l.most, // Cheaper than any share can make it: its bound alone holds.
     };
-    // Where the bounds leave no room for n the rest is refused: lower, even dear servers would fill up. A
-    // bounded server that stays cheap, as an idle cold one does, doesn't count: it would close the others.
+    // Where the bounds leave no room for n the rest is refused: lower, even dear servers would fill
+    // up. A bounded server that stays cheap, as an idle cold one does, doesn't count: it would
+    // close the others.
     let least = |bounded: bool| {
         lines
             .iter()
--- a/src/logic_tests.rs
+++ b/crates/balancer/src/logic_tests.rs
@@ -64,8 +64,8 @@
         let shares = solved(&lines);
         assert!((shares.iter().sum::<f64>() - n as f64).abs() < 1e-4 * n as f64);
         assert!(shares.iter().all(|s| *s >= 0.0));
-        // Independent check: no small move of share from one server to another raises the sum of utility
-        // less price.
+        // Independent check: no small move of share from one server to another raises the sum of
+        // utility less price.
         let best = utility(&lines, &shares);
         for from in 0..n {
             for to in 0..n {
@@ -82,8 +82,9 @@
     }
 }
 
-/// A cold server gets little, is idle and grows cheap. The others must still get all that it can't take, however dear they
-/// are beside it: on days of releases half of the requests were refused for want of shares.
+/// A cold server gets little, is idle and grows cheap. The others must still get all that it can't
+/// take, however dear they are beside it: on days of releases half of the requests were refused for
+/// want of shares.
 #[test]
 fn a_cheap_bounded_server_does_not_close_the_others() {
     let cold = Line {
@@ -199,7 +200,8 @@
     }
 }
 
-/// Many nodes together: a cold server's intake stays far inside its budget from its first second on.
+/// Many nodes together: a cold server's intake stays far inside its budget from its first second
+/// on.
 #[test]
 fn cold_servers_are_not_rushed() {
     let (nodes, servers, rate) = (40u64, 20u32, 2.0);
@@ -256,7 +258,8 @@
     assert!(!cold.is_empty(), "it must get work to warm up");
 }
 
-/// Altiplano big-2: with dispersed prices up to ten of n shares gathered on one server and broke it.
+/// Altiplano big-2: with dispersed prices up to ten of n shares gathered on one server and broke
+/// it.
 #[test]
 fn no_server_is_asked_for_more_than_its_part() {
     let mut b = balancer(4);
@@ -301,8 +304,9 @@
     assert!(share(&b, 0, 2) < 0.2 * before, "{:?}", b.markets[0].shares);
 }
 
-/// Incident inc3826: three answers in a hundred could not be read, at every server, and each closed its server for
-/// seconds, while the others were crowded. A server is as dear as the part of its answers that fail.
+/// Incident inc3826: three answers in a hundred could not be read, at every server, and each closed
+/// its server for seconds, while the others were crowded. A server is as dear as the part of its
+/// answers that fail.
 #[test]
 fn a_rare_broken_answer_does_not_close_its_server() {
     let mut b = balancer(4);
@@ -332,8 +336,9 @@
     );
 }
 
-/// A large fleet, join+vast: the list gave every server the same weight, while the kinds differ three times in speed, and a
-/// node met a single server too seldom to learn it. What answers of a kind's other servers tell counts for it.
+/// A large fleet, join+vast: the list gave every server the same weight, while the kinds differ
+/// three times in speed, and a node met a single server too seldom to learn it. What answers of a
+/// kind's other servers tell counts for it.
 #[test]
 fn a_server_never_met_is_valued_by_its_kind() {
     let settings = Settings {
@@ -343,7 +348,8 @@
     };
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(5), &mut vec![]);
-    // Kinds go by id modulo 3. One server of each of two is met, the second at three times the time for its work.
+    // Kinds go by id modulo 3. One server of each of two is met, the second at three times the time
+    // for its work.
     for k in 0..40u64 {
         b.answered(at(k), ServerId(0), 0.02, Some(0.02));
         b.answered(at(k), ServerId(1), 0.06, Some(0.02));
@@ -366,8 +372,9 @@
     assert!(share(&b, 0, 0) > 0.95 * before, "{:?}", b.markets[0].shares);
 }
 
-/// join+vast: eighteen of sixty servers came cold within seconds and idled at a fifth of their fellows' attempts, since the
-/// bound was the same for fast and slow. It follows a server's speed, and stays within what it can do by then.
+/// join+vast: eighteen of sixty servers came cold within seconds and idled at a fifth of their
+/// fellows' attempts, since the bound was the same for fast and slow. It follows a server's speed,
+/// and stays within what it can do by then.
 #[test]
 fn a_cold_servers_bound_follows_its_speed() {
     let settings = Settings {
@@ -441,9 +448,10 @@
     );
 }
 
-/// Of classes whose worths differ tenfold the cheapest was shed nearly whole before the dearest was touched: with six in ten
-/// turned away a class of worth 1 beside others of 2 and 10 was let in at one in ten. What is let in goes to all classes
-/// alike for the most part; over the rest worth decides, and no more is let in for that.
+/// Of classes whose worths differ tenfold the cheapest was shed nearly whole before the dearest was
+/// touched: with six in ten turned away a class of worth 1 beside others of 2 and 10 was let in at
+/// one in ten. What is let in goes to all classes alike for the most part; over the rest worth
+/// decides, and no more is let in for that.
 #[test]
 fn no_class_is_shed_whole_for_the_others() {
     for refused in [0.2, 0.4, 0.6, 0.8] {
@@ -547,8 +555,8 @@
     );
 }
 
-/// An estimated wait is an average, and what is late by a little is worth nothing and still takes its room. A request's own
-/// work is no such guess: at an idle server a heavy one can be in time.
+/// An estimated wait is an average, and what is late by a little is worth nothing and still takes
+/// its room. A request's own work is no such guess: at an idle server a heavy one can be in time.
 #[test]
 fn long_waits_are_taken_for_longer() {
     let probing = Settings {
@@ -594,8 +602,9 @@
     assert!(!sent(aim / 10, 8.5));
 }
 
-/// A probe costs the server and the node, and is no use where its answer is known. What the node itself has sent since is
-/// not in that answer and must be counted in, or all requests of a moment go to one server.
+/// A probe costs the server and the node, and is no use where its answer is known. What the node
+/// itself has sent since is not in that answer and must be counted in, or all requests of a moment
+/// go to one server.
 #[test]
 fn what_was_just_heard_is_not_asked_again() {
     let probing = Settings {
@@ -721,8 +730,8 @@
     assert!(sent(&mut b, at(100), 2).is_some());
 }
 
-/// What a broken watch misses counts as told within seconds, however seldom lists have to be asked for. Only calls that
-/// fail in a row are spread ever wider.
+/// What a broken watch misses counts as told within seconds, however seldom lists have to be asked
+/// for. Only calls that fail in a row are spread ever wider.
 #[test]
 fn a_watch_that_has_served_is_opened_anew_at_once() {
     for seed in 0..50 {
@@ -756,9 +765,10 @@
     }
 }
 
-/// What calls that fail have missed counts as told 6 s after discovery had it and could be reached. A call that was given up
-/// for its silence may have begun just before that, the next may fail as well, and the one after it has to bring the list:
-/// whatever failed before, however seldom lists have to be asked for, and at the first start too.
+/// What calls that fail have missed counts as told 6 s after discovery had it and could be reached.
+/// A call that was given up for its silence may have begun just before that, the next may fail as
+/// well, and the one after it has to bring the list: whatever failed before, however seldom lists
+/// have to be asked for, and at the first start too.
 #[test]
 fn two_more_calls_fit_into_the_time_in_which_a_change_counts_as_told() {
     const GIVEN_UP: u64 = 2500; // As the node does: `OPENING` in node/src/discovery.rs.
@@ -810,8 +820,9 @@
     }
 }
 
-/// A process that knows no server to send to can't serve before its first list: it asks soon, however seldom lists have to be
-/// asked for. One that knows some keeps to them, and its call stays spread out.
+/// A process that knows no server to send to can't serve before its first list: it asks soon,
+/// however seldom lists have to be asked for. One that knows some keeps to them, and its call stays
+/// spread out.
 #[test]
 fn a_process_that_knows_no_server_asks_soon() {
     let longest = |entries: &[ServerEntry]| {
@@ -887,8 +898,8 @@
     assert!(*most < NODES / 8, "{most} of {NODES} within 50 ms");
 }
 
-/// Placement: shares are solved over the open servers only, and nothing else is drawn, also when all of those are
-/// down or were tried.
+/// Placement: shares are solved over the open servers only, and nothing else is drawn, also when
+/// all of those are down or were tried.
 #[test]
 fn bound_classes_keep_to_their_servers() {
     let mut b = Balancer::new(common::bound(), 7, at(0)).expect("sound settings");
@@ -999,10 +1010,11 @@
     b
 }
 
-/// O, split+mass: a cut, or servers slowed by their own load, left a node with two or three of its few, which then took all
-/// its traffic and slowed down as well, while it knew of hundreds. Servers that are closed make room for others among the
-/// few; once they answer well they are enough again. The same holds for what cold ones can't take. Where reports tell load the
-/// few stay as they are: with more of them a large fleet heard too little of each.
+/// O, split+mass: a cut, or servers slowed by their own load, left a node with two or three of its
+/// few, which then took all its traffic and slowed down as well, while it knew of hundreds. Servers
+/// that are closed make room for others among the few; once they answer well they are enough again.
+/// The same holds for what cold ones can't take. Where reports tell load the few stay as they are:
+/// with more of them a large fleet heard too little of each.
 #[test]
 fn closed_and_cold_servers_make_room_for_others() {
     let settings = Settings {
@@ -1073,8 +1085,9 @@
     );
 }
 
-/// Where no report tells load, what an attempt meets does: it ends with the aim, beyond which its answer earns nothing. Where
-/// a late answer earns something, or reports tell load, it may take as long as the client waits.
+/// Where no report tells load, what an attempt meets does: it ends with the aim, beyond which its
+/// answer earns nothing. Where a late answer earns something, or reports tell load, it may take as
+/// long as the client waits.
 #[test]
 fn attempts_that_can_earn_nothing_more_end_where_nothing_else_tells_load() {
     let limit = |reports: Reports, late_worth: f64| {
@@ -1120,8 +1133,9 @@
     );
 }
 
-/// Etichete big-1: every node opened connections to every server, whose tables filled up, and heard of each too
-/// rarely to price it. A node deals with few servers, by an order of its own, and with more as it sends more.
+/// Etichete big-1: every node opened connections to every server, whose tables filled up, and heard
+/// of each too rarely to price it. A node deals with few servers, by an order of its own, and with
+/// more as it sends more.
 #[test]
 fn nodes_deal_with_as_many_servers_as_they_hear_of() {
     let mut b = blind();
@@ -1180,8 +1194,9 @@
     assert!((share(&b, 0, 1) - share(&b, 0, 2)).abs() < 0.1);
 }
 
-/// Incident ie8f519: servers slowed by their own load answered nothing in time and so reported nothing. What the
-/// node's own attempts meet sheds arrivals, stays shed without news, and lets them in again.
+/// Incident ie8f519: servers slowed by their own load answered nothing in time and so reported
+/// nothing. What the node's own attempts meet sheds arrivals, stays shed without news, and lets
+/// them in again.
 #[test]
 fn attempts_that_meet_load_shed_arrivals() {
     let mut b = blind();
@@ -1221,8 +1236,9 @@
     assert!(after < 0.1, "{after}");
 }
 
-/// Incident inc3539: a report of a request or two waiting counted as that many capacities of load, so that half-idle
-/// servers were dear and most arrivals were shed. What waits counts by the time that it takes.
+/// Incident inc3539: a report of a request or two waiting counted as that many capacities of load,
+/// so that half-idle servers were dear and most arrivals were shed. What waits counts by the time
+/// that it takes.
 #[test]
 fn a_short_queue_at_a_half_idle_server_sheds_nothing() {
     let shed = |waiting: f64| {
@@ -1257,8 +1273,9 @@
     );
 }
 
-/// Where no report tells load an answer's time is all that speaks, and by the time that it takes the whole aim the servers
-/// are long past what they can do: arrivals are shed before that. A report that tells of room is believed.
+/// Where no report tells load an answer's time is all that speaks, and by the time that it takes
+/// the whole aim the servers are long past what they can do: arrivals are shed before that. A
+/// report that tells of room is believed.
 #[test]
 fn without_reports_slow_answers_shed_before_they_take_the_aim() {
     let shed = |reports: Reports, part: f64| {
@@ -1299,8 +1316,9 @@
     assert_eq!(shed(Reports::WithAnswers, 0.85), 0.0);
 }
 
-/// Incident inc5571: with 0.85 as the most, half of the tries were shed by servers that turned nobody away and answered in
-/// time. Arrivals are shed where busy part and wait together are more than a whole capacity.
+/// Incident inc5571: with 0.85 as the most, half of the tries were shed by servers that turned
+/// nobody away and answered in time. Arrivals are shed where busy part and wait together are more
+/// than a whole capacity.
 #[test]
 fn busy_servers_that_answer_in_time_shed_nothing() {
     let shed = |busy: f64, waiting: f64| {
@@ -1332,8 +1350,9 @@
     );
 }
 
-/// Incident inc5571: refused clients were told to wait 1.2 s, the longest that any would, where an answer counts for
-/// 150 ms and the client itself waits for 840 ms: those that kept to it came back for nothing.
+/// Incident inc5571: refused clients were told to wait 1.2 s, the longest that any would, where an
+/// answer counts for 150 ms and the client itself waits for 840 ms: those that kept to it came back
+/// for nothing.
 #[test]
 fn refused_clients_are_told_to_come_back_in_time() {
     let advised = |shed: f64, max_wait| {
@@ -1363,8 +1382,8 @@
     assert_eq!(advised(0.9, None), None);
 }
 
-/// Incident inc3826: cores seen busy for one short report counted as half as much again, though the same report said
-/// that nothing waited. The guess is for reports that don't tell.
+/// Incident inc3826: cores seen busy for one short report counted as half as much again, though the
+/// same report said that nothing waited. The guess is for reports that don't tell.
 #[test]
 fn busy_cores_with_nothing_waiting_are_no_overload() {
     let load = |waiting| {
@@ -1383,8 +1402,8 @@
     assert_eq!(load(None), Some(1.0 + EXCESS));
 }
 
-/// Incident inc5571: a tenant's rate counted the tries by which its refused clients came back, up to 4.9 times its quota,
-/// so that it was worth less for each refusal and refused the more.
+/// Incident inc5571: a tenant's rate counted the tries by which its refused clients came back, up
+/// to 4.9 times its quota, so that it was worth less for each refusal and refused the more.
 #[test]
 fn a_tenant_whose_clients_come_back_is_not_worth_less() {
     let tenants = vec![Tenant { quota_per_s: 60.0 }, Tenant { quota_per_s: 60.0 }];
@@ -1438,8 +1457,8 @@
     end
 }
 
-/// Etichete big-1-small: reports lag by most of a second, and a node with much of the traffic chose the busier
-/// servers. What it has out itself beyond the usual makes a server dearer at once.
+/// Etichete big-1-small: reports lag by most of a second, and a node with much of the traffic chose
+/// the busier servers. What it has out itself beyond the usual makes a server dearer at once.
 #[test]
 fn own_attempts_out_count_before_reports_do() {
     let mut b = blind();
@@ -1466,8 +1485,9 @@
     );
 }
 
-/// Incident inc3539: shares were solved once in 50 ms, in which a node sends a dozen requests and more, and all of them
-/// followed what it had out before the first: they filled one server, while others idled.
+/// Incident inc3539: shares were solved once in 50 ms, in which a node sends a dozen requests and
+/// more, and all of them followed what it had out before the first: they filled one server, while
+/// others idled.
 #[test]
 fn requests_of_one_tick_do_not_gather_on_one_server() {
     let mut b = blind();
@@ -1494,8 +1514,9 @@
     );
 }
 
-/// Incident ia21743: new connections failed, open ones served on, and servers that nobody reached looked idle to
-/// probes. A server without an open connection is dearer, and later, by how often new ones fail.
+/// Incident ia21743: new connections failed, open ones served on, and servers that nobody reached
+/// looked idle to probes. A server without an open connection is dearer, and later, by how often
+/// new ones fail.
 #[test]
 fn open_connections_count_where_new_ones_fail() {
     let mut b = blind();
@@ -1540,8 +1561,9 @@
     );
 }
 
-/// The design on the ordinary path, for a small and a large fleet: prices move by the projected step on the reported
-/// load, draws follow the solved shares, and the work for a request is bounded: shares are solved once a tick.
+/// The design on the ordinary path, for a small and a large fleet: prices move by the projected
+/// step on the reported load, draws follow the solved shares, and the work for a request is
+/// bounded: shares are solved once a tick.
 #[test]
 fn the_ordinary_path_follows_prices_and_shares() {
     for servers in [6u32, 300] {
@@ -1594,8 +1616,9 @@
     }
 }
 
-/// A client may take seconds to send a large body. Meanwhile nothing is out at the server: it grows neither dear nor loaded,
-/// and the request's time has not begun. When it had, one upload in four shed the rest of the traffic.
+/// A client may take seconds to send a large body. Meanwhile nothing is out at the server: it grows
+/// neither dear nor loaded, and the request's time has not begun. When it had, one upload in four
+/// shed the rest of the traffic.
 #[test]
 fn a_request_that_is_still_coming_counts_from_its_last_byte() {
     let mut b = balancer(4);
@@ -1663,8 +1686,9 @@
     assert!(b.requests.is_empty());
 }
 
-/// A cold server is idle because its bound keeps requests from it. Were it cheap for that, all would rush it once it is warm:
-/// where backends were put back one of ten drew nine tenths of the requests.
+/// A cold server is idle because its bound keeps requests from it. Were it cheap for that, all
+/// would rush it once it is warm: where backends were put back one of ten drew nine tenths of the
+/// requests.
 #[test]
 fn a_cold_server_grows_no_cheaper_than_the_others() {
     let mut b = balancer(4);
--- a/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -86,7 +86,8 @@
     pub connected: Option<Time>,
     /// Send times of the attempts that are out.
     pub out: Vec<Time>,
-    /// Requests held by the latest answer to a probe, with what this node has sent and got back since.
+    /// Requests held by the latest answer to a probe, with what this node has sent and got back
+    /// since.
     pub held: Option<f64>,
     /// When that answer came.
     pub heard: Time,
@@ -158,7 +159,8 @@
     }
 }
 
-/// How fast answers come for their work: means of both over the latest ones, so that long answers count by their length.
+/// How fast answers come for their work: means of both over the latest ones, so that long answers
+/// count by their length.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Pace {
     work: f64,
@@ -260,11 +262,13 @@
     pub work: f64,
     /// Part of the arrivals that is shed for the load of these servers.
     pub refused: f64,
-    /// Worth below which arrivals of all classes of one placement are turned away, in part; kept like `worths`.
+    /// Worth below which arrivals of all classes of one placement are turned away, in part; kept
+    /// like `worths`.
     pub threshold: f64,
     /// The same for the class by itself: it turns away as much of each class.
     pub own_threshold: f64,
-    /// Classes and worths of recent arrivals, kept for all classes of one placement by the first of them.
+    /// Classes and worths of recent arrivals, kept for all classes of one placement by the first of
+    /// them.
     pub worths: VecDeque<(ClassId, f64)>,
     /// The first class of the same placement.
     pub leader: usize,
@@ -426,7 +430,8 @@
                     self.servers.push(fresh);
                 }
                 Some(&i) => {
-                    // Of a restarted process nothing is known but what is still out; of others all stays.
+                    // Of a restarted process nothing is known but what is still out; of others all
+                    // stays.
                     let s = &mut self.servers[i];
                     if e.started.is_some() && e.started != s.started {
                         *s = Server {
@@ -454,8 +459,8 @@
         self.ready.sort_by_key(|&i| self.servers[i].rank);
     }
 
-    /// Pace expected of a server: its own answers', as far as there are any, beside those of its kind. A node of a large
-    /// fleet meets a single server seldom, its kind often.
+    /// Pace expected of a server: its own answers', as far as there are any, beside those of its
+    /// kind. A node of a large fleet meets a single server seldom, its kind often.
     pub(crate) fn pace(&self, s: &Server, prior: f64) -> f64 {
         let kind = self
             .kinds
@@ -491,7 +496,8 @@
         self.settings.classes.iter().map(open).collect()
     }
 
-    /// The request is whole from now on: its time begins, and so does that of the attempt that is out.
+    /// The request is whole from now on: its time begins, and so does that of the attempt that is
+    /// out.
     pub(crate) fn uploaded(&mut self, now: Time, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.coming) else {
             return;
@@ -508,8 +514,8 @@
         }
     }
 
-    /// Takes in that a streamed answer has begun, and says from where, and of which class and work. Of a class that is
-    /// streamed always the work tells nothing of the first bytes.
+    /// Takes in that a streamed answer has begun, and says from where, and of which class and work.
+    /// Of a class that is streamed always the work tells nothing of the first bytes.
     pub(crate) fn begun(
         &mut self,
         id: RequestId,
--- a/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -1,16 +1,18 @@
-//! A fleet's sum at cold servers. No node knows of the others; what they send together has to stay within what the
-//! settings allow. It steps modules through one fleet's arrivals and counts; it simulates no server beyond a fixed pace.
+//! A fleet's sum at cold servers. No node knows of the others; what they send together has to stay
+//! within what the settings allow. It steps modules through one fleet's arrivals and counts; it
+//! simulates no server beyond a fixed pace.
 
 mod common;
+use balancer::*;
 use common::{at, entry, ms, settings};
-use finchvale::*;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
 
 /// Requests a second that a warm server can do.
 const PACE: f64 = 20.0;
-/// The servers that are replaced start at this millisecond, and one after the other of the nodes hears of it.
+/// The servers that are replaced start at this millisecond, and one after the other of the nodes
+/// hears of it.
 const REPLACED: u64 = 2000;
 const HEARD_WITHIN: u64 = 1000;
 const END: u64 = 5500;
@@ -42,16 +44,16 @@
     site
 }
 
-/// What is sent to a cold server in the worst window, over what the settings allow there and chance beyond that; and the
-/// part of the arrivals that is refused while servers are cold.
+/// What is sent to a cold server in the worst window, over what the settings allow there and chance
+/// beyond that; and the part of the arrivals that is refused while servers are cold.
 struct Worst {
     over: f64,
     told: String,
     refused: f64,
 }
 
-/// Plays one fleet, nine in ten of whose servers are replaced at one moment. `busy` is the part of what all could do warm
-/// that arrives.
+/// Plays one fleet, nine in ten of whose servers are replaced at one moment. `busy` is the part of
+/// what all could do warm that arrives.
 fn play(nodes: u32, servers: u32, reports: Reports, busy: f64, seed: u64) -> Worst {
     let site = site(nodes, reports);
     let mut chance = Chance(seed << 32 | u64::from(nodes) << 16 | u64::from(servers));
--- a/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Settings for tests, and an observer of rules one to three and of legal actions. It checks; it simulates
-//! nothing.
+//! Settings for tests, and an observer of rules one to three and of legal actions. It checks; it
+//! simulates nothing.
 #![allow(dead_code)]
 
-use finchvale::*;
+use balancer::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use balancer::*;
 use common::*;
-use finchvale::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
@@ -317,7 +317,8 @@
         )
         .is_err());
     assert!(o.action(at(1), &send(0, 1)).is_err());
-    // Rule 2: unsafe again, keyed outside its group or window, refused though it may have run, two out.
+    // Rule 2: unsafe again, keyed outside its group or window, refused though it may have run, two
+    // out.
     for (request, server, when, fine) in [
         (0, 1, 1, true),
         (1, 0, 1, false),
--- a/fault-shim/src/lib.rs
+++ b/crates/fault-injection-preload/src/lib.rs
@@ -1,12 +1,13 @@
-//! A library to preload into a node under test. It stands in for some of the C library's functions and makes them fail,
-//! pause or tell another time, as the control file says that `FAULT_SHIM_CONTROL` names; without one it changes nothing.
+//! A library to preload into a node under test. It stands in for some of the C library's functions
+//! and makes them fail, pause or tell another time, as the control file says that
+//! `FAULT_SHIM_CONTROL` names; without one it changes nothing.
 //!
-//! Faults of reads and writes are for TCP sockets and regular files alone: the runtime's own pipes, events and signals
-//! and the log never fail.
+//! Faults of reads and writes are for TCP sockets and regular files alone: the runtime's own pipes,
+//! events and signals and the log never fail.
 
 mod next;
 
-use fault_control::{Call, Control, Pauses, VARIABLE};
+use fault_injection::{Call, Control, Pauses, VARIABLE};
 use libc::{
     c_char, c_int, c_uint, c_void, iovec, mode_t, pollfd, sockaddr, socklen_t, ssize_t, timespec,
 };
@@ -26,8 +27,9 @@
     static CONTROL: OnceLock<Option<&'static Control>> = OnceLock::new();
     *CONTROL.get_or_init(|| {
         let path = CString::new(std::env::var(VARIABLE).ok()?).ok()?;
-        // SAFETY: The system calls are made directly, so that no function of this library is entered again. The file
-        // holds a `Control`, whose fields are atomic; the mapping is never undone.
+        // SAFETY: The system calls are made directly, so that no function of this library is
+        // entered again. The file holds a `Control`, whose fields are atomic; the mapping is never
+        // undone.
         unsafe {
             let file = libc::syscall(
                 libc::SYS_openat,
@@ -86,7 +88,7 @@
         return length;
     };
     let rate = control.short_rate.load(Ordering::Relaxed);
-    let short = rate > 0 && length > SHORT && random(control) % fault_control::MILLION < rate;
+    let short = rate > 0 && length > SHORT && random(control) % fault_injection::MILLION < rate;
     if short {
         SHORT
     } else {
@@ -177,7 +179,8 @@
 /// Descriptors of connections that the process has made, not accepted.
 static MADE: [AtomicBool; MOST_DESCRIPTORS] = [const { AtomicBool::new(false) }; MOST_DESCRIPTORS];
 
-/// Whether the process made a connection itself. Its end may show as an error that its peer knows nothing of.
+/// Whether the process made a connection itself. Its end may show as an error that its peer knows
+/// nothing of.
 fn was_made(fd: c_int) -> bool {
     usize::try_from(fd)
         .ok()
@@ -273,9 +276,11 @@
     told
 }
 
-/// As the C library's, with short reads on TCP sockets, and failures on those that the process has connected itself.
+/// As the C library's, with short reads on TCP sockets, and failures on those that the process has
+/// connected itself.
 ///
 /// # Safety
+///
 /// As the C library's.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
--- a/fault-shim/tests/preloaded.rs
+++ b/crates/fault-injection-preload/tests/preloaded.rs
@@ -1,6 +1,6 @@
 //! The shim in a process that knows nothing of it.
 
-use fault_control::{Call, SharedControl, VARIABLE};
+use fault_injection::{Call, SharedControl, VARIABLE};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -8,7 +8,7 @@
 fn shim() -> PathBuf {
     let this = std::env::current_exe().expect("this program");
     let folder = this.parent().expect("a folder of programs");
-    folder.join("libfault_shim.so")
+    folder.join("libfault_injection_preload.so")
 }
 
 fn date(control: &Path) -> i64 {
--- a/fault-control/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,7 +1,8 @@
 //! The memory that a test and the fault shim in a node's process share.
 //!
-//! A test creates a control file, names it in [`VARIABLE`], preloads the shim into the node and changes the file while
-//! the node runs. The shim reads it on every system call that it stands in for, and counts there what it did.
+//! A test creates a control file, names it in [`VARIABLE`], preloads the shim into the node and
+//! changes the file while the node runs. The shim reads it on every system call that it stands in
+//! for, and counts there what it did.
 
 #![deny(missing_docs)]
 
@@ -173,7 +174,8 @@
         self.begun.load(Ordering::SeqCst)
     }
 
-    /// How long this pass pauses, if it does. `random` draws a number; `since` tells how long ago the pause before ended.
+    /// How long this pass pauses, if it does. `random` draws a number; `since` tells how long ago
+    /// the pause before ended.
     pub fn draw(
         &self,
         mut random: impl FnMut() -> u64,
@@ -208,7 +210,8 @@
     pub seed: AtomicU64,
     /// By how much the wall clock differs from the system's, in nanoseconds.
     wall_clock: AtomicI64,
-    /// Pauses behind `epoll_wait`: between the reading of events and of clocks, and what is done about them.
+    /// Pauses behind `epoll_wait`: between the reading of events and of clocks, and what is done
+    /// about them.
     pub after_wait: Pauses,
     /// Pauses before the half of a TCP connection is shut that sends.
     pub before_shutdown: Pauses,
@@ -268,8 +271,9 @@
 impl std::ops::Deref for SharedControl {
     type Target = Control;
     fn deref(&self) -> &Control {
-        // SAFETY: The mapping is as long as the structure, aligned to a page, lives as long as `self`, and every field is an
-        // atomic integer, for which any bytes are good and which other processes may change.
+        // SAFETY: The mapping is as long as the structure, aligned to a page, lives as long as
+        // `self`, and every field is an atomic integer, for which any bytes are good and which
+        // other processes may change.
         #[allow(unsafe_code)]
         unsafe {
             &*self.0.as_ptr().cast::<Control>()
--- a/fault-control/tests/draws.rs
+++ b/crates/fault-injection/tests/draws.rs
@@ -1,6 +1,6 @@
 //! The control file as both sides see it.
 
-use fault_control::{Call, SharedControl};
+use fault_injection::{Call, SharedControl};
 use std::time::Duration;
 
 #[test]
--- /dev/null
+++ b/crates/proxy/src/admin/mod.rs
@@ -0,0 +1,3 @@
+//! The operators' address: health, drain and maintenance calls.
+
+pub mod server;
--- a/node/src/console.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,9 +1,9 @@
 //! The operators' side: a listener of its own, with places of its own, and the calls that it takes.
 
-use crate::engine::Engine;
-use crate::frontend::{accept_failed, discard, Phase, MOST_LINGERING};
-use crate::gate::{self, Problem};
-use crate::handover::{Keeper, Word};
+use crate::downstream::listener::{accept_failed, discard, Phase, MOST_LINGERING};
+use crate::http1::head_filter::{self, Problem};
+use crate::operator_state::store::{Keeper, Word};
+use crate::requests::dispatcher::Engine;
 use crate::socket::Socket;
 use bytes::BytesMut;
 use hyper::StatusCode;
@@ -44,8 +44,8 @@
 type Reply = (StatusCode, &'static str);
 
 impl Console {
-    /// For this node, which goes at once by what the keeper holds. Backends that were put back into use are warm after
-    /// `warm_up`.
+    /// For this node, which goes at once by what the keeper holds. Backends that were put back into
+    /// use are warm after `warm_up`.
     pub fn new(
         engine: Rc<Engine>,
         phase: Rc<watch::Sender<Phase>>,
@@ -63,8 +63,9 @@
         console
     }
 
-    /// Takes in what another process of this node was told, and forgets which backends were put back into use once they
-    /// are warm: the next process could not tell for how long they have been.
+    /// Takes in what another process of this node was told, and forgets which backends were put
+    /// back into use once they are warm: the next process could not tell for how long they have
+    /// been.
     pub async fn look(&self) {
         let warm = |name: &String| self.engine.warmed_up(name, self.warm_up);
         let settled = self.keeper.word().returned.keys().any(warm);
@@ -167,10 +168,12 @@
             ""
         };
         let answer = format!(
-            "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\n{allow}Content-Length: {}\r\nConnection: close\r\n\r\n{text}\n",
+            "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\n\
+             {allow}Content-Length: {}\r\nConnection: close\r\n\r\n{text}\n",
             text.len() + 1
         );
-        // Closing on unread bytes would reset the connection, and might take the answer from the caller.
+        // Closing on unread bytes would reset the connection, and might take the answer from the
+        // caller.
         let ending = async {
             stream.write_all(answer.as_bytes()).await?;
             SockRef::from(&stream.0).shutdown(Shutdown::Write)?;
@@ -245,11 +248,11 @@
     let mut held = BytesMut::with_capacity(1 << 10);
     loop {
         let read = stream.read_buf(&mut held).await.ok()?;
-        match gate::request_head(&held) {
+        match head_filter::request_head(&held) {
             Err(problem) => return Some(Err(problem)),
             Ok(Some(_)) => break,
             Ok(None) if read == 0 => return None,
-            Ok(None) if held.len() >= gate::MOST_HEAD => {
+            Ok(None) if held.len() >= head_filter::MOST_HEAD => {
                 return Some(Err((
                     StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
                     "the head is too long",
--- a/node/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,7 +1,6 @@
 //! What a node is told at its start: the `GW_*` variables and the JSON file that one of them names.
 
-use crate::discovery::ServerList;
-use finchvale_drill::settings;
+use crate::discovery::client::ServerList;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -42,7 +41,7 @@
         /// The file.
         path: String,
         /// What makes no sense.
-        source: finchvale::SettingsError,
+        source: balancer::SettingsError,
     },
     /// A value that is given neither as a variable nor in the file.
     #[error("neither {variable} nor the configuration's `{key}` is given")]
@@ -176,7 +175,8 @@
                 path: path(),
                 source,
             })?;
-        // Both are checked wherever they are given: what is not used now may be at the next reading.
+        // Both are checked wherever they are given: what is not used now may be at the next
+        // reading.
         let address = |key: &'static str, value: Option<String>| {
             let wanted = "an address and port";
             value
--- a/node/src/discovery.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,6 +1,6 @@
 //! The list of servers: its form on the wire, and the watch that follows its changes.
 
-use crate::engine::Engine;
+use crate::requests::dispatcher::Engine;
 use crate::socket::Socket;
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -17,15 +17,15 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// An empty line is due every 2 s, and what a silent watch misses counts as told 6 s after it fell silent. One that has
-/// been silent for this long is taken for dead: that leaves time for one more that answers and then says nothing, and
-/// for the next after it.
+/// An empty line is due every 2 s, and what a silent watch misses counts as told 6 s after it fell
+/// silent. One that has been silent for this long is taken for dead: that leaves time for one more
+/// that answers and then says nothing, and for the next after it.
 const SILENCE: Duration = Duration::from_millis(2500);
-/// For the connection to come up and the answer to begin, on request, where a call may have to wait for its turn; and
-/// the most for a whole list.
+/// For the connection to come up and the answer to begin, on request, where a call may have to wait
+/// for its turn; and the most for a whole list.
 const OPENING: Duration = SILENCE;
-/// The same where lists are pushed, for the first try: what is known there counts as told, watch or no watch. Each failed
-/// try doubles it, up to the other.
+/// The same where lists are pushed, for the first try: what is known there counts as told, watch or
+/// no watch. Each failed try doubles it, up to the other.
 const OPENING_PUSHED: Duration = Duration::from_millis(300);
 /// For the connection to come up.
 const CONNECT: Duration = Duration::from_secs(1);
@@ -33,7 +33,8 @@
 const LAST_CHANCE: Duration = Duration::from_millis(5);
 /// Pauses before a broken watch is opened again: the first, and the longest.
 const PAUSE: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(1)];
-// A watch falls silent, the one in its place says nothing either, and the third has most of a second to answer.
+// A watch falls silent, the one in its place says nothing either, and the third has most of a
+// second to answer.
 const _: () = assert!(2 * (SILENCE.as_millis() + PAUSE[0].as_millis()) <= 5300);
 /// The part of a pause that is left to chance.
 const JITTER: f64 = 0.5;
@@ -231,7 +232,8 @@
     }
 }
 
-/// Keeps a watch open for good, for sites where lists are pushed. Ends once the list is to be had elsewhere.
+/// Keeps a watch open for good, for sites where lists are pushed. Ends once the list is to be had
+/// elsewhere.
 pub async fn follow(engine: Rc<Engine>, address: SocketAddr) {
     let (mut pause, mut opening) = (PAUSE[0], OPENING_PUSHED);
     loop {
@@ -247,8 +249,8 @@
         if !matches!(error, WatchError::Silent) {
             engine.tried();
         }
-        // A call that was given up for its silence has been a pause already: what it missed counts as told as if it had
-        // been refused at once. Many nodes may have lost theirs at one moment.
+        // A call that was given up for its silence has been a pause already: what it missed counts
+        // as told as if it had been refused at once. Many nodes may have lost theirs at one moment.
         let wait = pause
             .saturating_sub(began.elapsed())
             .max(PAUSE[0])
@@ -258,8 +260,8 @@
             wait.as_millis()
         ));
         tokio::time::sleep(wait).await;
-        // Of a discovery that is down all counts as told at its return, and being refused costs it nothing. One that
-        // answers but can't serve is crowded.
+        // Of a discovery that is down all counts as told at its return, and being refused costs it
+        // nothing. One that answers but can't serve is crowded.
         pause = if error.is_refusal() {
             PAUSE[0]
         } else {
@@ -273,10 +275,12 @@
     watch(engine, address, OPENING).await
 }
 
-/// Opens one watch from the version held on, which may take so long, and hands on what it brings until it ends.
+/// Opens one watch from the version held on, which may take so long, and hands on what it brings
+/// until it ends.
 async fn watch(engine: &Rc<Engine>, address: SocketAddr, opening: Duration) -> WatchError {
     if engine.needs_whole_list() {
-        // The version held comes from another address and may mean anything here, also one that is newer.
+        // The version held comes from another address and may mean anything here, also one that is
+        // newer.
         let call = Call::new(engine, address, OPENING);
         if let Err(error) = call.clone().hear(fetch(call)).await {
             return error;
@@ -318,8 +322,8 @@
 
     /// Hands on a list.
     fn tell(&self, list: &ServerList) {
-        // Of a call that was given up only what is not older than all that was heard since counts. A whole list of the same
-        // version may name fewer: it leaves out what drains.
+        // Of a call that was given up only what is not older than all that was heard since counts.
+        // A whole list of the same version may name fewer: it leaves out what drains.
         let awaited = self.engine.needs_whole_list() && list.complete;
         if !self.given_up.get() || awaited || list.revision >= self.engine.revision() {
             self.engine.list(list, self.address);
@@ -329,8 +333,9 @@
         }
     }
 
-    /// Follows a conversation to its end, or until it has been silent for too long. What discovery has written counts as
-    /// told, whether or not the node still waits for it: a silent conversation is heard on beside the next one.
+    /// Follows a conversation to its end, or until it has been silent for too long. What discovery
+    /// has written counts as told, whether or not the node still waits for it: a silent
+    /// conversation is heard on beside the next one.
     async fn hear(
         self,
         conversation: impl Future<Output = Result<(), WatchError>> + 'static,
@@ -344,7 +349,8 @@
             if self.silent_until.get() > by {
                 continue;
             }
-            // Something may have come while the whole node was held up: the system is asked once more.
+            // Something may have come while the whole node was held up: the system is asked once
+            // more.
             if let Ok(ended) = timeout(LAST_CHANCE, conversation.as_mut()).await {
                 return ended;
             }
@@ -373,8 +379,8 @@
         .expect("a fixed path and an address are valid")
 }
 
-/// Drives a connection and a dialogue on it. The connection comes first: what it has brought is read before any of the
-/// dialogue's timers, and before its own end is noticed.
+/// Drives a connection and a dialogue on it. The connection comes first: what it has brought is
+/// read before any of the dialogue's timers, and before its own end is noticed.
 async fn converse<T>(
     connection: impl Future,
     dialogue: impl Future<Output = Result<T, WatchError>>,
@@ -431,8 +437,8 @@
         let mut body = response.into_body();
         let mut held = Documents::default();
         call.has_spoken();
-        // A machine that vanishes leaves its connections open and silent: only the clock tells. So it does of a list
-        // that has begun and does not end, whatever else comes.
+        // A machine that vanishes leaves its connections open and silent: only the clock tells. So
+        // it does of a list that has begun and does not end, whatever else comes.
         while let Some(frame) = body.frame().await {
             let Ok(data) = frame?.into_data() else {
                 continue;
@@ -441,7 +447,8 @@
                 call.has_spoken();
             }
             held.extend(&data);
-            // After a bad one the next may rest on what it said: a new watch starts from the last good one.
+            // After a bad one the next may rest on what it said: a new watch starts from the last
+            // good one.
             while let Some(document) = held.next()? {
                 call.tell(&ServerList::parse(&document)?);
                 call.has_spoken();
@@ -453,5 +460,5 @@
 }
 
 #[cfg(test)]
-#[path = "discovery_tests.rs"]
+#[path = "client_tests.rs"]
 mod tests;
--- /dev/null
+++ b/crates/proxy/src/discovery/mod.rs
@@ -0,0 +1,3 @@
+//! The discovery client: endpoint lists on the wire, and the watch that follows their changes.
+
+pub mod client;
--- a/node/src/frontend.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,15 +1,15 @@
 //! The clients' side: takes connections and requests, checks them, and writes the final answers.
 
-use crate::backend::{AnswerBody, MOST_BUFFERED};
-use crate::body::{hold, BodyError, Outgoing, Upload, STALL};
-use crate::calls;
-use crate::engine::{Answer, Engine, Incoming};
-use crate::gate::{self, Gate, Guard, Head, Next, Problem, MOST_BODY};
-use crate::places::Places;
-use crate::rules::{self, Rule};
-use crate::stats::Stats;
+use crate::http1::head_filter::{self, Gate, Guard, Head, Next, Problem, MOST_BODY};
+use crate::http1::streaming::{hold, BodyError, Outgoing, Upload, STALL};
+use crate::metrics::Stats;
+use crate::requests::dispatcher::{Answer, Engine, Incoming};
+use crate::resizable_semaphore::Places;
+use crate::send_invariants::{self, Rule};
+use crate::transient_errors;
+use crate::upstream::backend_registry::{AnswerBody, MOST_BUFFERED};
+use balancer::{ClassId, Effect, TenantId};
 use bytes::{Bytes, BytesMut};
-use finchvale::{ClassId, Effect, TenantId};
 use hyper::body::{Body as _, Frame, Incoming as Body, SizeHint};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::server::conn::http1;
@@ -30,23 +30,25 @@
 use tokio::task::spawn_local;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Kept back from the client's time, for what lies between its send and the head's arrival here and for the
-/// answer's way back: at most this ...
+/// Kept back from the client's time, for what lies between its send and the head's arrival here and
+/// for the answer's way back: at most this ...
 const MARGIN: Duration = Duration::from_millis(20);
 /// ... and at most this part of the time.
 const MARGIN_PART: u32 = 8;
 /// The part of the margin that an answer which the balancer owes may take.
 const OVERDUE: u32 = 4;
-/// A connection may wait this long for its first request, and a head may take as long; for the first one both count from
-/// the connecting. A client that sends nothing useful is owed a word or a close within 3 s of it.
+/// A connection may wait this long for its first request, and a head may take as long; for the
+/// first one both count from the connecting. A client that sends nothing useful is owed a word or a
+/// close within 3 s of it.
 const FIRST: Duration = Duration::from_millis(2600);
-/// The same for a request with a body that is held, but for the time that the body takes at the least rate: bytes a second.
+/// The same for a request with a body that is held, but for the time that the body takes at the
+/// least rate: bytes a second.
 const WHOLE: Duration = Duration::from_millis(2800);
 const LEAST_RATE: f64 = (32 << 10) as f64;
 /// A connection may wait this long for its next request ...
 const IDLE: Duration = Duration::from_secs(5);
-/// ... and at least this long, even where places are needed. One that has said nothing so far, or begun a head, has less
-/// of a claim, but what was sent with the connecting needs a moment to come.
+/// ... and at least this long, even where places are needed. One that has said nothing so far, or
+/// begun a head, has less of a claim, but what was sent with the connecting needs a moment to come.
 const IDLE_LEAST: Duration = Duration::from_secs(2);
 const FIRST_LEAST: Duration = Duration::from_millis(10);
 const HEAD_LEAST: Duration = Duration::from_millis(200);
@@ -59,7 +61,8 @@
 const LINGER: Duration = Duration::from_millis(300);
 /// Most that is thrown away.
 pub const MOST_LINGERING: usize = 256 << 10;
-/// A client that has its answer before its request was whole may be writing all the same, with pauses up to this.
+/// A client that has its answer before its request was whole may be writing all the same, with
+/// pauses up to this.
 const UNREAD: Duration = Duration::from_secs(1);
 /// What the system may hold of a large answer for a client that is slow to take it.
 const SEND_BUFFER: usize = 256 << 10;
@@ -133,7 +136,8 @@
     unread: Cell<bool>,
     /// A request of it went to hyper, and its answer has not been taken yet.
     taken: Cell<bool>,
-    /// When the last byte of that request was read, if it was when it went there. Requests in a row wait for each other.
+    /// When the last byte of that request was read, if it was when it went there. Requests in a row
+    /// wait for each other.
     whole_at: Cell<Option<Instant>>,
     /// Since when the connection may have waited to be accepted, if bytes had come on it by then.
     waiting_since: Cell<Option<Instant>>,
@@ -147,7 +151,8 @@
 enum Stage {
     /// Nothing has come yet.
     New,
-    /// A head has begun: since the connecting on the first request, since its first bytes on others.
+    /// A head has begun: since the connecting on the first request, since its first bytes on
+    /// others.
     Head,
     /// The head under way took too long.
     Late,
@@ -198,7 +203,7 @@
     /// Whether the rules let it be closed at this moment for having nothing to say.
     fn may_close(&self) -> Result<(), Rule> {
         let in_hand = matches!(self.stage.get(), Stage::Busy | Stage::Passing);
-        rules::may_close(in_hand, !gate::quiet(&self.socket))
+        send_invariants::may_close(in_hand, !head_filter::quiet(&self.socket))
     }
 
     fn leave(&self) {
@@ -223,7 +228,8 @@
             Phase::Closing => Duration::ZERO,
         };
         match stage {
-            // What comes with a connection needs a moment. A request that has begun is answered, and told to close.
+            // What comes with a connection needs a moment. A request that has begun is answered,
+            // and told to close.
             Stage::New
                 if phase == Phase::Closing && age >= LAST_CHANCE && self.may_close().is_ok() =>
             {
@@ -234,8 +240,9 @@
                 stats.turned_down("nothing came");
                 self.leave();
             }
-            // Who has closed waits for nothing. Hyper sees that only where nothing stands before it.
-            Stage::Busy | Stage::Passing if gate::left(&self.socket) => {
+            // Who has closed waits for nothing. Hyper sees that only where nothing stands before
+            // it.
+            Stage::Busy | Stage::Passing if head_filter::left(&self.socket) => {
                 self.stage.set(Stage::Gone);
                 self.wake.notify_one();
             }
@@ -250,15 +257,15 @@
     }
 }
 
-/// A request that takes the place of one that was turned down, in the row of answers on its connection. No client can
-/// send one of this method.
+/// A request that takes the place of one that was turned down, in the row of answers on its
+/// connection. No client can send one of this method.
 const TURNED_DOWN: &str = "TURNED-DOWN";
 
 impl Guard for Rc<Client> {
     const BETWEEN: Next = Next::Head;
 
     fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        gate::request_head(bytes)
+        head_filter::request_head(bytes)
     }
 
     fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
@@ -278,7 +285,8 @@
 
     fn passed(&self, whole_at: Option<Instant>) {
         self.taken.set(true);
-        // What had come before the connection was accepted may have come as long ago as that may have been made.
+        // What had come before the connection was accepted may have come as long ago as that may
+        // have been made.
         let waiting_since = self.waiting_since.take();
         self.whole_at
             .set(whole_at.map(|at| waiting_since.unwrap_or(at)));
@@ -331,15 +339,17 @@
                 .wait_for(|p| *p >= Phase::HandingOver)
                 .await
                 .map_or(Phase::Closing, |p| *p);
-            // Whose request crosses the closing of an idle connection comes again, and finds a listener.
+            // Whose request crosses the closing of an idle connection comes again, and finds a
+            // listener.
             if ending == Phase::Closing {
                 tokio::time::sleep(LAST_CHANCE).await;
             }
         });
         let mut none_waited = self.listening_since;
         loop {
-            // Not given up when the node closes: what the system has taken for us may hold requests, and would be
-            // lost with the socket. One that is handed over lives on, and so does its queue.
+            // Not given up when the node closes: what the system has taken for us may hold
+            // requests, and would be lost with the socket. One that is handed over lives on, and so
+            // does its queue.
             let permit = self.slot().await;
             if *self.phase.borrow() == Phase::HandingOver {
                 break;
@@ -379,8 +389,9 @@
         }
     }
 
-    /// Room for one more connection. Where there is none, some that have nothing to say are closed, so that they don't
-    /// keep others out: the longest silent first, several at a time, since more are likely to wait.
+    /// Room for one more connection. Where there is none, some that have nothing to say are closed,
+    /// so that they don't keep others out: the longest silent first, several at a time, since more
+    /// are likely to wait.
     async fn slot(&self) -> OwnedSemaphorePermit {
         loop {
             if self.slots.free() == 0 {
@@ -417,7 +428,7 @@
         permit: OwnedSemaphorePermit,
     ) {
         let _ = stream.set_nodelay(true);
-        let came_with_it = !gate::quiet(&stream);
+        let came_with_it = !head_filter::quiet(&stream);
         self.engine.stats().count(|c| c.accepted += 1);
         let client = Rc::new(Client {
             socket: Rc::new(stream),
@@ -433,8 +444,8 @@
             wake: Notify::new(),
         });
         let id = self.next_client.replace(self.next_client.get() + 1);
-        // Before its task runs: a burst may fill all places within one turn, and where nobody is known to be silent
-        // nobody makes room.
+        // Before its task runs: a burst may fill all places within one turn, and where nobody is
+        // known to be silent nobody makes room.
         self.clients.borrow_mut().insert(id, client.clone());
         spawn_local(async move {
             self.serve_connection(&client).await;
@@ -466,8 +477,9 @@
                 .get()
                 .iter()
                 .for_each(|why: &&TurnedDown| self.engine.stats().turned_down(why.0));
-            // A client that is told to close goes elsewhere next. Where places run short each is: many ask once and keep
-            // their connection, and until those may be closed nobody else would get in.
+            // A client that is told to close goes elsewhere next. Where places run short each is:
+            // many ask once and keep their connection, and until those may be closed nobody else
+            // would get in.
             if *self.phase.borrow() > Phase::Serving || self.scarce() {
                 self.engine.stats().count(|c| c.told_to_close += 1);
                 close(&mut response);
@@ -504,15 +516,17 @@
                     continue;
                 }
                 connection.as_mut().graceful_shutdown();
-                // Its last answer may still be on its way. A request that was read meanwhile is answered.
+                // Its last answer may still be on its way. A request that was read meanwhile is
+                // answered.
                 while timeout(LAST_WRITES, connection.as_mut()).await.is_err()
                     && matches!(client.stage.get(), Stage::Busy | Stage::Passing)
                 {}
                 break;
             }
         }
-        // Closing on unread bytes would reset the connection, and might take the word about them from the client. Where
-        // there was no word the reset is one: what crossed the closing was not read, and its client may send it again.
+        // Closing on unread bytes would reset the connection, and might take the word about them
+        // from the client. Where there was no word the reset is one: what crossed the closing was
+        // not read, and its client may send it again.
         if client.malformed.get() {
             let _ = timeout(LINGER, discard(&client.socket, MOST_LINGERING)).await;
         }
@@ -791,8 +805,8 @@
     }
 }
 
-/// Accepts a connection, and tells since when it may have waited for that: one that is there at once may have come since
-/// nobody else was waiting, which was at `none_waited`.
+/// Accepts a connection, and tells since when it may have waited for that: one that is there at
+/// once may have come since nobody else was waiting, which was at `none_waited`.
 async fn accept(
     listener: &TcpListener,
     none_waited: &mut Instant,
@@ -811,7 +825,7 @@
 
 /// Logs a failed `accept`, and waits where the next would fail as well.
 pub async fn accept_failed(engine: &Engine, what: &str, error: &std::io::Error) {
-    if calls::is_one_connections(error) {
+    if transient_errors::is_one_connections(error) {
         return engine.stats().turned_down("ended before it was accepted");
     }
     engine.log(format_args!("{what}: {error}"));
@@ -828,8 +842,8 @@
 #[derive(Clone, Copy)]
 struct TurnedDown(&'static str);
 
-/// The answer to what is malformed. Nothing more is read on its connection: who sends one such thing is not trusted to
-/// have begun the next where it seems to.
+/// The answer to what is malformed. Nothing more is read on its connection: who sends one such
+/// thing is not trusted to have begun the next where it seems to.
 fn turned_down(status: StatusCode, why: &'static str) -> Response<ClientBody> {
     let mut response = plain(status, why);
     response.extensions_mut().insert(TurnedDown(why));
@@ -895,5 +909,5 @@
 }
 
 #[cfg(test)]
-#[path = "frontend_tests.rs"]
+#[path = "listener_tests.rs"]
 mod tests;
--- /dev/null
+++ b/crates/proxy/src/downstream/mod.rs
@@ -0,0 +1,3 @@
+//! Client connections: accepting, reading requests, writing final responses.
+
+pub mod listener;
--- a/node/src/gate.rs
+++ b/crates/proxy/src/http1/head_filter.rs
@@ -1,8 +1,10 @@
-//! What stands between a socket and hyper: reads each message's head itself and lets through that one message.
+//! What stands between a socket and hyper: reads each message's head itself and lets through that
+//! one message.
 //!
-//! Hyper drops a `Content-Length` beside a `Transfer-Encoding`, reads an answer without a length to the connection's
-//! end, and has bytes behind a message in its buffer before anyone can ask. All of that is decided here, on the raw
-//! bytes: what is behind a message reaches hyper only once it is expected, and a head that is no good never does.
+//! Hyper drops a `Content-Length` beside a `Transfer-Encoding`, reads an answer without a length to
+//! the connection's end, and has bytes behind a message in its buffer before anyone can ask. All of
+//! that is decided here, on the raw bytes: what is behind a message reaches hyper only once it is
+//! expected, and a head that is no good never does.
 
 use bytes::{Buf, BytesMut};
 use hyper::StatusCode;
@@ -21,7 +23,8 @@
 
 /// Most that a body may hold, either way.
 pub const MOST_BODY: u64 = 32 << 20;
-/// Bodies up to this are held whole, so that a request can be sent again and a broken answer never reaches a client.
+/// Bodies up to this are held whole, so that a request can be sent again and a broken answer never
+/// reaches a client.
 pub const HELD_BODY: usize = 64 << 10;
 /// Most that a head may hold, interim ones before it included.
 pub const MOST_HEAD: usize = 16 << 10;
@@ -71,19 +74,22 @@
     fn begun(&self) -> Result<(), Problem> {
         Ok(())
     }
-    /// Something is to be written. An error ends the connection before that. Whether a message begins with it the guard
-    /// knows: a gate doesn't see the end of a chunked answer, after which the next request comes.
+    /// Something is to be written. An error ends the connection before that. Whether a message
+    /// begins with it the guard knows: a gate doesn't see the end of a chunked answer, after which
+    /// the next request comes.
     fn may_write(&self) -> io::Result<()> {
         Ok(())
     }
-    /// More than the message came with it. Hyper is told only when it reads on, which may be too late.
+    /// More than the message came with it. Hyper is told only when it reads on, which may be too
+    /// late.
     fn more(&self) {}
-    /// A head was found good, and goes to hyper. If its message is whole, its last byte was read at `whole_at`.
+    /// A head was found good, and goes to hyper. If its message is whole, its last byte was read at
+    /// `whole_at`.
     fn passed(&self, whole_at: Option<Instant>) {
         let _ = whole_at;
     }
-    /// What was let through is not answered yet: nothing more goes to hyper, which would not see the connection's end
-    /// behind it.
+    /// What was let through is not answered yet: nothing more goes to hyper, which would not see
+    /// the connection's end behind it.
     fn busy(&self) -> bool {
         false
     }
@@ -193,8 +199,9 @@
                 return Poll::Ready(Ok(()));
             }
             match me.next {
-                // All that is looked for is the connection's end. What comes is held, up to a head's length. Requests in a
-                // row wait there; what is none is thrown away beyond that, or its sender's leaving would never be seen.
+                // All that is looked for is the connection's end. What comes is held, up to a
+                // head's length. Requests in a row wait there; what is none is thrown away beyond
+                // that, or its sender's leaving would never be seen.
                 Next::Head if me.guard.busy() => {
                     if me.held.len() >= MOST_HEAD {
                         if begins_request(&me.held) {
@@ -302,7 +309,8 @@
     )
 }
 
-/// Whether a socket is open and nothing has come on it. Asks the system itself: what the runtime knows may be older.
+/// Whether a socket is open and nothing has come on it. Asks the system itself: what the runtime
+/// knows may be older.
 pub fn quiet(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     loop {
@@ -313,8 +321,8 @@
     }
 }
 
-/// Whether the other side has closed a socket or reset it, also where unread bytes stand before that. Asks the system
-/// itself: what the runtime knows may be older.
+/// Whether the other side has closed a socket or reset it, also where unread bytes stand before
+/// that. Asks the system itself: what the runtime knows may be older.
 pub fn left(socket: &TcpStream) -> bool {
     let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut asked = [PollFd::new(socket, ended)];
@@ -367,7 +375,8 @@
         }
         Framing::Chunked => Next::Chunked,
     };
-    // What is behind a request has to begin another. Else its length is wrong, and nothing about it can be trusted.
+    // What is behind a request has to begin another. Else its length is wrong, and nothing about it
+    // can be trusted.
     if let Next::Body(body) = next {
         if !begins_request(bytes.get(length + body as usize..).unwrap_or_default()) {
             return Err(bad("more came than the head says"));
@@ -435,5 +444,5 @@
 }
 
 #[cfg(test)]
-#[path = "gate_tests.rs"]
+#[path = "head_filter_tests.rs"]
 mod tests;
--- a/node/src/body.rs
+++ b/crates/proxy/src/http1/streaming.rs
@@ -1,6 +1,7 @@
-//! Messages too large to be held: they pass through as they come, at the pace of whoever takes them.
+//! Messages too large to be held: they pass through as they come, at the pace of whoever takes
+//! them.
 
-use crate::gate::{Problem, HELD_BODY, MOST_BODY};
+use crate::http1::head_filter::{Problem, HELD_BODY, MOST_BODY};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -78,7 +79,8 @@
     /// When.
     ended_at: Cell<Option<Instant>>,
     ended: Notify,
-    /// When something was last given or asked for, and whether the client has been asked for more since.
+    /// When something was last given or asked for, and whether the client has been asked for more
+    /// since.
     moved: Cell<(Instant, bool)>,
 }
 
@@ -125,7 +127,8 @@
         }
     }
 
-    /// Waits until neither side has moved for too long. A client that is silent has spoilt its request.
+    /// Waits until neither side has moved for too long. A client that is silent has spoilt its
+    /// request.
     pub async fn stalled(&self) {
         loop {
             tokio::time::sleep(LOOK).await;
--- /dev/null
+++ b/crates/proxy/src/lib.rs
@@ -0,0 +1,23 @@
+//! A reverse proxy on real sockets. The `balancer` crate decides; this crate carries its decisions
+//! out.
+
+#![deny(unsafe_code)]
+#![deny(missing_docs)]
+
+mod admin;
+mod config;
+mod discovery;
+mod downstream;
+mod http1;
+mod metrics;
+mod node;
+mod operator_state;
+mod requests;
+mod resizable_semaphore;
+mod send_invariants;
+mod socket;
+mod start_times;
+mod transient_errors;
+mod upstream;
+
+pub use node::run_from_environment;
--- a/node/src/stats.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What the node counts for its log, and how much it says of single requests.
 
-use crate::rules::RuleCounts;
-use finchvale::{ClassId, Outcome, Reason};
+use crate::send_invariants::RuleCounts;
+use balancer::{ClassId, Outcome, Reason};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,8 +10,8 @@
 
 /// How often the counters are written.
 pub const EVERY: Duration = Duration::from_secs(5);
-/// Most requests given up for one reason that are written one by one, in the time between two lines of counters: a
-/// flood of one kind must not hide the others.
+/// Most requests given up for one reason that are written one by one, in the time between two lines
+/// of counters: a flood of one kind must not hide the others.
 const MOST_SINGLE: u32 = 10;
 
 /// Counters since the last line of them.
@@ -168,5 +168,5 @@
 }
 
 #[cfg(test)]
-#[path = "stats_tests.rs"]
+#[path = "metrics_tests.rs"]
 mod tests;
--- a/node/src/main.rs
+++ b/crates/proxy/src/node.rs
@@ -1,35 +1,19 @@
-//! `birchswitch`: a reverse-proxy node. Reads its configuration, wires the parts together, and ends on a signal.
+//! The proxy process: reads the configuration, wires the parts together, runs until a signal and
+//! shuts down.
 
-#![deny(unsafe_code)]
-#![deny(missing_docs)]
-
-mod backend;
-mod body;
-mod calls;
-mod config;
-mod console;
-mod discovery;
-mod engine;
-mod frontend;
-mod gate;
-mod handover;
-mod places;
-mod rules;
-mod socket;
-mod starts;
-mod stats;
-
-use backend::Backends;
-use calls::retry_at_start;
-use config::{Config, ConfigError, ConfigText};
-use console::Console;
-use engine::Engine;
-use frontend::{Frontend, Phase};
-use handover::Keeper;
+use crate::admin::server;
+use crate::admin::server::Console;
+use crate::config::{Config, ConfigError, ConfigText};
+use crate::downstream::listener::{Frontend, Phase};
+use crate::operator_state::store;
+use crate::operator_state::store::Keeper;
+use crate::requests::dispatcher::Engine;
+use crate::transient_errors::retry_at_start;
+use crate::upstream::backend_registry;
+use crate::upstream::backend_registry::Backends;
+use crate::{metrics, send_invariants, transient_errors};
 use rustix::process::{getrlimit, Resource};
 use std::error::Error;
-use std::io::Write as _;
-use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
@@ -43,46 +27,45 @@
 const LAST_WRITES: Duration = Duration::from_millis(100);
 /// Beyond that, for large messages on their way: nobody waits for a process for ever.
 const LAST_LARGE: Duration = Duration::from_secs(30);
-/// Descriptors for all that is no client and no backend: standard streams, listener, discovery, the runtime.
+/// Descriptors for all that is no client and no backend: standard streams, listener, discovery, the
+/// runtime.
 const RESERVED_SOCKETS: usize = 32;
-/// Most that one request may hold: its body and answer, and the buffers of both connections. Measured with bodies of the
-/// largest kind at every place.
+/// Most that one request may hold: its body and answer, and the buffers of both connections.
+/// Measured with bodies of the largest kind at every place.
 const REQUEST_MEMORY: usize = 200 << 10;
 /// How often a process looks for another of its node, and for what that one was told.
 const LOOK: Duration = Duration::from_millis(100);
-/// Where lists are pushed, a new process waits so long for its first before it goes by the one of its configuration.
+/// Where lists are pushed, a new process waits so long for its first before it goes by the one of
+/// its configuration.
 const FIRST_LIST: Duration = Duration::from_millis(600);
-/// For so long a configuration that can't be read is asked for again: what the new discovery says counts as told 4 s after
-/// the signal.
+/// For so long a configuration that can't be read is asked for again: what the new discovery says
+/// counts as told 4 s after the signal.
 const RELOAD_PATIENCE: Duration = Duration::from_secs(2);
 /// How often it looks whether it can serve.
 const UNREADY: Duration = Duration::from_millis(10);
 /// Connections that the system holds until they are accepted.
 const BACKLOG: u32 = 1024;
 
-fn main() -> ExitCode {
-    let run = || -> Result<(), Box<dyn Error>> {
-        let text = ConfigText::from_env(|path| {
-            retry_at_start(format_args!("reading {path}"), || {
-                std::fs::read_to_string(path)
-            })
-        })?;
-        let config = text.parse()?;
-        let build = || {
-            tokio::runtime::Builder::new_current_thread()
-                .enable_all()
-                .build()
-        };
-        let runtime = retry_at_start("the runtime's start", build)?;
-        LocalSet::new().block_on(&runtime, run(config))
+/// Reads the configuration named by the environment and runs the proxy until it is told to stop.
+///
+/// # Errors
+///
+/// Returns the first failure of the start: a configuration that cannot be used, an address that
+/// cannot be bound, a runtime that cannot be built.
+pub fn run_from_environment() -> Result<(), Box<dyn Error>> {
+    let text = ConfigText::from_env(|path| {
+        retry_at_start(format_args!("reading {path}"), || {
+            std::fs::read_to_string(path)
+        })
+    })?;
+    let config = text.parse()?;
+    let build = || {
+        tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
     };
-    match run() {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            let _ = writeln!(std::io::stderr(), "birchswitch: {error}");
-            ExitCode::FAILURE
-        }
-    }
+    let runtime = retry_at_start("the runtime's start", build)?;
+    LocalSet::new().block_on(&runtime, run(config))
 }
 
 async fn run(config: Config) -> Result<(), Box<dyn Error>> {
@@ -100,15 +83,17 @@
         .unwrap_or_default();
     let warm_up = settings.rules.warm_up;
     let effects = settings.classes.iter().map(|c| c.effect).collect();
-    // Three quarters of memory are for requests; clients and backends share what descriptors there are. That is more
-    // than the third that clients need for requests: the rest is for those that say nothing.
-    let reserved = RESERVED_SOCKETS + config.console.map_or(0, |_| console::SOCKETS);
+    // Three quarters of memory are for requests; clients and backends share what descriptors there
+    // are. That is more than the third that clients need for requests: the rest is for those that
+    // say nothing.
+    let reserved = RESERVED_SOCKETS + config.console.map_or(0, |_| server::SOCKETS);
     let operated = config.console.is_some() || config.inherited.is_some();
     let place = std::env::var_os("TMPDIR").filter(|_| operated);
     let unkept = operated && place.is_none();
     let (keeper, unread) = Keeper::open(place.map(Into::into), &config.name);
     let keeper = Rc::new(keeper);
-    // Two processes of a node have one machine between them. What the system allows a process is its own.
+    // Two processes of a node have one machine between them. What the system allows a process is
+    // its own.
     let allowed = getrlimit(Resource::Nofile)
         .current
         .and_then(|most| usize::try_from(most).ok());
@@ -126,7 +111,7 @@
     };
     let mut accompanied = keeper.accompanied();
     let (clients, connections) = plan(accompanied);
-    let limits = backend::Limits {
+    let limits = backend_registry::Limits {
         connections,
         connect_timeout: or(settings.connect_timeout, Duration::from_millis(250)),
         conn_idle: or(settings.conn_idle, Duration::from_secs(5)),
@@ -143,7 +128,8 @@
         })
         .collect();
     let figures = format!(
-        "settings nodes={} cold_from={} fall_multiple={} warm_up_ms={} drain_grace_ms={} conn_idle_ms={} max_retry_after_ms={} clients={clients} \
+        "settings nodes={} cold_from={} fall_multiple={} warm_up_ms={} drain_grace_ms={} \
+         conn_idle_ms={} max_retry_after_ms={} clients={clients} \
          upstream={} {}",
         settings.nodes,
         settings.rules.cold_from,
@@ -171,7 +157,7 @@
     };
     let inherited = config.inherited.is_some();
     let listener = match &config.inherited {
-        Some(number) => TcpListener::from_std(handover::adopt(number, config.listen)?)?,
+        Some(number) => TcpListener::from_std(store::adopt(number, config.listen)?)?,
         None => bound(config.listen)?,
     };
     let listening_since = tokio::time::Instant::now();
@@ -202,7 +188,7 @@
     let counted = engine.clone();
     spawn_local(async move {
         let mut every =
-            tokio::time::interval_at(tokio::time::Instant::now() + stats::EVERY, stats::EVERY);
+            tokio::time::interval_at(tokio::time::Instant::now() + metrics::EVERY, metrics::EVERY);
         loop {
             every.tick().await;
             counted.log_stats();
@@ -259,7 +245,8 @@
     });
     tokio::time::sleep(LEAVE).await;
     phase.send_replace(Phase::Closing);
-    // What was taken last is due within the longest deadline. Large messages take the time that their peers need.
+    // What was taken last is due within the longest deadline. Large messages take the time that
+    // their peers need.
     let mut served = std::pin::pin!(served);
     if tokio::time::timeout(longest + LAST_WRITES, served.as_mut())
         .await
@@ -271,15 +258,16 @@
         }
     }
     let open = engine.open_requests();
-    if rules::may_end(open).is_err() {
+    if send_invariants::may_end(open).is_err() {
         engine.log(format_args!("violations_End={open}"));
     }
     engine.log(format_args!("left"));
     Ok(())
 }
 
-/// Reads the configuration again. The whole file is checked before anything of it is used: one that is bad changes
-/// nothing. What the file says prevails now over what the environment said at the start.
+/// Reads the configuration again. The whole file is checked before anything of it is used: one that
+/// is bad changes nothing. What the file says prevails now over what the environment said at the
+/// start.
 async fn reload(engine: &Engine) {
     match read_again(engine).await.and_then(|text| text.parse()) {
         Ok(config) => {
@@ -293,21 +281,22 @@
     }
 }
 
-/// Reads the configuration's text. Where that fails for a moment the signal is owed another try: it isn't sent again.
+/// Reads the configuration's text. Where that fails for a moment the signal is owed another try: it
+/// isn't sent again.
 async fn read_again(engine: &Engine) -> Result<ConfigText, ConfigError> {
     let by = tokio::time::Instant::now() + RELOAD_PATIENCE;
     let mut logged = false;
     loop {
         match ConfigText::from_env(|path| std::fs::read_to_string(path)) {
             Err(ConfigError::Unreadable { path, source })
-                if calls::may_pass(&source) && tokio::time::Instant::now() < by =>
+                if transient_errors::may_pass(&source) && tokio::time::Instant::now() < by =>
             {
                 if !std::mem::replace(&mut logged, true) {
                     engine.log(format_args!(
                         "reading {path} failed, and is tried again: {source}"
                     ));
                 }
-                tokio::time::sleep(calls::TRY_AGAIN).await;
+                tokio::time::sleep(transient_errors::TRY_AGAIN).await;
             }
             read => return read,
         }
--- /dev/null
+++ b/crates/proxy/src/operator_state/mod.rs
@@ -0,0 +1,3 @@
+//! Maintenance and drain state that outlives a process.
+
+pub mod store;
--- a/node/src/handover.rs
+++ b/crates/proxy/src/operator_state/store.rs
@@ -1,7 +1,8 @@
-//! What outlives a process: the listener that the platform holds for it, and the operators' word, kept in one file for the
-//! process that comes next. While two processes of a node live, both go by that file.
+//! What outlives a process: the listener that the platform holds for it, and the operators' word,
+//! kept in one file for the process that comes next. While two processes of a node live, both go by
+//! that file.
 
-use crate::calls::retry_at_start;
+use crate::transient_errors::retry_at_start;
 use serde::{Deserialize, Serialize};
 use socket2::Socket;
 use std::cell::{Cell, Ref, RefCell};
@@ -54,8 +55,9 @@
         .ok()
         .filter(|fd| *fd > 2)
         .ok_or(AdoptError::Number(number.to_owned()))?;
-    // SAFETY: The platform opened this descriptor for the process, says so by the variable, and nothing else here uses
-    // or closes it. Whether it is open is asked next; one that is not is given back below, never closed.
+    // SAFETY: The platform opened this descriptor for the process, says so by the variable, and
+    // nothing else here uses or closes it. Whether it is open is asked next; one that is not is
+    // given back below, never closed.
     #[allow(unsafe_code)]
     let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
     let listens = socket
@@ -90,8 +92,9 @@
     pub draining: bool,
     /// Backends that are left out, by name.
     pub out: BTreeSet<String>,
-    /// Others that were put back into use and may be cold still, with a marker of the call: for the rules they have started
-    /// then. By the marker a process sees a call that it has not heard of; it tells no time, since clocks may be stepped.
+    /// Others that were put back into use and may be cold still, with a marker of the call: for the
+    /// rules they have started then. By the marker a process sees a call that it has not heard of;
+    /// it tells no time, since clocks may be stepped.
     pub returned: BTreeMap<String, u64>,
 }
 
@@ -179,8 +182,8 @@
         self.word.borrow()
     }
 
-    /// Takes in what another process has written since. A file that is no good or gone leaves things as they are; one that
-    /// can't be read for a moment is read at the next look.
+    /// Takes in what another process has written since. A file that is no good or gone leaves
+    /// things as they are; one that can't be read for a moment is read at the next look.
     pub fn look(&self) -> Result<bool, KeepError> {
         let Some(place) = &self.place else {
             return Ok(false);
@@ -203,8 +206,8 @@
         Ok(changed)
     }
 
-    /// Changes it, from what any process has written last, for all of them. Once this succeeds it lasts; where it fails
-    /// nothing has changed, not even what this process goes by.
+    /// Changes it, from what any process has written last, for all of them. Once this succeeds it
+    /// lasts; where it fails nothing has changed, not even what this process goes by.
     pub async fn change<T>(&self, change: impl FnOnce(&mut Word) -> T) -> Result<T, KeepError> {
         let Some(place) = &self.place else {
             return Ok(change(&mut self.word.borrow_mut()));
@@ -227,7 +230,8 @@
         Ok(said)
     }
 
-    /// Whether a change may be written, or a failed one is too recent. For changes that nobody waits for.
+    /// Whether a change may be written, or a failed one is too recent. For changes that nobody
+    /// waits for.
     pub fn may_write(&self) -> bool {
         self.failed
             .get()
@@ -247,7 +251,8 @@
         let replacing = tokio::task::spawn_blocking(move || {
             let written = write(&place, &new);
             if written.is_err() {
-                // The file may be the new one already, and then not last: a no has to leave what was there.
+                // The file may be the new one already, and then not last: a no has to leave what
+                // was there.
                 let _ = write(&place, &old);
             }
             written
@@ -259,7 +264,8 @@
         written.map_err(|error| KeepError::Io(KEPT, error))
     }
 
-    /// Whether another process of this node lives. Holds this one's presence, which ends with the process.
+    /// Whether another process of this node lives. Holds this one's presence, which ends with the
+    /// process.
     pub fn accompanied(&self) -> bool {
         let Some(place) = &self.place else {
             return false;
@@ -325,8 +331,8 @@
     }
 }
 
-/// Replaces the file at one blow, so that nobody reads half of it, and for good: a machine that goes down right after has
-/// the new one.
+/// Replaces the file at one blow, so that nobody reads half of it, and for good: a machine that
+/// goes down right after has the new one.
 fn write(place: &Path, text: &[u8]) -> io::Result<()> {
     let mut next = File::create(place.join(NEXT))?;
     next.write_all(text)?;
@@ -337,5 +343,5 @@
 }
 
 #[cfg(test)]
-#[path = "handover_tests.rs"]
+#[path = "store_tests.rs"]
 mod tests;
--- a/node/src/handover_tests.rs
+++ b/crates/proxy/src/operator_state/store_tests.rs
@@ -18,7 +18,7 @@
 }
 
 fn place(name: &str) -> Place {
-    let place = std::env::temp_dir().join(format!("birchswitch-{}-{name}", std::process::id()));
+    let place = std::env::temp_dir().join(format!("balancer-proxy-{}-{name}", std::process::id()));
     fs::create_dir_all(&place).expect("a folder");
     Place(place)
 }
--- a/node/src/engine.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -1,16 +1,19 @@
 //! Owner of the balancer and of all that is in hand: requests, their attempts, timers.
 //!
-//! Tasks tell it what happened; it hands the events to the balancer one by one and turns the actions into I/O. It
-//! runs on one thread and never waits, so events need no queue beyond those that actions bring about at once.
-
-use crate::backend::{AnswerBody, AttemptTerms, Backends, Exchange, Progress, Server, Source};
-use crate::body::{Outgoing, Passed};
-use crate::discovery::{self, ServerList};
-use crate::gate;
-use crate::handover::Word;
-use crate::rules::{self, Earlier, Place, Rule};
-use crate::stats::Stats;
-use finchvale::{
+//! Tasks tell it what happened; it hands the events to the balancer one by one and turns the
+//! actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
+//! that actions bring about at once.
+
+use crate::discovery::client::{self, ServerList};
+use crate::http1::head_filter;
+use crate::http1::streaming::{Outgoing, Passed};
+use crate::metrics::Stats;
+use crate::operator_state::store::Word;
+use crate::send_invariants::{self, Earlier, Place, Rule};
+use crate::upstream::backend_registry::{
+    AnswerBody, AttemptTerms, Backends, Exchange, Progress, Server, Source,
+};
+use balancer::{
     Action, Arrival, Balancer, ClassId, Effect, Ended, Event, ListKind, LoadReport, Outcome,
     Probed, Reason, RequestId, ServerId, ServerState, Settings, SettingsError, TenantId, Time,
 };
@@ -35,7 +38,8 @@
 const SERVERS_WRITTEN: usize = 64;
 /// A call that was given up for its silence is heard for so long beside others.
 const SILENT_CALL: Duration = Duration::from_secs(6);
-/// A choice among probed servers is made within a few milliseconds: what a probe says later serves none.
+/// A choice among probed servers is made within a few milliseconds: what a probe says later serves
+/// none.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// What the balancer's clock shows when the process starts: servers may have started before it.
@@ -119,7 +123,9 @@
 
 /// Whether a client has closed its connection, or the node has.
 fn left(client: &Weak<TcpStream>) -> bool {
-    client.upgrade().is_none_or(|socket| gate::left(&socket))
+    client
+        .upgrade()
+        .is_none_or(|socket| head_filter::left(&socket))
 }
 
 struct Attempt {
@@ -140,11 +146,12 @@
     balancer: Balancer,
     events: VecDeque<Event>,
     ledger: FxHashMap<RequestId, Entry>,
-    /// The clients' names for what is in the ledger. Clients choose them, hence the hasher with a secret.
+    /// The clients' names for what is in the ledger. Clients choose them, hence the hasher with a
+    /// secret.
     ids: HashSet<Box<[u8]>>,
     next_request: u64,
-    /// Attempts at each server since the counters were last written, and how many of them it turned away or answered with
-    /// an error, or with nothing of use.
+    /// Attempts at each server since the counters were last written, and how many of them it turned
+    /// away or answered with an error, or with nothing of use.
     sent: FxHashMap<ServerId, [u32; 3]>,
     /// The watch, or the task that keeps one open.
     watch: Option<AbortHandle>,
@@ -174,7 +181,8 @@
     second_copies: bool,
     /// By class: how far its requests may be repeated.
     effects: Vec<Effect>,
-    /// By class: within which time an answer earns its worth, the stretch for heavy requests left aside.
+    /// By class: within which time an answer earns its worth, the stretch for heavy requests left
+    /// aside.
     aims: Vec<Duration>,
     state: RefCell<State>,
     revision: Cell<u64>,
@@ -233,7 +241,8 @@
 
     /// A line for the node's log.
     pub fn log(&self, line: fmt::Arguments) {
-        // Nobody may be left to read it: that is no reason to stop serving, which `eprintln!` would make of it.
+        // Nobody may be left to read it: that is no reason to stop serving, which `eprintln!` would
+        // make of it.
         let _ = writeln!(std::io::stderr(), "{}: {line}", self.name);
     }
 
@@ -243,7 +252,7 @@
     }
 
     /// The names that the settings give to classes, tenants and so on.
-    pub fn names(&self) -> &finchvale_drill::settings::Names {
+    pub fn names(&self) -> &settings::Names {
         self.backends.names()
     }
 
@@ -278,8 +287,8 @@
         }
     }
 
-    /// A call that was not given up has told a list: one that was has nothing newer to say. Before that it may have, since a
-    /// watch that is open may end instead of telling.
+    /// A call that was not given up has told a list: one that was has nothing newer to say. Before
+    /// that it may have, since a watch that is open may end instead of telling.
     pub fn forget_silent_call(&self) {
         self.state
             .borrow_mut()
@@ -317,8 +326,9 @@
         }
     }
 
-    /// The list of servers is elsewhere from now on. What is on its way from the old address counts as told, and is heard
-    /// until the new one has told its whole list; the servers last known stay until then.
+    /// The list of servers is elsewhere from now on. What is on its way from the old address counts
+    /// as told, and is heard until the new one has told its whole list; the servers last known stay
+    /// until then.
     pub fn rediscover(&self, address: SocketAddr) {
         if self.discovery.replace(address) != address {
             self.log(format_args!("discovery is now {address}"));
@@ -330,8 +340,8 @@
         }
     }
 
-    /// Goes on hearing a call that was given up for its silence, beside the next one. Where there is one already that
-    /// one stays: it is the first in turn.
+    /// Goes on hearing a call that was given up for its silence, beside the next one. Where there
+    /// is one already that one stays: it is the first in turn.
     pub fn hear_beside(&self, address: SocketAddr, call: impl Future + 'static) {
         let state = &mut *self.state.borrow_mut();
         let held = state
@@ -408,12 +418,13 @@
         self.backends.knows(backend)
     }
 
-    /// Whether a backend that operators have put back into use is warm again, as far as this process knows.
+    /// Whether a backend that operators have put back into use is warm again, as far as this
+    /// process knows.
     pub fn warmed_up(&self, backend: &str, warm_up: Duration) -> bool {
         self.backends.warmed_up(self.clock.now(), backend, warm_up)
     }
 
-    fn take_list(&self, list: &ServerList, source: Source) -> Vec<finchvale::ServerEntry> {
+    fn take_list(&self, list: &ServerList, source: Source) -> Vec<balancer::ServerEntry> {
         self.revision.set(list.revision);
         let entries = self.backends.take_list(self.clock.now(), list, source);
         let usable = entries.iter().any(|e| e.state == ServerState::Ready);
@@ -421,8 +432,9 @@
         entries
     }
 
-    /// Takes a client's request. The answer comes through the channel; dropping [`Taken`] is the client's leaving.
-    /// None: one of that id is open or still out at a server, where a second would pass for its repeat.
+    /// Takes a client's request. The answer comes through the channel; dropping [`Taken`] is the
+    /// client's leaving. None: one of that id is open or still out at a server, where a second
+    /// would pass for its repeat.
     pub fn arrival(&self, incoming: Incoming) -> Option<Taken> {
         let (reply, answer) = oneshot::channel();
         let mut state = self.state.borrow_mut();
@@ -493,7 +505,8 @@
         }
     }
 
-    /// Ends what nobody waits for any more and no server has got yet: no attempt of it that is still connecting goes out.
+    /// Ends what nobody waits for any more and no server has got yet: no attempt of it that is
+    /// still connecting goes out.
     fn withhold(&self, state: &mut State, request: RequestId) {
         let Some(entry) = state.ledger.get_mut(&request) else {
             return;
@@ -738,7 +751,8 @@
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
         let id = printable(&entry.id);
         let mut line = format!(
-            "request id={id} class={} tenant={} answer={answer} reason={reason:?} read_ms={:.2} age_ms={:.2} left_ms={:.0}",
+            "request id={id} class={} tenant={} answer={answer} \
+             reason={reason:?} read_ms={:.2} age_ms={:.2} left_ms={:.0}",
             entry.class,
             entry.tenant,
             ms(entry.taken - entry.since),
@@ -773,8 +787,11 @@
         let view = state.balancer.view(self.clock.now());
         let (clients, open) = (c.accepted, self.backends.connections());
         let mut line = format!(
-            "stats s={:.1} requests={} served={} refused={} failed={} gone={} unlogged={} in_hand={} attempts={} \
-             errors={} turned_away={} timed_out={} unreachable={} broken={} unsent={} passed_on={} cut={} accepted={clients} told_to_close={} upstream_new={} upstream_open={open} left_out={} shed={:.3} \
+            "stats s={:.1} requests={} served={} refused={} failed={} gone={} \
+             unlogged={} in_hand={} attempts={} \
+             errors={} turned_away={} timed_out={} unreachable={} broken={} unsent={} passed_on={} \
+             cut={} accepted={clients} told_to_close={} upstream_new={} \
+             upstream_open={open} left_out={} shed={:.3} \
              load={:.2} latency_ms={:.1} retry_budget={:.1}",
             time.as_secs_f64(),
             c.requests,
@@ -820,7 +837,8 @@
                 let _ = write!(line, ",{reason:?}={count}");
             }
         }
-        // Those that it deals with, the busiest first, and no more than a line bears: there may be a thousand.
+        // Those that it deals with, the busiest first, and no more than a line bears: there may be
+        // a thousand.
         let mut dealt: Vec<_> = view
             .servers
             .iter()
@@ -843,7 +861,8 @@
             );
             let _ = write!(
                 line,
-                " {}:weight={:.2},price={:.2},load={load:.2},util={util:.2},queue={queue:.2},warm={:.2},speed={:.2},share={:.2},out={},sent={sent},full={full},bad={bad}",
+                " {}:weight={:.2},price={:.2},load={load:.2},util={util:.2},queue={queue:.2},\
+                 warm={:.2},speed={:.2},share={:.2},out={},sent={sent},full={full},bad={bad}",
                 s.server, s.weight, s.price, s.warmth, s.speed, s.share, s.out
             );
         }
@@ -895,7 +914,8 @@
             return state.events.push_back(Event::Ended(ended));
         };
         let until = limit.map_or(entry.due, |limit| entry.due.min(began + limit));
-        // The balancer looks at the window when it decides; connecting takes time after that, in which the client may leave.
+        // The balancer looks at the window when it decides; connecting takes time after that, in
+        // which the client may leave.
         let risky = entry.attempts.iter().find(|a| a.may_have_run);
         let repeat_by = risky.and_then(|a| Some(a.began + self.effect(entry.class).window()?));
         let client = entry.client.clone();
@@ -939,8 +959,9 @@
         });
     }
 
-    /// Whether the rules allow one more attempt of a request at a server. The balancer keeps them by itself: that it asks
-    /// for what they forbid is a fault of its own, except where the list has changed since.
+    /// Whether the rules allow one more attempt of a request at a server. The balancer keeps them
+    /// by itself: that it asks for what they forbid is a fault of its own, except where the list
+    /// has changed since.
     fn may_send(&self, entry: &Entry, backend: &Server) -> bool {
         if !backend.takes_new() {
             self.stats.rules.withheld(Rule::Drain);
@@ -956,7 +977,8 @@
             })
             .collect();
         let effect = self.effect(entry.class);
-        let allowed = rules::may_repeat(effect, self.second_copies, backend.place(), &earlier);
+        let allowed =
+            send_invariants::may_repeat(effect, self.second_copies, backend.place(), &earlier);
         if let Err(rule) = allowed {
             self.stats.rules.violated(rule);
             debug_assert!(false, "{rule:?}: {}", printable(&entry.id));
@@ -1035,8 +1057,8 @@
         });
     }
 
-    /// Starts a watch, unless one is being opened or is open already. Where lists come only when asked for there is but one,
-    /// and its end is told as a failed call.
+    /// Starts a watch, unless one is being opened or is open already. Where lists come only when
+    /// asked for there is but one, and its end is told as a failed call.
     fn watch(&self, state: &mut State) {
         if state.watch.as_ref().is_some_and(|task| !task.is_finished()) {
             return;
@@ -1045,9 +1067,9 @@
         let task = spawn_local(async move {
             let Some(engine) = me.upgrade() else { return };
             if !asked {
-                return discovery::follow(engine, address).await;
+                return client::follow(engine, address).await;
             }
-            let error = discovery::watch_once(&engine, address).await;
+            let error = client::watch_once(&engine, address).await;
             if engine.discovery() == address {
                 engine.log(format_args!("watch: {error}"));
                 engine.feed(Event::List {
--- /dev/null
+++ b/crates/proxy/src/requests/mod.rs
@@ -0,0 +1,4 @@
+//! Requests in flight, and the dispatcher that feeds events to the balancer and carries out its
+//! actions.
+
+pub mod dispatcher;
--- a/node/src/places.rs
+++ b/crates/proxy/src/resizable_semaphore.rs
@@ -76,5 +76,5 @@
 }
 
 #[cfg(test)]
-#[path = "places_tests.rs"]
+#[path = "resizable_semaphore_tests.rs"]
 mod tests;
--- a/node/src/rules.rs
+++ b/crates/proxy/src/send_invariants.rs
@@ -1,18 +1,19 @@
-//! What the rules forbid, in one place: whether an attempt may begin, a connection may be closed, the process may end.
+//! What the rules forbid, in one place: whether an attempt may begin, a connection may be closed,
+//! the process may end.
 //!
-//! Every path asks right before the act, with what holds at that moment; nothing here decides what is wise. What a rule has
-//! held back is counted by rule, and so is what the balancer asked for although no rule allows it: a violation, which builds
-//! with debug assertions don't survive.
+//! Every path asks right before the act, with what holds at that moment; nothing here decides what
+//! is wise. What a rule has held back is counted by rule, and so is what the balancer asked for
+//! although no rule allows it: a violation, which builds with debug assertions don't survive.
 
-use finchvale::{Effect, Group};
+use balancer::{Effect, Group};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An attempt tells its server how much time is left. What was told longer ago than this is not true any more: the rules
-/// allow 0.15 s in all.
+/// An attempt tells its server how much time is left. What was told longer ago than this is not
+/// true any more: the rules allow 0.15 s in all.
 const TOLD_IN_TIME: Duration = Duration::from_millis(100);
 
 /// A rule that holds something back.
@@ -170,5 +171,5 @@
 }
 
 #[cfg(test)]
-#[path = "rules_tests.rs"]
+#[path = "send_invariants_tests.rs"]
 mod tests;
--- a/node/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,10 +1,12 @@
-//! A TCP connection for readers and writers that know nothing of what may go wrong with single calls.
+//! A TCP connection for readers and writers that know nothing of what may go wrong with single
+//! calls.
 //!
-//! The runtime's own stream takes a read that fills only a part of its buffer for a sign that nothing is left, and waits for
-//! more to come. A read may be short for other reasons: what is left would be found only with the next bytes. Here a
-//! socket counts as read out only once the system says so, and an interrupted call is made again.
+//! The runtime's own stream takes a read that fills only a part of its buffer for a sign that
+//! nothing is left, and waits for more to come. A read may be short for other reasons: what is left
+//! would be found only with the next bytes. Here a socket counts as read out only once the system
+//! says so, and an interrupted call is made again.
 
-use crate::gate::passes;
+use crate::http1::head_filter::passes;
 use std::io;
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
--- a/node/src/starts.rs
+++ b/crates/proxy/src/start_times.rs
@@ -1,12 +1,13 @@
 //! When servers started, on the process's own clock.
 //!
-//! Lists tell it by wall-clock stamps, and a wall clock may be stepped, here or elsewhere, by seconds or by hours. What the
-//! process knows for sure is when it first heard of a start. So a stamp that is new or has changed, whichever way, is a
-//! start at that moment. Only of servers that the process finds already there when it begins do the stamps have to
-//! tell the age, and then the least that they allow: a server that is taken for younger than it is gets less for a
-//! while, one that is taken for older is pushed over.
+//! Lists tell it by wall-clock stamps, and a wall clock may be stepped, here or elsewhere, by
+//! seconds or by hours. What the process knows for sure is when it first heard of a start. So a
+//! stamp that is new or has changed, whichever way, is a start at that moment. Only of servers that
+//! the process finds already there when it begins do the stamps have to tell the age, and then the
+//! least that they allow: a server that is taken for younger than it is gets less for a while, one
+//! that is taken for older is pushed over.
 
-use finchvale::Time;
+use balancer::Time;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
@@ -46,8 +47,8 @@
 }
 
 impl Starts {
-    /// Takes in the stamps of a list before its servers are asked for. They tell how far the clock has come by which
-    /// servers are stamped.
+    /// Takes in the stamps of a list before its servers are asked for. They tell how far the clock
+    /// has come by which servers are stamped.
     pub fn hear(&mut self, now: Time, stamps: impl Iterator<Item = Duration>) {
         let Some(latest) = stamps.max().filter(|stamp| !stamp.is_zero()) else {
             return;
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Takes in which servers operators have put back into use. A marker not heard before is a start at this moment.
+    /// Takes in which servers operators have put back into use. A marker not heard before is a
+    /// start at this moment.
     pub fn hear_returned<'a>(
         &mut self,
         now: Time,
@@ -121,8 +123,9 @@
             .map(|reference| reference.stamp + (now - reference.at))
     }
 
-    /// A start by a stamp that was there before this process followed the list: as late as any clock allows. A stamp that
-    /// this machine's clock has not reached says that this clock can't be believed.
+    /// A start by a stamp that was there before this process followed the list: as late as any
+    /// clock allows. A stamp that this machine's clock has not reached says that this clock can't
+    /// be believed.
     fn least_age(&self, now: Time, wall: Duration, stamp: Duration) -> Option<Time> {
         let by_stamps = self.stamp_clock(now).unwrap_or(stamp).saturating_sub(stamp);
         let by_wall = wall.checked_sub(stamp).unwrap_or(by_stamps);
@@ -132,5 +135,5 @@
 }
 
 #[cfg(test)]
-#[path = "starts_tests.rs"]
+#[path = "start_times_tests.rs"]
 mod tests;
--- a/node/src/calls.rs
+++ b/crates/proxy/src/transient_errors.rs
@@ -20,8 +20,8 @@
     )
 }
 
-/// Whether a call failed for want of something that this process or its machine has run out of: descriptors, memory,
-/// buffers or ports.
+/// Whether a call failed for want of something that this process or its machine has run out of:
+/// descriptors, memory, buffers or ports.
 pub fn is_shortage(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -37,8 +37,9 @@
     )
 }
 
-/// Whether `accept` told of one connection's own end, or was interrupted: the next connection can be taken at once. Linux
-/// passes network errors that are pending on a new socket on as errors of `accept`.
+/// Whether `accept` told of one connection's own end, or was interrupted: the next connection can
+/// be taken at once. Linux passes network errors that are pending on a new socket on as errors of
+/// `accept`.
 pub fn is_one_connections(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -60,8 +61,9 @@
     )
 }
 
-/// Makes a call of the start until it succeeds, fails for good, or has failed for [`START_PATIENCE`]. The first failure is
-/// logged. Nothing else runs in the process yet, so that waiting holds up nothing.
+/// Makes a call of the start until it succeeds, fails for good, or has failed for
+/// [`START_PATIENCE`]. The first failure is logged. Nothing else runs in the process yet, so that
+/// waiting holds up nothing.
 pub fn retry_at_start<T>(
     what: impl Display,
     mut call: impl FnMut() -> io::Result<T>,
@@ -74,7 +76,7 @@
                 if !std::mem::replace(&mut logged, true) {
                     let _ = writeln!(
                         io::stderr(),
-                        "birchswitch: {what} failed, and is tried again: {error}"
+                        "balancer-proxy: {what} failed, and is tried again: {error}"
                     );
                 }
                 std::thread::sleep(TRY_AGAIN);
@@ -85,5 +87,5 @@
 }
 
 #[cfg(test)]
-#[path = "calls_tests.rs"]
+#[path = "transient_errors_tests.rs"]
 mod tests;
--- a/node/src/backend.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -1,17 +1,16 @@
 //! The servers' side: their addresses and states, connections to them, and what is sent over these.
 
-use crate::body::{hold, Outgoing, Passed, Passing, Sending};
-use crate::calls;
-use crate::discovery::{Member, Phase, ServerList};
-use crate::gate::{self, Gate, Guard, Head, Next, Problem, HELD_BODY};
-use crate::handover::Word;
-use crate::places::Places;
-use crate::rules::{self, AttemptFacts, Place, Rule};
-use crate::starts::Starts;
-use crate::stats::Stats;
+use crate::discovery::client::{Member, Phase, ServerList};
+use crate::http1::head_filter::{self, Gate, Guard, Head, Next, Problem, HELD_BODY};
+use crate::http1::streaming::{hold, Outgoing, Passed, Passing, Sending};
+use crate::metrics::Stats;
+use crate::operator_state::store::Word;
+use crate::resizable_semaphore::Places;
+use crate::send_invariants::{self, AttemptFacts, Place, Rule};
+use crate::start_times::Starts;
+use crate::transient_errors;
+use balancer::{KindId, LoadReport, Outcome, ServerEntry, ServerId, ServerState, Time, ZoneId};
 use bytes::{Bytes, BytesMut};
-use finchvale::{KindId, LoadReport, Outcome, ServerEntry, ServerId, ServerState, Time, ZoneId};
-use finchvale_drill::settings::{Field, Names};
 use hyper::body::Body;
 use hyper::client::conn::http1;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -19,6 +18,7 @@
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashMap;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, Visitor};
+use settings::{Field, Names};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -31,15 +31,18 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// A connection is idle again once its answer is read; one that takes longer has something wrong with it.
+/// A connection is idle again once its answer is read; one that takes longer has something wrong
+/// with it.
 const SETTLE: Duration = Duration::from_millis(5);
-/// Before it is used again a connection has to be quiet for so long: bytes behind an answer, on their way when it was
-/// given back, would pass for the answer to the next request.
+/// Before it is used again a connection has to be quiet for so long: bytes behind an answer, on
+/// their way when it was given back, would pass for the answer to the next request.
 const QUARANTINE: Duration = Duration::from_millis(5);
 
-/// An answer of unknown length is held for so long in the hope that it is small. What is large is timed by its first bytes.
+/// An answer of unknown length is held for so long in the hope that it is small. What is large is
+/// timed by its first bytes.
 const HELD_FOR: Duration = Duration::from_millis(50);
-/// Milliseconds between the tries of a connection for which the node itself has no descriptor, port or buffer.
+/// Milliseconds between the tries of a connection for which the node itself has no descriptor, port
+/// or buffer.
 const SHORTAGE_PAUSES_MS: [u64; 6] = [1, 2, 4, 8, 16, 32];
 /// Most that waits to be written on one connection, beside one read's worth.
 pub const MOST_BUFFERED: usize = 32 << 10;
@@ -81,7 +84,7 @@
             server: self.id,
             zone,
             kind,
-            cell: finchvale::CellId(cell),
+            cell: balancer::CellId(cell),
             state: self.state.get(),
             weight: self.weight.get(),
             started: self.started.get(),
@@ -112,11 +115,15 @@
 }
 
 impl Connection {
-    /// Whether the server has closed it or sent what nobody asked for, as far as the system knows by now.
+    /// Whether the server has closed it or sent what nobody asked for, as far as the system knows
+    /// by now.
     fn good(&self) -> bool {
         !self.more.get()
             && self.sender.is_ready()
-            && self.socket.upgrade().is_some_and(|s| gate::quiet(&s))
+            && self
+                .socket
+                .upgrade()
+                .is_some_and(|s| head_filter::quiet(&s))
     }
 }
 
@@ -146,7 +153,7 @@
     const BETWEEN: Next = Next::Nothing;
 
     fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        gate::answer_head(bytes)
+        head_filter::answer_head(bytes)
     }
 
     fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
@@ -385,7 +392,8 @@
                 let moved = member
                     .host_port
                     .is_some_and(|a| server.address.replace(a) != a);
-                // What was connected to the process before this one is dead, whether or not it says so.
+                // What was connected to the process before this one is dead, whether or not it says
+                // so.
                 let restarted = server.started.replace(started) != started;
                 // And what nothing new may go over is only in the way of others.
                 if restarted || moved || state == ServerState::Draining {
@@ -401,7 +409,8 @@
     }
 
     // ---- maintenance ----
-    /// Goes by what operators have said, from now on and whatever lists say. Returns what changes for the balancer.
+    /// Goes by what operators have said, from now on and whatever lists say. Returns what changes
+    /// for the balancer.
     pub fn heed(&self, now: Time, word: &Word) -> Vec<ServerEntry> {
         *self.word.borrow_mut() = word.clone();
         let mut starts = self.starts.borrow_mut();
@@ -428,7 +437,8 @@
         self.by_name.borrow().contains_key(name)
     }
 
-    /// Whether a server that operators have put back into use is warm again, as far as this process knows.
+    /// Whether a server that operators have put back into use is warm again, as far as this process
+    /// knows.
     pub fn warmed_up(&self, now: Time, name: &str, warm_up: Duration) -> bool {
         self.starts
             .borrow()
@@ -456,11 +466,13 @@
         let stream = match timeout(self.limits.connect_timeout, connect).await {
             Ok(Ok(stream)) => stream,
             // The node's own shortage says nothing of the server.
-            Ok(Err(error)) if calls::is_shortage(&error) => return Err(Outcome::NotSent),
+            Ok(Err(error)) if transient_errors::is_shortage(&error) => {
+                return Err(Outcome::NotSent)
+            }
             _ => return Err(Outcome::Unreachable),
         };
-        // Word may have come meanwhile that the server moved or restarted: what answers at the address that it had
-        // is another's, or gone.
+        // Word may have come meanwhile that the server moved or restarted: what answers at the
+        // address that it had is another's, or gone.
         if generation != server.generation.get() {
             self.stats.rules.withheld(Rule::Drain);
             return Err(Outcome::NotSent);
@@ -506,18 +518,21 @@
         self.limits.conn_idle * 3 / 4
     }
 
-    /// Room for one more connection, made if need be by closing the one that has been idle the longest.
+    /// Room for one more connection, made if need be by closing the one that has been idle the
+    /// longest.
     async fn slot(&self) -> Option<OwnedSemaphorePermit> {
         if let Some(permit) = self.slots.take() {
             return Some(permit);
         }
         self.close_longest_idle();
-        // The slot comes free once the driver of that connection has been dropped, in its next turn.
+        // The slot comes free once the driver of that connection has been dropped, in its next
+        // turn.
         tokio::task::yield_now().await;
         self.slots.take()
     }
 
-    /// From now on there may be so many connections. Idle ones beyond that are closed at once, others once they end.
+    /// From now on there may be so many connections. Idle ones beyond that are closed at once,
+    /// others once they end.
     pub fn resize(&self, connections: usize) {
         let beyond = self.slots.taken().saturating_sub(connections);
         self.slots.resize(connections);
@@ -567,8 +582,9 @@
     }
 
     // ---- attempts and probes ----
-    /// Sends one request, if the rules allow it right before its first byte goes, and reads its answer, until `until` at
-    /// the latest. Never sends it again. `progress` tells whether its first byte has gone.
+    /// Sends one request, if the rules allow it right before its first byte goes, and reads its
+    /// answer, until `until` at the latest. Never sends it again. `progress` tells whether its
+    /// first byte has gone.
     pub async fn attempt(
         &self,
         server: &Rc<Server>,
@@ -601,10 +617,11 @@
                     told: told.filter(|_| time_runs),
                     repeat_by: terms.repeat_by,
                 };
-                rules::may_begin(Instant::now(), &facts)
+                send_invariants::may_begin(Instant::now(), &facts)
                     .inspect_err(|rule| stats.rules.withheld(*rule))
             };
-            // Connecting took time, in which anything may have changed; and some more passes before the writing.
+            // Connecting took time, in which anything may have changed; and some more passes before
+            // the writing.
             if check(None).is_err() {
                 self.give_back(server, connection).await;
                 return Exchange::failed(Outcome::NotSent);
@@ -642,8 +659,8 @@
             () = upload.stalled() => Exchange::failed(Outcome::Broken),
         };
         match exchange.outcome {
-            // Where the last byte was not written, nothing has run; and if that is the client's doing, it says nothing
-            // of the server.
+            // Where the last byte was not written, nothing has run; and if that is the client's
+            // doing, it says nothing of the server.
             Outcome::Broken | Outcome::TimedOut if upload.problem().is_some() => {
                 Exchange::failed(Outcome::NotSent)
             }
@@ -683,7 +700,8 @@
             Ok(response) => response,
             // Nothing of it was written: that was not allowed any more.
             Err(_) if connection.permit.refused.get() => return Exchange::failed(Outcome::NotSent),
-            // Handed back unsent. Anything else may have reached the server, and may have run there.
+            // Handed back unsent. Anything else may have reached the server, and may have run
+            // there.
             Err(error) if error.message().is_some() => {
                 return Exchange::failed(Outcome::Unreachable)
             }
@@ -819,7 +837,7 @@
 async fn connect_despite_shortage(address: SocketAddr) -> std::io::Result<TcpStream> {
     for pause in SHORTAGE_PAUSES_MS.map(Duration::from_millis) {
         match TcpStream::connect(address).await {
-            Err(error) if calls::is_shortage(&error) => tokio::time::sleep(pause).await,
+            Err(error) if transient_errors::is_shortage(&error) => tokio::time::sleep(pause).await,
             result => return result,
         }
     }
@@ -834,7 +852,8 @@
     }
 }
 
-/// Position of a name among those that the settings give; names they don't give share one of their own.
+/// Position of a name among those that the settings give; names they don't give share one of their
+/// own.
 fn position(names: &[String], name: &str) -> u8 {
     names
         .iter()
--- /dev/null
+++ b/crates/proxy/src/upstream/mod.rs
@@ -0,0 +1,3 @@
+//! Backends: their addresses, connections to them, and exchanges over these.
+
+pub mod backend_registry;
--- a/node/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -81,7 +81,8 @@
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
-/// A connection that breaks after the request, even in the middle of its answer, leaves open whether it ran.
+/// A connection that breaks after the request, even in the middle of its answer, leaves open
+/// whether it ran.
 #[tokio::test]
 async fn a_broken_connection_may_have_run() {
     let (one, two) = (Peer::new().await, Peer::new().await);
@@ -100,8 +101,8 @@
     }
 }
 
-/// With no second copies allowed, the connection of a spoilt or broken attempt is closed before the next one is written: not
-/// for an instant are there two.
+/// With no second copies allowed, the connection of a spoilt or broken attempt is closed before the
+/// next one is written: not for an instant are there two.
 #[tokio::test]
 async fn a_spoilt_attempt_is_closed_before_the_next_is_written() {
     for spoilt in [
@@ -125,7 +126,8 @@
     }
 }
 
-/// A body of which a part was written, and the connection then broke, is no proof of anything where all of it may have come.
+/// A body of which a part was written, and the connection then broke, is no proof of anything where
+/// all of it may have come.
 #[tokio::test]
 async fn an_unsafe_request_is_not_repeated_after_a_reset_in_the_middle() {
     let (one, two) = (Peer::new().await, Peer::new().await);
@@ -152,7 +154,8 @@
     }
 }
 
-/// A refused connection carried nothing, so that even an unsafe request may be refused: the client may come again.
+/// A refused connection carried nothing, so that even an unsafe request may be refused: the client
+/// may come again.
 #[tokio::test]
 async fn a_refused_connection_never_ran() {
     let server = Peer::new().await;
@@ -163,8 +166,8 @@
     assert_eq!(answer.header("retry-after"), Some("1.500"));
 }
 
-/// Without a look at the socket first, the request is written to a connection that the server has closed, and is
-/// lost to it.
+/// Without a look at the socket first, the request is written to a connection that the server has
+/// closed, and is lost to it.
 #[tokio::test]
 async fn a_connection_closed_while_idle_is_not_used() {
     let server = Peer::new().await;
@@ -179,8 +182,8 @@
     }
 }
 
-/// A server closes an idle connection, or sends more on it, in the moment in which the next request comes: both are noticed in
-/// one turn.
+/// A server closes an idle connection, or sends more on it, in the moment in which the next request
+/// comes: both are noticed in one turn.
 #[tokio::test]
 async fn a_connection_closed_as_the_next_request_comes_is_not_used() {
     let server = Peer::new().await;
@@ -224,8 +227,8 @@
     }
 }
 
-/// What is behind an answer would be taken for the answer to the next request on that connection: with a second copy that
-/// client would get another's answer.
+/// What is behind an answer would be taken for the answer to the next request on that connection:
+/// with a second copy that client would get another's answer.
 #[tokio::test]
 async fn bytes_behind_an_answer_end_the_connection() {
     let server = Peer::new().await;
@@ -258,8 +261,8 @@
     }
 }
 
-/// An answer that is not surely whole is none. Its request may have run, and its connection is closed at once, not when the
-/// client's time is up: an endless one would go on growing.
+/// An answer that is not surely whole is none. Its request may have run, and its connection is
+/// closed at once, not when the client's time is up: an endless one would go on growing.
 #[tokio::test]
 async fn spoilt_answers_end_the_attempt() {
     let server = Peer::new().await;
@@ -297,7 +300,8 @@
     assert!(node.memory_peak() < MEMORY_MB << 10);
 }
 
-/// Interim answers are skipped, and load reports that can't be read are ignored: neither spoils the answer.
+/// Interim answers are skipped, and load reports that can't be read are ignored: neither spoils the
+/// answer.
 #[tokio::test]
 async fn interim_answers_and_odd_reports_are_survived() {
     let server = Peer::new().await;
@@ -312,8 +316,8 @@
     assert_eq!(client.read().await.expect("an answer").body, b"served");
 }
 
-/// A server that says nothing costs the client no answer: it comes before the client's time is up, and the attempt's
-/// connection is closed.
+/// A server that says nothing costs the client no answer: it comes before the client's time is up,
+/// and the attempt's connection is closed.
 #[tokio::test]
 async fn a_silent_server_fails_the_request_in_time() {
     let server = Peer::new().await;
@@ -396,7 +400,8 @@
             }
         });
     }
-    // On a busy machine a report may come too late to be heeded. Without any, so long a row is a matter of 1 in 10^6.
+    // On a busy machine a report may come too late to be heeded. Without any, so long a row is a
+    // matter of 1 in 10^6.
     let in_a_row = async {
         let mut row = 0;
         while row < 20 {
--- a/node/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -81,9 +81,10 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Clients that say nothing, or half a head, take all descriptors that they can get while discovery is down, and the system
-/// allows fewer of them than the configuration says. What the node itself needs is left: discovery's return is noticed, the
-/// console answers, servers are connected, and proper clients get a place.
+/// Clients that say nothing, or half a head, take all descriptors that they can get while discovery
+/// is down, and the system allows fewer of them than the configuration says. What the node itself
+/// needs is left: discovery's return is noticed, the console answers, servers are connected, and
+/// proper clients get a place.
 #[tokio::test]
 async fn clients_that_take_all_descriptors_leave_the_node_its_own() {
     for asked in [false, true] {
@@ -128,7 +129,8 @@
     }
 }
 
-/// Connections that come all at once fill every place before any of them has had its turn. Room is made all the same.
+/// Connections that come all at once fill every place before any of them has had its turn. Room is
+/// made all the same.
 #[tokio::test]
 async fn a_burst_of_idle_connections_keeps_nobody_out() {
     let server = Peer::new().await;
@@ -152,8 +154,8 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Requests may come with their connections, and more at once than there are places: room is made where nothing was
-/// asked, not where a request is still to be read.
+/// Requests may come with their connections, and more at once than there are places: room is made
+/// where nothing was asked, not where a request is still to be read.
 #[tokio::test]
 async fn a_burst_of_requests_is_served() {
     let server = Peer::new().await;
@@ -190,7 +192,8 @@
     answering.abort();
 }
 
-/// Every place taken by a body of the largest kind, and each answered with one: memory stays within its limit.
+/// Every place taken by a body of the largest kind, and each answered with one: memory stays within
+/// its limit.
 #[tokio::test]
 async fn large_bodies_at_every_place_fit_into_memory() {
     let server = Peer::new().await;
@@ -231,8 +234,8 @@
     assert!(node.memory_peak() < MEMORY_MB << 10);
 }
 
-/// More servers than descriptors: idle connections are closed for new ones, and the node's own shortage never passes
-/// for a server's failure.
+/// More servers than descriptors: idle connections are closed for new ones, and the node's own
+/// shortage never passes for a server's failure.
 #[tokio::test]
 async fn more_servers_than_descriptors() {
     let discovery = Peer::new().await;
@@ -276,7 +279,8 @@
     assert!(node.descriptors() <= 64);
 }
 
-/// A connection is closed by the node well before the server would: a request that crosses that may be lost.
+/// A connection is closed by the node well before the server would: a request that crosses that may
+/// be lost.
 #[tokio::test]
 async fn idle_connections_are_retired() {
     let server = Peer::new().await;
@@ -297,7 +301,8 @@
     wire.closed().await;
 }
 
-/// What a node has taken when it is told to end, and what still comes for a moment, is answered first.
+/// What a node has taken when it is told to end, and what still comes for a moment, is answered
+/// first.
 #[tokio::test]
 async fn a_signal_ends_the_node_after_its_last_answer() {
     let server = Peer::new().await;
@@ -324,7 +329,8 @@
     assert!(node.exited().await.success());
 }
 
-/// A head or a body may be half there when the node ends, on a kept connection too. Further signals change nothing.
+/// A head or a body may be half there when the node ends, on a kept connection too. Further signals
+/// change nothing.
 #[tokio::test]
 async fn what_is_half_there_at_the_end_is_answered() {
     let server = Peer::new().await;
@@ -392,7 +398,8 @@
     assert!(node.exited().await.success());
 }
 
-/// What waits for a place when the node is told to end has been taken by its machine: closing on it loses a request.
+/// What waits for a place when the node is told to end has been taken by its machine: closing on it
+/// loses a request.
 #[tokio::test]
 async fn clients_in_the_queue_are_served_at_the_end() {
     let server = Peer::new().await;
@@ -415,7 +422,8 @@
     waiting.send("unsafe", "20000m").await;
     node.signal("TERM").await;
     node.logged("leaving").await;
-    // Past the time in which it takes more. Were the machine slower than that, the test would only see less.
+    // Past the time in which it takes more. Were the machine slower than that, the test would only
+    // see less.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     for (wire, client) in wires.iter_mut().zip(&mut busy) {
         wire.answer("200 OK", "Connection: close\r\n", "").await;
@@ -427,7 +435,8 @@
     assert!(node.exited().await.success());
 }
 
-/// A node that was killed starts again at its address at once, though its connections linger in the system.
+/// A node that was killed starts again at its address at once, though its connections linger in the
+/// system.
 #[tokio::test]
 async fn a_killed_node_starts_again() {
     let server = Peer::new().await;
--- a/node/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! A node as a process of its own, and both of its neighbours as plain sockets that a test scripts byte by byte.
+//! A node as a process of its own, and both of its neighbours as plain sockets that a test scripts
+//! byte by byte.
 
 #![allow(dead_code)] // Each test file uses its part.
 
-use fault_control::{SharedControl, VARIABLE};
+use fault_injection::{SharedControl, VARIABLE};
 use serde_json::{json, Value};
 use socket2::SockRef;
 use std::future::Future;
@@ -52,9 +53,9 @@
     }
 }
 
-/// Held while a process starts and while a socket is closed. Between fork and exec a child holds copies of all sockets
-/// of the tests beside it, so that one closed meanwhile stays open for its peer: a closing would come late, and a
-/// connection that is to be refused would be taken.
+/// Held while a process starts and while a socket is closed. Between fork and exec a child holds
+/// copies of all sockets of the tests beside it, so that one closed meanwhile stays open for its
+/// peer: a closing would come late, and a connection that is to be refused would be taken.
 static STARTING: Mutex<()> = Mutex::new(());
 
 fn nothing_starts() -> MutexGuard<'static, ()> {
@@ -170,7 +171,8 @@
         Some(message)
     }
 
-    /// The head of the next message, and its body as it was meant, by its own framing. None: it ends too soon.
+    /// The head of the next message, and its body as it was meant, by its own framing. None: it
+    /// ends too soon.
     pub async fn read_large(&mut self) -> (Message, Option<Vec<u8>>) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -237,7 +239,8 @@
         let _ = within("writing", self.0.get_mut().write_all(text.as_bytes())).await;
     }
 
-    /// Waits for the other side to end the connection, and says whether it closed without having read all that was sent.
+    /// Waits for the other side to end the connection, and says whether it closed without having
+    /// read all that was sent.
     pub async fn ended_unread(&mut self) -> bool {
         let mut rest = Vec::new();
         let ended = within("the connection's end", self.0.read_to_end(&mut rest)).await;
@@ -334,8 +337,9 @@
     }
 }
 
-/// A loopback address for one use, with the port left to the system. A port is soon given out again: on a shared address,
-/// what is meant for a server that has ended could reach another test's.
+/// A loopback address for one use, with the port left to the system. A port is soon given out
+/// again: on a shared address, what is meant for a server that has ended could reach another
+/// test's.
 pub fn own_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let process = std::process::id();
@@ -391,7 +395,8 @@
     }
 }
 
-/// A listener whose queue of connections is full, which lets a further one wait until the kernel asks again.
+/// A listener whose queue of connections is full, which lets a further one wait until the kernel
+/// asks again.
 pub async fn full_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind(own_address()).expect("a port");
@@ -465,7 +470,7 @@
         let path = path.join(format!("{}-{number}.faults", std::process::id()));
         let control = SharedControl::create(&path).expect("a control file");
         let this = std::env::current_exe().expect("this program");
-        let library = this.with_file_name("libfault_shim.so");
+        let library = this.with_file_name("libfault_injection_preload.so");
         assert!(library.exists(), "{library:?} was not built");
         FaultyCalls {
             control,
@@ -504,8 +509,8 @@
     start_with(config, variables, None, None).0
 }
 
-/// The same with further variables, a listener that the process inherits, and a limit on descriptors that the system keeps;
-/// says which file holds the configuration.
+/// The same with further variables, a listener that the process inherits, and a limit on
+/// descriptors that the system keeps; says which file holds the configuration.
 fn start_with(
     config: &str,
     variables: &[(&str, &str)],
@@ -517,7 +522,7 @@
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     let path = path.join(format!("{}-{number}.json", std::process::id()));
     std::fs::write(&path, config).expect("a configuration file");
-    let program = env!("CARGO_BIN_EXE_birchswitch");
+    let program = env!("CARGO_BIN_EXE_balancer-proxy");
     let mut command = match descriptors {
         None => Command::new(program),
         Some(most) => {
--- a/node/tests/console.rs
+++ b/crates/proxy/tests/console.rs
@@ -1,4 +1,5 @@
-//! What operators ask of a node: backends taken out and called back, drains, and calls that say nothing.
+//! What operators ask of a node: backends taken out and called back, drains, and calls that say
+//! nothing.
 
 mod common;
 use common::*;
@@ -17,8 +18,8 @@
     name
 }
 
-/// A backend that is taken out gets nothing, also when lists go on naming it, drop it and name it again. One call back is
-/// enough for two calls out.
+/// A backend that is taken out gets nothing, also when lists go on naming it, drop it and name it
+/// again. One call back is enough for two calls out.
 #[tokio::test]
 async fn a_backend_stays_out_whatever_lists_say_until_it_is_called_back() {
     let (a, b) = (Peer::new().await, Peer::new().await);
@@ -43,8 +44,8 @@
     while served_by(&mut client, &backends).await != "a" {}
 }
 
-/// One that the list has dropped may be called back, and is used once a list names it active again; a list that says it
-/// leaves counts for as much as ever.
+/// One that the list has dropped may be called back, and is used once a list names it active again;
+/// a list that says it leaves counts for as much as ever.
 #[tokio::test]
 async fn a_call_back_brings_nothing_into_use_that_no_list_names_active() {
     let (a, b) = (Peer::new().await, Peer::new().await);
@@ -122,7 +123,8 @@
     assert_eq!(node.get("/healthcheck").await.status(), 404);
 }
 
-/// More callers than there are places, none of which finishes a call, keep nobody out: the first of them go.
+/// More callers than there are places, none of which finishes a call, keep nobody out: the first of
+/// them go.
 #[tokio::test]
 async fn silent_callers_keep_no_operator_out() {
     let a = Peer::new().await;
@@ -141,8 +143,8 @@
     }
 }
 
-/// In a drain the front hears a no at once, a kept connection ends with its next answer and an idle one by itself, new ones
-/// are served while they come, and all of it ends with the drain.
+/// In a drain the front hears a no at once, a kept connection ends with its next answer and an idle
+/// one by itself, new ones are served while they come, and all of it ends with the drain.
 #[tokio::test]
 async fn a_drain_sends_clients_elsewhere_until_it_ends() {
     let a = Peer::new().await;
@@ -232,7 +234,8 @@
     }
 }
 
-/// SIGTERM during a drain, while a backend hangs: what was taken gets its final answer, and the process ends.
+/// SIGTERM during a drain, while a backend hangs: what was taken gets its final answer, and the
+/// process ends.
 #[tokio::test]
 async fn a_signal_during_a_drain_leaves_nothing_unanswered() {
     let server = Peer::new().await;
--- a/node/tests/faults.rs
+++ b/crates/proxy/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use fault_control::Call;
+use fault_injection::Call;
 use std::time::Duration;
 
 /// For a moment the system may be out of anything: that is no reason not to start.
@@ -41,8 +41,8 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// A change that discovery has written counts as told, also where the node is held up just then for longer than it would
-/// wait for the watch to say anything.
+/// A change that discovery has written counts as told, also where the node is held up just then for
+/// longer than it would wait for the watch to say anything.
 #[tokio::test]
 async fn a_change_that_came_while_the_node_was_held_up_is_taken() {
     let faults = FaultyCalls::new();
@@ -62,8 +62,8 @@
     }
 }
 
-/// What comes in the very moment in which a resting connection is closed was not read: its client sends it again. Read and
-/// thrown away it would be lost.
+/// What comes in the very moment in which a resting connection is closed was not read: its client
+/// sends it again. Read and thrown away it would be lost.
 #[tokio::test]
 async fn a_request_that_crosses_the_idle_close_is_not_read() {
     let faults = FaultyCalls::new();
@@ -110,7 +110,8 @@
     assert_eq!(faults.control.faults(Call::OpenRead).left(), 0);
 }
 
-/// A connection that ended before it was accepted says nothing of the next one, which may be taken at once.
+/// A connection that ended before it was accepted says nothing of the next one, which may be taken
+/// at once.
 #[tokio::test]
 async fn a_connection_that_ends_before_it_is_accepted_keeps_nobody_waiting() {
     let faults = FaultyCalls::new();
@@ -132,7 +133,8 @@
     assert_eq!(faults.control.faults(Call::Accept).left(), 0);
 }
 
-/// What the node itself runs out of for a moment says nothing of a server, and fails no request that can wait a moment.
+/// What the node itself runs out of for a moment says nothing of a server, and fails no request
+/// that can wait a moment.
 #[tokio::test]
 async fn a_request_outlasts_a_shortage_of_the_nodes_own() {
     let faults = FaultyCalls::new();
@@ -147,7 +149,8 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// A call that was given up for its silence may be answered all the same: what it tells counts as told.
+/// A call that was given up for its silence may be answered all the same: what it tells counts as
+/// told.
 #[tokio::test]
 async fn a_late_answer_of_discovery_is_heard_beside_the_next_call() {
     let server = Peer::new().await;
@@ -173,7 +176,8 @@
     );
 }
 
-/// The next call may be answered first, and its watch end instead of telling: the late answer is heard all the same.
+/// The next call may be answered first, and its watch end instead of telling: the late answer is
+/// heard all the same.
 #[tokio::test]
 async fn a_late_answer_is_heard_although_the_next_watch_is_open() {
     let server = Peer::new().await;
@@ -270,7 +274,8 @@
     member
 }
 
-/// A server that has just started is cold, however far the clock of this machine was stepped before the process began.
+/// A server that has just started is cold, however far the clock of this machine was stepped before
+/// the process began.
 #[tokio::test]
 async fn a_young_server_is_cold_whatever_the_clock_was_at_the_start() {
     let server = Peer::new().await;
@@ -286,7 +291,8 @@
     }
 }
 
-/// A server that restarts is cold from then on and not for longer, however the clock by which it is stamped was stepped.
+/// A server that restarts is cold from then on and not for longer, however the clock by which it is
+/// stamped was stepped.
 #[tokio::test]
 async fn a_restart_is_seen_whichever_way_its_stamp_goes() {
     let server = Peer::new().await;
@@ -313,7 +319,8 @@
     }
 }
 
-/// Of requests in a row on one connection each has its time from its own last byte, also the one that waits for another.
+/// Of requests in a row on one connection each has its time from its own last byte, also the one
+/// that waits for another.
 #[tokio::test]
 async fn the_time_of_a_request_runs_while_it_waits_for_the_one_before() {
     let server = Peer::new().await;
@@ -367,7 +374,8 @@
     );
 }
 
-/// A connection on which a chunked answer came is used again. What was written on it may have run all the same.
+/// A connection on which a chunked answer came is used again. What was written on it may have run
+/// all the same.
 #[tokio::test]
 async fn a_request_behind_a_chunked_answer_may_have_run() {
     let (one, two) = (Peer::new().await, Peer::new().await);
@@ -391,7 +399,8 @@
     assert!(two.untouched().await);
 }
 
-/// Of a pushed list all that was missed counts as told once discovery is back: it is asked for often while nobody is there.
+/// Of a pushed list all that was missed counts as told once discovery is back: it is asked for
+/// often while nobody is there.
 #[tokio::test]
 async fn a_discovery_that_is_down_is_asked_often() {
     let server = Peer::new().await;
@@ -408,16 +417,17 @@
     }
 }
 
-/// A read may be short without anything being wrong: what is left is read at once, not with the next bytes that come.
+/// A read may be short without anything being wrong: what is left is read at once, not with the
+/// next bytes that come.
 #[tokio::test]
 async fn a_list_is_read_to_its_end_however_short_the_reads_are() {
     let faults = FaultyCalls::new();
     let server = Peer::new().await;
     let (node, discovery, mut watch) = Node::faulty(&faults, &[("s", &server)]).await;
-    faults
-        .control
-        .short_rate
-        .store(fault_control::MILLION, std::sync::atomic::Ordering::SeqCst);
+    faults.control.short_rate.store(
+        fault_injection::MILLION,
+        std::sync::atomic::Ordering::SeqCst,
+    );
     watch
         .list(2, false, &[member("s", server.address(), "leaving")])
         .await;
@@ -427,7 +437,8 @@
     }
 }
 
-/// A request that came while a new process did not accept yet has waited: its server is told what is left.
+/// A request that came while a new process did not accept yet has waited: its server is told what
+/// is left.
 #[tokio::test]
 async fn the_time_of_a_request_runs_while_it_waits_to_be_accepted() {
     let (server, discovery) = (Peer::new().await, Peer::new().await);
--- a/node/tests/kept.rs
+++ b/crates/proxy/tests/kept.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use fault_control::Call;
+use fault_injection::Call;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 
@@ -60,7 +60,8 @@
     }
 }
 
-/// A yes lasts. Whatever step of the writing fails, the answer is a no, and the file says what it said before.
+/// A yes lasts. Whatever step of the writing fails, the answer is a no, and the file says what it
+/// said before.
 #[tokio::test]
 async fn a_yes_is_given_only_for_what_lasts() {
     let (a, b) = (Peer::new().await, Peer::new().await);
@@ -68,7 +69,8 @@
     let faults = FaultyCalls::new();
     let (node, _watch) = place.start(&faults).await;
     assert_eq!(node.call("POST", "/backends/a/maint").await, 200);
-    // The steps: the lock and the new file are opened, the new file is written, synced and renamed, the folder is synced.
+    // The steps: the lock and the new file are opened, the new file is written, synced and renamed,
+    // the folder is synced.
     let steps = [
         (Call::OpenWrite, 0),
         (Call::OpenWrite, 1),
@@ -97,7 +99,8 @@
     assert_eq!(place.out(), ["a", "b"]);
 }
 
-/// A process that was killed between the writing and the renaming leaves a file behind that nobody goes by.
+/// A process that was killed between the writing and the renaming leaves a file behind that nobody
+/// goes by.
 #[tokio::test]
 async fn a_left_over_file_is_nobodys_word() {
     let (a, b) = (Peer::new().await, Peer::new().await);
--- a/node/tests/large.rs
+++ b/crates/proxy/tests/large.rs
@@ -119,7 +119,8 @@
     }
 }
 
-/// A client that reads nothing holds bounded memory, holds nobody up, and has its answer whole once it reads.
+/// A client that reads nothing holds bounded memory, holds nobody up, and has its answer whole once
+/// it reads.
 #[tokio::test]
 async fn clients_that_read_nothing_hold_little() {
     let server = Peer::new().await;
@@ -184,7 +185,8 @@
     )
 }
 
-/// A large body goes on as it comes. The request's time runs from its last byte: this one takes longer to come.
+/// A large body goes on as it comes. The request's time runs from its last byte: this one takes
+/// longer to come.
 #[tokio::test]
 async fn a_large_body_goes_on_as_it_comes() {
     let server = Peer::new().await;
@@ -247,7 +249,8 @@
     assert!(node.memory_peak() < 16 << 10, "{}", node.memory_peak());
 }
 
-/// What is not whole reaches no server as a request, and the client hears what is wrong if it is there to hear it.
+/// What is not whole reaches no server as a request, and the client hears what is wrong if it is
+/// there to hear it.
 #[tokio::test]
 async fn a_large_body_that_is_no_good_is_no_request() {
     let server = Peer::new().await;
@@ -302,8 +305,9 @@
     assert_eq!(wire.read_large().await.1, None);
 }
 
-/// An unsafe request whose body breaks off before its last byte has not run, and goes nowhere else: its client has left, or its
-/// server has, with a part that is not held any more. Its name is free again.
+/// An unsafe request whose body breaks off before its last byte has not run, and goes nowhere else:
+/// its client has left, or its server has, with a part that is not held any more. Its name is free
+/// again.
 #[tokio::test]
 async fn an_upload_that_breaks_before_its_last_byte_is_not_sent_again() {
     for (by_client, reset) in [(true, false), (true, true), (false, false), (false, true)] {
@@ -429,7 +433,8 @@
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
-/// A large answer on its way when the node ends comes whole, though that takes longer than any deadline.
+/// A large answer on its way when the node ends comes whole, though that takes longer than any
+/// deadline.
 #[tokio::test]
 async fn a_large_answer_outlasts_the_signal() {
     let server = Peer::new().await;
@@ -456,7 +461,8 @@
     .await;
     node.signal("TERM").await;
     node.logged("leaving").await;
-    // Past the deadline and all that is added to it. Were the machine slower, the test would only see less.
+    // Past the deadline and all that is added to it. Were the machine slower, the test would only
+    // see less.
     tokio::time::sleep(Duration::from_secs(2)).await;
     let ((), (_, read)) = tokio::join!(wire.write(rest), client.read_large());
     assert!(read.as_deref() == Some(body.as_bytes()));
--- a/node/tests/left.rs
+++ b/crates/proxy/tests/left.rs
@@ -24,8 +24,8 @@
     behind().map(|bytes| bytes.chars().take(24_000).collect())
 }
 
-/// A connection to a server that comes up after the client has left carries nothing, and the request is over: its name
-/// may be used again.
+/// A connection to a server that comes up after the client has left carries nothing, and the
+/// request is over: its name may be used again.
 #[tokio::test]
 async fn a_connection_that_comes_up_late_carries_nothing_for_a_client_that_left() {
     for class in CLASSES {
@@ -75,8 +75,8 @@
     }
 }
 
-/// A request that would be repeated isn't, once its client has left: by a close, by a reset, and also where more bytes
-/// stand before the close.
+/// A request that would be repeated isn't, once its client has left: by a close, by a reset, and
+/// also where more bytes stand before the close.
 #[tokio::test]
 async fn nothing_is_repeated_for_a_client_that_closed_behind_further_bytes() {
     for (class, chunked) in [
@@ -164,8 +164,8 @@
     }
 }
 
-/// A server turns a request away in the very moment in which its client leaves: the node reads both in one turn, and
-/// what stands before the close may be more than it takes in.
+/// A server turns a request away in the very moment in which its client leaves: the node reads both
+/// in one turn, and what stands before the close may be more than it takes in.
 #[tokio::test]
 async fn nothing_is_repeated_for_a_client_that_leaves_as_its_attempt_ends() {
     for (class, body) in [("safe", 0), ("keyed", 0), ("unsafe", 0), ("unsafe", 60_000)] {
@@ -210,7 +210,8 @@
     }
 }
 
-/// A client may send more than the system takes in for the node, and go: its close comes behind all that.
+/// A client may send more than the system takes in for the node, and go: its close comes behind all
+/// that.
 #[tokio::test]
 async fn a_client_that_sends_without_end_and_goes_is_noticed() {
     let server = Peer::new().await;
--- a/node/tests/lists.rs
+++ b/crates/proxy/tests/lists.rs
@@ -4,7 +4,8 @@
 use common::*;
 use serde_json::json;
 
-/// Whole lists drop what they don't name; changes drop what has left; an address may change under the same id.
+/// Whole lists drop what they don't name; changes drop what has left; an address may change under
+/// the same id.
 #[tokio::test]
 async fn requests_follow_the_list() {
     let (one, two) = (Peer::new().await, Peer::new().await);
@@ -42,7 +43,8 @@
     assert_eq!(client.ask("unsafe").await.expect("an answer").status(), 503);
 }
 
-/// A restart under the same id leaves no connection worth keeping, though a dead machine's look open.
+/// A restart under the same id leaves no connection worth keeping, though a dead machine's look
+/// open.
 #[tokio::test]
 async fn a_restart_abandons_connections() {
     let server = Peer::new().await;
@@ -70,8 +72,8 @@
         .expect("the next request on the same connection");
 }
 
-/// Connecting takes time: word of a drain that comes meanwhile keeps the request back, and since it was never sent
-/// even an unsafe one may be refused.
+/// Connecting takes time: word of a drain that comes meanwhile keeps the request back, and since it
+/// was never sent even an unsafe one may be refused.
 #[tokio::test]
 async fn a_drain_told_while_connecting_keeps_the_request_back() {
     let (listener, address, filling) = full_listener().await;
@@ -113,7 +115,8 @@
     );
 }
 
-/// Word of a move that comes while connecting: what listens at the old address is not that server any more.
+/// Word of a move that comes while connecting: what listens at the old address is not that server
+/// any more.
 #[tokio::test]
 async fn a_move_told_while_connecting_sends_nothing_to_the_old_address() {
     let new = Peer::new().await;
@@ -161,7 +164,8 @@
     );
 }
 
-/// Figures may be well-formed and absurd: every request still gets an answer, and sane ones bring service back.
+/// Figures may be well-formed and absurd: every request still gets an answer, and sane ones bring
+/// service back.
 #[tokio::test]
 async fn absurd_figures_are_survived() {
     let server = Peer::new().await;
@@ -252,7 +256,8 @@
     within("service", back).await;
 }
 
-/// Duplicates are dropped only for a while: a connection that comes up after that carries no repeat.
+/// Duplicates are dropped only for a while: a connection that comes up after that carries no
+/// repeat.
 #[tokio::test]
 async fn a_repeat_is_kept_back_once_its_window_has_passed() {
     let first = Peer::new().await;
@@ -300,7 +305,8 @@
     );
 }
 
-/// A line that makes no sense is logged and changes nothing; what came after the last good one is asked for anew.
+/// A line that makes no sense is logged and changes nothing; what came after the last good one is
+/// asked for anew.
 #[tokio::test]
 async fn a_bad_line_leaves_the_list_as_it_was() {
     let server = Peer::new().await;
@@ -326,8 +332,8 @@
     }
 }
 
-/// An empty line is due every 2 s. A watch that has nothing to say any more may be cut off, and news that it misses
-/// counts as told all the same.
+/// An empty line is due every 2 s. A watch that has nothing to say any more may be cut off, and
+/// news that it misses counts as told all the same.
 #[tokio::test]
 async fn a_silent_watch_is_opened_again() {
     let server = Peer::new().await;
@@ -337,7 +343,8 @@
     watch.0.closed().await;
 }
 
-/// One that takes the place of a silent one may be answered and say nothing, or not be answered at all.
+/// One that takes the place of a silent one may be answered and say nothing, or not be answered at
+/// all.
 #[tokio::test]
 async fn a_watch_that_says_nothing_or_is_not_answered_is_given_up() {
     let server = Peer::new().await;
@@ -400,7 +407,8 @@
     node.holds(3).await;
 }
 
-/// Where lists are pushed they bind a process from its first moment: the list of its configuration may be old.
+/// Where lists are pushed they bind a process from its first moment: the list of its configuration
+/// may be old.
 #[tokio::test]
 async fn a_new_process_waits_for_the_pushed_list() {
     let (old, new) = (Peer::new().await, Peer::new().await);
@@ -500,7 +508,8 @@
     node.ready().await;
 }
 
-/// Nodes that lose their watches at one moment don't come back in step, however often they are turned away.
+/// Nodes that lose their watches at one moment don't come back in step, however often they are
+/// turned away.
 #[tokio::test]
 async fn pauses_of_nodes_differ() {
     let mut pauses = Vec::new();
@@ -527,8 +536,8 @@
     assert_ne!(pauses[..3], pauses[3..]);
 }
 
-/// What a call has missed that was given up for its silence counts as told in the end: after refusals have made the pauses
-/// long it is followed at once. Its silence was a pause.
+/// What a call has missed that was given up for its silence counts as told in the end: after
+/// refusals have made the pauses long it is followed at once. Its silence was a pause.
 #[tokio::test]
 async fn a_call_given_up_for_its_silence_is_followed_at_once() {
     let discovery = Peer::new().await;
@@ -550,7 +559,8 @@
     let _ = discovery.request().await;
 }
 
-/// A list that has begun and does not end leaves the node without what it would have said, whatever still comes behind it.
+/// A list that has begun and does not end leaves the node without what it would have said, whatever
+/// still comes behind it.
 #[tokio::test]
 async fn a_list_that_does_not_end_is_asked_for_again() {
     let server = Peer::new().await;
@@ -575,8 +585,8 @@
     node.holds(2).await;
 }
 
-/// A thousand nodes and thousands of servers are read, solved, served by and logged; a line of the log stays one that can be
-/// read.
+/// A thousand nodes and thousands of servers are read, solved, served by and logged; a line of the
+/// log stays one that can be read.
 #[tokio::test]
 async fn lists_of_thousands_are_taken() {
     let server = Peer::new().await;
@@ -638,7 +648,8 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Every server that a process knows may be leaving: then it can't serve, and doesn't say that it is ready.
+/// Every server that a process knows may be leaving: then it can't serve, and doesn't say that it
+/// is ready.
 #[tokio::test]
 async fn a_process_that_knows_only_leaving_servers_is_not_ready() {
     let server = Peer::new().await;
--- a/node/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -20,9 +20,10 @@
     watch
 }
 
-/// SIGHUP must not end the node; the file's discovery prevails over the variable of the start from then on. The old watch
-/// goes once the new address has told its list. Versions of the two lists have nothing to do with each other: with the one held a watch at the new address
-/// would bring changes to a list that the node doesn't have.
+/// SIGHUP must not end the node; the file's discovery prevails over the variable of the start from
+/// then on. The old watch goes once the new address has told its list. Versions of the two lists
+/// have nothing to do with each other: with the one held a watch at the new address would bring
+/// changes to a list that the node doesn't have.
 #[tokio::test]
 async fn a_new_discovery_is_followed_from_its_whole_list() {
     let (kept, gone, new) = (Peer::new().await, Peer::new().await, Peer::new().await);
@@ -137,7 +138,8 @@
     node.holds(3).await;
 }
 
-/// The new address may not answer at first, or say that it can't. It is asked until it has told a whole list.
+/// The new address may not answer at first, or say that it can't. It is asked until it has told a
+/// whole list.
 #[tokio::test]
 async fn a_whole_list_is_asked_for_until_it_comes() {
     let server = Peer::new().await;
@@ -159,7 +161,8 @@
     node.holds(3).await;
 }
 
-/// Where lists come on request the new address is asked at once as well: the balancer knows of no reason to.
+/// Where lists come on request the new address is asked at once as well: the balancer knows of no
+/// reason to.
 #[tokio::test]
 async fn asked_discovery_moves_too() {
     let server = Peer::new().await;
@@ -177,7 +180,8 @@
     watch.0.closed().await;
 }
 
-/// SIGHUP may come while the node leaves: it still finishes what it has, and exits as if it had not been told.
+/// SIGHUP may come while the node leaves: it still finishes what it has, and exits as if it had not
+/// been told.
 #[tokio::test]
 async fn a_leaving_node_bears_it() {
     let server = Peer::new().await;
--- a/node/tests/rude.rs
+++ b/crates/proxy/tests/rude.rs
@@ -18,8 +18,9 @@
     client.ended().await;
 }
 
-/// With both headers a node and a server may differ on where the body ends, and the rest of it would be a request that
-/// nobody here has looked at. Neither of the two may go on, whichever header comes first.
+/// With both headers a node and a server may differ on where the body ends, and the rest of it
+/// would be a request that nobody here has looked at. Neither of the two may go on, whichever
+/// header comes first.
 #[tokio::test]
 async fn no_request_hides_in_a_body() {
     let server = Peer::new().await;
@@ -66,8 +67,8 @@
     assert!(server.untouched().await, "read on");
 }
 
-/// A length that is no number, that does not fit what has come, or that is more than a node takes is answered as soon as
-/// the head is there: nobody has to send 60 MB to be told.
+/// A length that is no number, that does not fit what has come, or that is more than a node takes
+/// is answered as soon as the head is there: nobody has to send 60 MB to be told.
 #[tokio::test]
 async fn lengths_that_make_no_sense_are_turned_down_at_once() {
     let server = Peer::new().await;
@@ -98,8 +99,8 @@
     assert!(server.untouched().await, "passed on");
 }
 
-/// The id of a request that is open, or that a server may still be working on, is no new request's: the server would take
-/// it for a repeat, or run it twice. The first one is not disturbed.
+/// The id of a request that is open, or that a server may still be working on, is no new request's:
+/// the server would take it for a repeat, or run it twice. The first one is not disturbed.
 #[tokio::test]
 async fn an_open_id_is_not_passed_on_again() {
     let server = Peer::new().await;
@@ -148,7 +149,8 @@
     );
 }
 
-/// A crowd that says nothing does not delay those that have something to say, nor take their kept connections from them.
+/// A crowd that says nothing does not delay those that have something to say, nor take their kept
+/// connections from them.
 #[tokio::test]
 async fn a_silent_crowd_pushes_nobody_out() {
     let server = Peer::new().await;
@@ -204,8 +206,8 @@
     serving.abort();
 }
 
-/// Clients that ask once and keep their connection for good fill all places, and may not be closed for a while: there
-/// would be no room for anyone else until then.
+/// Clients that ask once and keep their connection for good fill all places, and may not be closed
+/// for a while: there would be no room for anyone else until then.
 #[tokio::test]
 async fn clients_that_ask_once_keep_nobody_out() {
     let discovery = Peer::new().await;
@@ -224,7 +226,8 @@
     assert!(began.elapsed().as_secs() < 25);
 }
 
-/// More than one request may lie on a connection. Each is answered, in order, and what is no good among them ends it.
+/// More than one request may lie on a connection. Each is answered, in order, and what is no good
+/// among them ends it.
 #[tokio::test]
 async fn requests_in_a_row_are_answered_in_order() {
     let server = Peer::new().await;
@@ -250,7 +253,8 @@
     assert!(server.untouched().await, "read on");
 }
 
-/// Two headers of a kind that counts once, figures that are none and methods that don't go with the class are malformed.
+/// Two headers of a kind that counts once, figures that are none and methods that don't go with the
+/// class are malformed.
 #[tokio::test]
 async fn heads_must_be_clear() {
     let server = Peer::new().await;
--- a/drill/src/settings.rs
+++ b/crates/settings/src/lib.rs
@@ -1,15 +1,17 @@
-//! The JSON settings of an instance, turned into [`finchvale::Settings`].
+//! The JSON settings of an instance, turned into [`balancer::Settings`].
 //!
-//! Read and passed on: `balancers`, `profiles` (with `runs_in` and `kinds_open`), `registry_mode`, `report`,
-//! `rules`, `tenants`, `over_share_worth`, `weights`, `worth_by`, `zone`, `zones`, and of `limits` the attempts, the
-//! permissions, the advice on waits, `conn_idle_ns` and `connect_timeout_ns`. The names of classes, tenants, zones,
-//! kinds and report values are kept beside the settings, for a node that meets them in messages.
+//! Read and passed on: `balancers`, `profiles` (with `runs_in` and `kinds_open`), `registry_mode`,
+//! `report`, `rules`, `tenants`, `over_share_worth`, `weights`, `worth_by`, `zone`, `zones`, and of
+//! `limits` the attempts, the permissions, the advice on waits, `conn_idle_ns` and
+//! `connect_timeout_ns`. The names of classes, tenants, zones, kinds and report values are kept
+//! beside the settings, for a node that meets them in messages.
 //!
 //! Skipped, since no decision uses them yet: `prices`, `goal`, `clients`, `extra`, `me`, `tier`,
-//! `tiers`, `tick_ns`, `limits.max_open`, `limits.streams_per_conn`, `limits.cpu_*`, `limits.peer_messages`,
-//! `rules.answer_slack_ns` (answers are given by the deadline itself) and the report value `errors_per_s`.
+//! `tiers`, `tick_ns`, `limits.max_open`, `limits.streams_per_conn`, `limits.cpu_*`,
+//! `limits.peer_messages`, `rules.answer_slack_ns` (answers are given by the deadline itself) and
+//! the report value `errors_per_s`.
 
-use finchvale::{
+use balancer::{
     Class, Effect, Group, KindId, LoadReport, Reports, Rules, Settings, Tenant, ZoneId,
 };
 use serde::Deserialize;
--- a/drill/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The names that the settings give, by which messages refer to positions.
 
-use finchvale_drill::settings::{parse, Field};
+use settings::{parse, Field};
 
 #[test]
 fn names_are_kept_in_the_order_of_the_settings() {
--- a/drill/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,9 +1,9 @@
 //! The table of instances: each event goes to its instance's balancer, its actions into the reply.
 
-use crate::settings::{self, ConfigError, Field};
 use crate::wire::{frame_length, Batch, Record, Reply, WireError, HEADER};
-use finchvale::{Action, Balancer, SettingsError};
+use balancer::{Action, Balancer, SettingsError};
 use rustc_hash::FxHashMap;
+use settings::{ConfigError, Field};
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
--- a/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! `finchvale-drill`: answers the simulator's frames on standard input until it ends.
+//! `simulator-adapter`: answers the simulator's frames on standard input until it ends.
 
 #![forbid(unsafe_code)]
 
-use finchvale_drill::host::Host;
+use simulator_adapter::host::Host;
 use std::io;
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
     match Host::default().run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("finchvale-drill: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/drill/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,10 +1,10 @@
 //! The simulator's binary frames: big-endian records of fixed size and one shared tail.
 
-use crate::settings::Field;
-use finchvale::{
+use balancer::{
     Action, Arrival, CellId, ClassId, Ended, Event, KindId, ListKind, LoadReport, Outcome, Probed,
     RequestId, ServerEntry, ServerId, ServerState, TenantId, Time, TimerId, ZoneId,
 };
+use settings::Field;
 use std::time::Duration;
 
 /// Bytes of a batch header.
@@ -15,7 +15,8 @@
 pub const ACTION: usize = 24;
 /// Bytes of a list entry.
 pub const ENTRY: usize = 21;
-/// Longest frame that is read, in bytes: far above any real batch, so that a broken length fails fast.
+/// Longest frame that is read, in bytes: far above any real batch, so that a broken length fails
+/// fast.
 pub const LONGEST: usize = 1 << 30;
 
 /// What is wrong with a frame, and where.
--- a/drill/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,9 +1,9 @@
 //! The wire page's byte examples, malformed frames, and the table of instances.
 
-use finchvale::*;
-use finchvale_drill::host::{Host, HostError};
-use finchvale_drill::settings::{parse, Field};
-use finchvale_drill::wire::{Batch, Record, Reply, WireError, EVENT, HEADER};
+use balancer::*;
+use settings::{parse, Field};
+use simulator_adapter::host::{Host, HostError};
+use simulator_adapter::wire::{Batch, Record, Reply, WireError, EVENT, HEADER};
 use std::io::Write;
 use std::process::{Command, Stdio};
 use std::time::Duration;
@@ -395,7 +395,7 @@
 }
 
 fn exit(input: &[u8]) -> (bool, Vec<u8>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_finchvale-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/soak/src/client.rs
+++ b/crates/soak-test/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients: an open loop of requests at each node over connections that are kept, clients that leave early, and peers that
-//! send no proper request.
+//! Clients: an open loop of requests at each node over connections that are kept, clients that
+//! leave early, and peers that send no proper request.
 
 use crate::http::{Connection, End, Message};
 use crate::judge::{Rule, ANSWER_LATE, SLACK};
@@ -63,7 +63,8 @@
         })
     }
 
-    /// Clients that rest until about the time at which the node ends a resting connection, and then ask again on it.
+    /// Clients that rest until about the time at which the node ends a resting connection, and then
+    /// ask again on it.
     pub async fn rest(world: Shared, node: Rc<Node>) {
         let clients = Clients::new(world, node, 1);
         let mut tasks = Vec::new();
@@ -83,7 +84,8 @@
                     }
                     sleep(RESTED.mul_f64(0.97 + 0.06 * one.uniform())).await;
                     let Some(connection) = kept else { continue };
-                    // Whatever the connection looks like: the node may be closing it at this moment.
+                    // Whatever the connection looks like: the node may be closing it at this
+                    // moment.
                     one.ask(&format!("{}-r{number}-{turn}b", one.node.index), connection)
                         .await;
                 }
@@ -231,7 +233,8 @@
         (!closes).then_some(connection)
     }
 
-    /// The connection ended before the answer: what was not read is sent again elsewhere, the rest is lost.
+    /// The connection ended before the answer: what was not read is sent again elsewhere, the rest
+    /// is lost.
     async fn ended(&self, id: &str, connection: &Connection, end: End, generation: u64) {
         let unread = match end {
             End::Reset => true,
--- a/soak/src/discovery.rs
+++ b/crates/soak-test/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the list of servers for each node, whole on call and by watch, and all the ways in which it fails.
+//! Discovery: the list of servers for each node, whole on call and by watch, and all the ways in
+//! which it fails.
 
 use crate::http::{Connection, Message};
 use crate::judge::Voice;
@@ -145,7 +146,8 @@
         Phase::Left => "left",
     };
     json!({
-        "id": format!("s{index}"), "host_port": server.address.to_string(), "locality": crate::plan::ZONES[zone],
+        "id": format!("s{index}"), "host_port": server.address.to_string(),
+        "locality": crate::plan::ZONES[zone],
         "flavor": "std", "cell": cell, "phase": phase, "size": 1.0, "up_since_ms": server.up_since.get(),
     })
 }
--- a/soak/src/judge.rs
+++ b/crates/soak-test/src/judge.rs
@@ -1,4 +1,5 @@
-//! The rules of the pages, as seen from outside the nodes: by clients, servers and discovery together.
+//! The rules of the pages, as seen from outside the nodes: by clients, servers and discovery
+//! together.
 
 use crate::http::Connection;
 use crate::plan::{Class, Effect, Group, Plan, CORES, FALL_MULTIPLE, FALL_TIME};
@@ -23,7 +24,8 @@
 const TOLD_AT_LAST: Duration = Duration::from_secs(6);
 /// The same after a new configuration.
 const TOLD_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// A discovery that is back for less than this between two troubles can't be called by a node that calls ten times a second.
+/// A discovery that is back for less than this between two troubles can't be called by a node that
+/// calls ten times a second.
 const LEAST_SPELL: Duration = Duration::from_millis(250);
 
 /// What a node has to keep.
@@ -275,7 +277,8 @@
         (self.plan.cold_from + (1.0 - self.plan.cold_from) * age).min(1.0)
     }
 
-    /// The first moment from `since` on at which discovery spoke in one of these ways, for so long at least.
+    /// The first moment from `since` on at which discovery spoke in one of these ways, for so long
+    /// at least.
     fn spoke(&self, since: Instant, least: Duration, how: &[Voice]) -> Option<Instant> {
         let ends = self
             .voices
@@ -514,7 +517,8 @@
         }
     }
 
-    /// Counts an attempt at a cold server, and says whether it has fallen over by what nodes sent that had been told.
+    /// Counts an attempt at a cold server, and says whether it has fallen over by what nodes sent
+    /// that had been told.
     fn slow_start_problem(&mut self, server: usize, node: usize, now: Instant) -> Option<String> {
         let warmth = self.warmth(server, now);
         let record = &mut self.servers[server];
--- a/soak/src/main.rs
+++ b/crates/soak-test/src/main.rs
@@ -1,7 +1,8 @@
-//! `soak`: plays real nodes on loopback under overlapping troubles, and judges them by the rules of the pages alone.
+//! `soak`: plays real nodes on loopback under overlapping troubles, and judges them by the rules of
+//! the pages alone.
 //!
-//! A seed decides settings, sizes and troubles, and plays the same again. The last lines count the broken rules and give
-//! the verdict; the program fails if any rule was broken.
+//! A seed decides settings, sizes and troubles, and plays the same again. The last lines count the
+//! broken rules and give the verdict; the program fails if any rule was broken.
 
 #![deny(unsafe_code)]
 #![deny(missing_docs)]
@@ -34,7 +35,8 @@
 const REPEATS: usize = 3;
 /// Violations of one play that are told one by one.
 const MOST_TOLD: usize = 6;
-/// The first network of the plays within 127.0.0.0/8; each that runs at the same time has one of its own.
+/// The first network of the plays within 127.0.0.0/8; each that runs at the same time has one of
+/// its own.
 const FIRST_NETWORK: u8 = 100;
 
 /// Plays nodes under overlapping troubles and judges them by their rules.
@@ -82,7 +84,7 @@
     let node = options
         .node
         .clone()
-        .unwrap_or_else(|| beside.with_file_name("birchswitch"));
+        .unwrap_or_else(|| beside.with_file_name("balancer-proxy"));
     let shim = options.shim.clone().unwrap_or_else(|| find_shim(&beside));
     for needed in [&node, &shim] {
         if !needed.exists() {
@@ -135,7 +137,7 @@
 
 /// The shim stands beside this program, or among what it depends on.
 fn find_shim(beside: &Path) -> PathBuf {
-    let name = "libfault_shim.so";
+    let name = "libfault_injection_preload.so";
     let near = beside.with_file_name(name);
     match near.exists() {
         true => near,
--- a/soak/src/node.rs
+++ b/crates/soak-test/src/node.rs
@@ -4,7 +4,7 @@
 use crate::http::Connection;
 use crate::judge::Rule;
 use crate::world::Shared;
-use fault_control::{SharedControl, VARIABLE};
+use fault_injection::{SharedControl, VARIABLE};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -64,7 +64,8 @@
         let folder = folder.join(format!("n{index}"));
         std::fs::create_dir_all(folder.join("tmp"))?;
         let control = SharedControl::create(&folder.join("faults"))?;
-        // The port is given out by the system once, and is the node's for good: nobody else uses the address.
+        // The port is given out by the system once, and is the node's for good: nobody else uses
+        // the address.
         let address = std::net::TcpListener::bind(world.address(1, index))?.local_addr()?;
         let node = Rc::new(Node {
             index,
@@ -116,7 +117,8 @@
         settings["zone"] = json!(self.index % crate::plan::ZONES.len());
         let config = json!({
             "name": format!("n{}", self.index), "listen": self.address.to_string(),
-            "discovery": self.discovery.borrow().0, "seed": format!("{:x}", self.world.plan.seed + self.index as u64),
+            "discovery": self.discovery.borrow().0,
+            "seed": format!("{:x}", self.world.plan.seed + self.index as u64),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512}, "settings": settings,
         });
         std::fs::write(self.folder.join("next"), config.to_string())?;
@@ -186,7 +188,8 @@
 
     fn signal(&self, signal: i32) {
         let Some(pid) = self.pid.get() else { return };
-        // SAFETY: The process is a child of this one that was not waited for yet, so that its number is its own.
+        // SAFETY: The process is a child of this one that was not waited for yet, so that its
+        // number is its own.
         #[allow(unsafe_code)]
         unsafe {
             libc::kill(pid, signal);
--- a/soak/src/plan.rs
+++ b/crates/soak-test/src/plan.rs
@@ -1,5 +1,5 @@
-//! What one seed plays: settings, sizes and troubles. All of it is drawn before anything starts, so that a seed plays the
-//! same troubles again.
+//! What one seed plays: settings, sizes and troubles. All of it is drawn before anything starts, so
+//! that a seed plays the same troubles again.
 
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -306,7 +306,8 @@
                 Group::Cell => "cell",
             };
             json!({
-                "name": class.name, "effect": effect, "key_scope": scope, "importance": 1.0, "late_worth": 0.0,
+                "name": class.name, "effect": effect, "key_scope": scope,
+                "importance": 1.0, "late_worth": 0.0,
                 "promise_ns": nanoseconds(class.deadline) / 2, "deadline_ns": nanoseconds(class.deadline),
                 "repeat_window_ns": nanoseconds(class.window),
             })
@@ -318,7 +319,8 @@
             "profiles": self.classes.iter().map(profile).collect::<Vec<_>>(), "tenants": [],
             "limits": {"try_limit": 4, "conn_idle_ns": nanoseconds(self.connection_idle),
                        "connect_timeout_ns": 250_000_000u64, "may_cancel": true, "may_probe": false,
-                       "second_copies": self.second_copies, "retry_after": true, "max_retry_after_ns": 500_000_000u64},
+                       "second_copies": self.second_copies, "retry_after": true,
+                       "max_retry_after_ns": 500_000_000u64},
             "report": {"how": how, "fields": ["utilization", "backlog"]},
             "rules": {"ask_every_ns": 10_000_000_000u64, "cold_from": self.cold_from,
                       "drain_grace_ns": nanoseconds(self.drain_grace), "fall_multiple": FALL_MULTIPLE,
--- a/soak/src/play.rs
+++ b/crates/soak-test/src/play.rs
@@ -7,7 +7,7 @@
 use crate::plan::{Conduct, Episode, FailingCalls, Plan, Trouble};
 use crate::server;
 use crate::world::{Discovery, Phase, Server, Shared, World};
-use fault_control::Call;
+use fault_injection::Call;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::path::Path;
@@ -36,7 +36,8 @@
     pub totals: Totals,
     /// The broken rules.
     pub violations: Vec<Violation>,
-    /// The longest that the observer itself was late: its verdicts are good for as long as that is short.
+    /// The longest that the observer itself was late: its verdicts are good for as long as that is
+    /// short.
     pub lag: Duration,
 }
 
