--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -7,70 +7,77 @@
 //! actions.
 //!
 //! ```
-//! use std::time::Duration;
 //! use balancer::*;
+//! use std::time::Duration;
 //!
 //! let second = Duration::from_secs(1);
 //! let settings = Settings {
 //!     nodes: 1,
 //!     zone: ZoneId(0),
 //!     zones: 1,
-//!     classes: vec![Class {
-//!         effect: Effect::Safe,
-//!         aim: second,
-//!         aim_stretch: 0.0,
+//!     classes: vec![RequestClass {
+//!         idempotency: Idempotency::Idempotent,
+//!         latency_objective: second,
+//!         objective_work_factor: 0.0,
 //!         deadline: 2 * second,
-//!         worth: 1.0,
-//!         late_worth: 0.0,
-//!         streamed: false,
-//!         zones: None,
-//!         kinds: None,
+//!         priority_weight: 1.0,
+//!         late_weight: 0.0,
+//!         streaming: false,
+//!         allowed_zones: None,
+//!         allowed_machine_types: None,
 //!     }],
 //!     tenants: vec![],
-//!     over_share_worth: 1.0,
-//!     worth_by_work: false,
-//!     weights_given: false,
-//!     reports: Reports::WithAnswers,
-//!     reports_rate: true,
-//!     list_on_request: false,
+//!     over_quota_weight: 1.0,
+//!     weight_per_work: false,
+//!     endpoint_weights_given: false,
+//!     load_reporting: LoadReporting::WithResponses,
+//!     throughput_reported: true,
+//!     polled_discovery: false,
 //!     max_attempts: 3,
-//!     may_cancel: true,
-//!     may_probe: false,
-//!     second_copies: false,
-//!     conn_idle: 60 * second,
+//!     cancellation_allowed: true,
+//!     load_probes_allowed: false,
+//!     hedging_allowed: false,
+//!     idle_timeout: 60 * second,
 //!     connect_timeout: second / 4,
-//!     max_wait: None,
-//!     rules: Rules {
+//!     max_retry_after: None,
+//!     protocol_limits: ProtocolLimits {
 //!         drain_grace: second,
-//!         cold_from: 0.2,
-//!         warm_up: 20 * second,
-//!         fall_multiple: 3.0,
-//!         fall_time: second,
-//!         ask_within: 10 * second,
+//!         slow_start_initial_capacity: 0.2,
+//!         slow_start_duration: 20 * second,
+//!         overload_multiple: 3.0,
+//!         overload_duration: second,
+//!         poll_interval_limit: 10 * second,
 //!     },
 //! };
 //! let mut balancer = Balancer::new(settings, 42, Time(0))?;
 //! let mut actions = Vec::new();
-//! let entry = ServerEntry {
-//!     server: ServerId(7),
+//! let endpoint = Endpoint {
+//!     backend: BackendId(7),
 //!     zone: ZoneId(0),
-//!     kind: KindId(0),
+//!     machine_type: MachineTypeId(0),
 //!     cell: CellId(0),
-//!     state: ServerState::Ready,
+//!     state: EndpointState::Active,
 //!     weight: 1.0,
-//!     started: None,
+//!     started_at: None,
 //! };
-//! balancer.handle(Time(1), Event::List { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
-//! let arrival = Arrival {
+//! let list = Event::EndpointList {
+//!     update: ListUpdate::Snapshot,
+//!     endpoints: vec![endpoint],
+//! };
+//! balancer.handle(Time(1), list, &mut actions);
+//! let arrival = RequestArrival {
 //!     request: RequestId(1),
 //!     class: ClassId(0),
 //!     tenant: TenantId(0),
 //!     remaining: second,
 //!     work: None,
-//!     coming: false,
+//!     body_pending: false,
+//! };
+//! balancer.handle(Time(2), Event::RequestArrived(arrival), &mut actions);
+//! let [Action::StartAttempt { backend, .. }] = actions[..] else {
+//!     panic!("one attempt expected");
 //! };
-//! balancer.handle(Time(2), Event::Arrival(arrival), &mut actions);
-//! assert!(matches!(actions[..], [Action::Send { server: ServerId(7), .. }]));
+//! assert_eq!(backend, BackendId(7));
 //! # Ok::<(), SettingsError>(())
 //! ```
 
@@ -80,9 +87,27 @@
 #[cfg(test)]
 extern crate self as balancer;
 
-mod interface;
+mod actions;
+mod events;
+mod ids;
+mod load_report;
 mod logic;
+mod settings;
+mod snapshot;
 mod state;
+mod time;
 
-pub use interface::*;
+pub use actions::{Action, GiveUpReason};
+pub use events::{
+    AttemptOutcome, AttemptResult, Endpoint, EndpointState, Event, ListUpdate, LoadProbeResult,
+    RequestArrival,
+};
+pub use ids::{BackendId, CellId, ClassId, MachineTypeId, RequestId, TenantId, TimerId, ZoneId};
+pub use load_report::LoadReport;
+pub use settings::{
+    Idempotency, KeyScope, LoadReporting, ProtocolLimits, RequestClass, Settings, SettingsError,
+    Tenant,
+};
+pub use snapshot::{BackendSnapshot, BalancerSnapshot};
 pub use state::Balancer;
+pub use time::Time;
--- a/crates/balancer/src/logic.rs
+++ b/crates/balancer/src/logic.rs
@@ -6,8 +6,8 @@
 //! price = φ/n, lambda = λ/n, speed = ζ/n (mean 1) and share = η·n (sum n), so that no constant
 //! depends on the size of the fleet.
 
-use crate::interface::*;
 use crate::state::{Attempt, Balancer, Line, Request, Server};
+use crate::*;
 use std::time::Duration;
 
 // Prices. Seconds are s, loads are in capacities, prices and speeds relative to the fleet's mean.
@@ -65,10 +65,13 @@
     /// Takes in one event and appends what is to be done about it.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::List { kind, entries } => self.list(now, kind, &entries, actions),
-            Event::Arrival(arrival) => self.arrival(now, &arrival, actions),
-            Event::Uploaded { request } => self.uploaded(now, request),
-            Event::Begun {
+            Event::EndpointList {
+                update: kind,
+                endpoints: entries,
+            } => self.list(now, kind, &entries, actions),
+            Event::RequestArrived(arrival) => self.arrival(now, &arrival, actions),
+            Event::RequestBodyReceived { request } => self.uploaded(now, request),
+            Event::ResponseStarted {
                 request,
                 attempt,
                 latency,
@@ -82,19 +85,19 @@
                     }
                 }
             }
-            Event::Ended(end) => self.ended(now, &end, actions),
-            Event::ClientGone { request } => self.client_gone(request),
-            Event::Timer { timer } if self.list_timer == Some(timer) => {
+            Event::AttemptEnded(end) => self.ended(now, &end, actions),
+            Event::ClientDisconnected { request } => self.client_gone(request),
+            Event::TimerFired { timer } if self.list_timer == Some(timer) => {
                 self.list_timer = None;
                 self.list_asked = now;
-                actions.push(Action::Watch);
+                actions.push(Action::RefreshEndpointList);
             }
-            Event::Timer { timer } => {
+            Event::TimerFired { timer } => {
                 if let Some(c) = self.choosing.iter().find(|c| c.1 == timer) {
                     self.choose(now, c.0, true, actions);
                 }
             }
-            Event::Probed(probed) => self.probed(now, &probed, actions),
+            Event::LoadProbeEnded(probed) => self.probed(now, &probed, actions),
         }
     }
 
@@ -102,25 +105,26 @@
     fn list(
         &mut self,
         now: Time,
-        kind: ListKind,
-        entries: &[ServerEntry],
+        kind: ListUpdate,
+        entries: &[Endpoint],
         actions: &mut Vec<Action>,
     ) {
         // Where lists come on request, calls are spread at random: all nodes may have started
         // together, and calls that fail in a row mean that discovery is busy. A watch that has
         // served and broken is opened anew soon: what it misses counts as told. The last list stays
         // valid.
-        if self.settings.list_on_request && matches!(kind, ListKind::Cached | ListKind::Failed) {
-            let known = entries.iter().any(|e| e.state == ServerState::Ready);
+        if self.settings.polled_discovery && matches!(kind, ListUpdate::Cached | ListUpdate::Failed)
+        {
+            let known = entries.iter().any(|e| e.state == EndpointState::Active);
             let longest = if known { 30.0 } else { 5.0 * ASK_MOST };
             let spread = self
                 .settings
-                .rules
-                .ask_within
+                .protocol_limits
+                .poll_interval_limit
                 .as_secs_f64()
                 .clamp(1.0, longest)
                 / 5.0;
-            let most = if kind == ListKind::Failed {
+            let most = if kind == ListUpdate::Failed {
                 self.backoff(now).min(spread)
             } else {
                 spread
@@ -128,12 +132,12 @@
             let wait = self.random() * most;
             self.list_failures = self
                 .list_failures
-                .saturating_add(u32::from(kind == ListKind::Failed));
+                .saturating_add(u32::from(kind == ListUpdate::Failed));
             self.list_timer = Some(self.set_timer(now, wait, actions));
         } else {
             self.list_failures = 0;
         }
-        if kind != ListKind::Failed {
+        if kind != ListUpdate::Failed {
             self.take_list(now, kind, entries);
             self.solved = None;
         }
@@ -154,7 +158,7 @@
     /// Moves a server's price by the ticks since it was last looked at.
     fn step(&mut self, i: usize, now: Time) {
         let load_factor = LOAD_FACTOR.min(self.mean_load);
-        let cold = self.servers[i].warmth(&self.settings.rules, now) < 1.0;
+        let cold = self.servers[i].warmth(&self.settings.protocol_limits, now) < 1.0;
         let s = &mut self.servers[i];
         let ticks = ((now - s.stepped).as_secs_f64() / TICK).floor();
         if ticks < 1.0 {
@@ -232,7 +236,7 @@
             .map(|m| m.arrivals.add(now, 0.0))
             .collect();
         let asked = flows.iter().sum::<f64>().max(1e-9);
-        let known = self.settings.reports_rate && speeds > 0.0;
+        let known = self.settings.throughput_reported && speeds > 0.0;
         let paces: f64 = self
             .ready
             .iter()
@@ -247,7 +251,10 @@
         let lines = self.ready.iter().map(|&i| {
             let s = &self.servers[i];
             // A weight tells a server's size, an answer the pace of one of its cores.
-            let speed = match (self.settings.weights_given, self.settings.reports_rate) {
+            let speed = match (
+                self.settings.endpoint_weights_given,
+                self.settings.throughput_reported,
+            ) {
                 (true, true) => s.weight / weight,
                 (true, false) => s.weight / weight * self.pace(s, KIND_PRIOR) / self.mean_pace,
                 (false, true) => {
@@ -268,16 +275,20 @@
             }
             // A cold server falls over when all nodes together rush it: its share stays within a
             // part of what the rule allows it, measured by what a warm peer of its speed takes.
-            let warmth = s.warmth(&self.settings.rules, now);
+            let warmth = s.warmth(&self.settings.protocol_limits, now);
             if warmth < 1.0 {
-                most = most
-                    .min(speed.min(FAST) * warmth * self.settings.rules.fall_multiple * COLD_PART);
+                most = most.min(
+                    speed.min(FAST)
+                        * warmth
+                        * self.settings.protocol_limits.overload_multiple
+                        * COLD_PART,
+                );
             }
             // Reports lag; what this node itself has out beyond the usual is known at once.
             let usual = out * s.share / shares;
             let price = s.price + own_price * (s.out.len() as f64 - usual) / (usual + 1.0);
             // Where new connections fail, a server without an open one is dearer.
-            let shut = if known || s.connected(now, self.settings.conn_idle) {
+            let shut = if known || s.connected(now, self.settings.idle_timeout) {
                 0.0
             } else {
                 self.refused
@@ -332,7 +343,7 @@
         // A blind node deals with as many servers as it can hear of in time. Without reports closed
         // ones, and what cold ones can't take, make room: else all that would fall on the few that
         // are well.
-        let untold = self.settings.reports == Reports::Absent;
+        let untold = self.settings.load_reporting == LoadReporting::Absent;
         let few: Vec<f64> = self
             .markets
             .iter_mut()
@@ -431,21 +442,25 @@
     }
 
     /// Takes in a server's word on its load.
-    fn report(&mut self, now: Time, server: ServerId, report: &LoadReport) {
+    fn report(&mut self, now: Time, server: BackendId, report: &LoadReport) {
         let Some(&i) = self.index.get(&server) else {
             return;
         };
         let usable = |v: Option<f64>| v.filter(|v| v.is_finite() && *v >= 0.0);
-        let Some(busy) = usable(report.busy).map(|b| b.min(LOAD_MOST)) else {
+        let Some(busy) = usable(report.utilization).map(|b| b.min(LOAD_MOST)) else {
             return;
         };
         self.step(i, now);
-        let aims = self.settings.classes.iter().map(|c| c.aim.as_secs_f64());
+        let aims = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective.as_secs_f64());
         let aim = aims.fold(f64::INFINITY, f64::min);
         let s = &mut self.servers[i];
         s.report = *report;
-        let waiting = usable(report.waiting).unwrap_or(0.0);
-        let held = usable(report.held).filter(|_| report.waiting.is_none());
+        let waiting = usable(report.queue_depth).unwrap_or(0.0);
+        let held = usable(report.in_flight).filter(|_| report.queue_depth.is_none());
         // A count is no part of capacity: what waits counts by the part of the aim that it takes.
         let mut load = busy + waiting * self.latency / aim;
         // Held beyond what goes with its busy part waits.
@@ -455,13 +470,13 @@
             load = load.max(self.usual_held.load(held));
         }
         // Where a report tells what waits, nothing beyond the busy part is left to guess.
-        let full = if report.waiting.is_some() {
+        let full = if report.queue_depth.is_some() {
             0.0
         } else {
             (busy - SATURATED) / (1.0 - SATURATED)
         };
         s.load = Some((load + EXCESS * full.clamp(0.0, 1.0)).min(LOAD_MOST));
-        s.rate = usable(report.rate).unwrap_or(0.0);
+        s.rate = usable(report.throughput).unwrap_or(0.0);
         if s.rate > 0.0 && busy > LEAST_BUSY {
             s.learn(now, s.rate / busy, 1.0); // The latest says more than all before it.
         }
@@ -471,7 +486,7 @@
         }
     }
 
-    fn answered(&mut self, now: Time, server: ServerId, latency: f64, work: Option<f64>) {
+    fn answered(&mut self, now: Time, server: BackendId, latency: f64, work: Option<f64>) {
         let latency = latency.max(1e-6);
         // A quantile, not a mean: answers of servers in trouble must not pass for usual.
         self.latency *= if latency > self.latency { 1.012 } else { 0.992 };
@@ -480,7 +495,7 @@
         };
         let s = &mut self.servers[i];
         s.note_answer(false, FAILURES);
-        if !self.settings.reports_rate {
+        if !self.settings.throughput_reported {
             let work = work.unwrap_or(if self.mean_work > 0.0 {
                 self.mean_work
             } else {
@@ -489,7 +504,7 @@
             s.pace.learn(work, latency, MEMORY);
             s.answered = now;
             // A cold server's answers tell its age, not its kind.
-            if s.warmth(&self.settings.rules, now) >= 1.0 {
+            if s.warmth(&self.settings.protocol_limits, now) >= 1.0 {
                 self.kinds
                     .entry(s.kind)
                     .or_default()
@@ -500,14 +515,17 @@
 
     /// Failures cost: failing fast would look idle. To a blind node full or timed out is at the
     /// limit.
-    fn failed(&mut self, now: Time, server: ServerId, outcome: Outcome) {
+    fn failed(&mut self, now: Time, server: BackendId, outcome: AttemptOutcome) {
         let Some(&i) = self.index.get(&server) else {
             return;
         };
         self.step(i, now);
         let s = &mut self.servers[i];
-        let full = self.blind && outcome == Outcome::TurnedAway;
-        let answer = matches!(outcome, Outcome::Error | Outcome::Broken);
+        let full = self.blind && outcome == AttemptOutcome::Rejected;
+        let answer = matches!(
+            outcome,
+            AttemptOutcome::ServerError | AttemptOutcome::ConnectionReset
+        );
         let failing = if answer {
             s.note_answer(true, FAILURES)
         } else {
@@ -521,7 +539,7 @@
         if failing < 0.5 {
             return;
         }
-        let spent = full || self.blind && outcome == Outcome::TimedOut;
+        let spent = full || self.blind && outcome == AttemptOutcome::TimedOut;
         s.load = spent.then(|| s.load.unwrap_or(0.0).max(1.0 + EXCESS));
         s.reported = if spent { now } else { s.reported };
     }
@@ -530,7 +548,7 @@
     /// back slowly.
     fn weigh(&mut self, now: Time, class: usize, load: f64) {
         let leader = self.markets[class].leader;
-        let untold = self.settings.reports == Reports::Absent;
+        let untold = self.settings.load_reporting == LoadReporting::Absent;
         let most = if untold { SHED_UNTOLD } else { SHED };
         let m = &mut self.markets[leader];
         let time = (now - m.weighed).as_secs_f64().min(SHED_TIME);
@@ -540,7 +558,7 @@
     }
 
     // ---- requests ----
-    fn arrival(&mut self, now: Time, a: &Arrival, actions: &mut Vec<Action>) {
+    fn arrival(&mut self, now: Time, a: &RequestArrival, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&a.request) {
             return;
         }
@@ -553,7 +571,7 @@
             arrived: now,
             ends,
             work,
-            coming: a.coming,
+            coming: a.body_pending,
             open: true,
             begun: false,
             attempts,
@@ -578,9 +596,9 @@
         }
         // The mark is drawn for these alone: the others need none.
         let reason = match hopeless {
-            true => Some(Reason::TooLong),
-            false if a.remaining.is_zero() => Some(Reason::Expired),
-            false => (self.random() < shed).then_some(Reason::Shed),
+            true => Some(GiveUpReason::ObjectiveUnreachable),
+            false if a.remaining.is_zero() => Some(GiveUpReason::DeadlineExceeded),
+            false => (self.random() < shed).then_some(GiveUpReason::LoadShed),
         };
         match reason {
             Some(reason) => self.finish(a.request, reason, actions),
@@ -597,12 +615,13 @@
     /// more. What is turned away doesn't count. It comes again, and for each refusal its tenant
     /// would be refused the more.
     fn worth(&mut self, now: Time, class: ClassId, tenant: TenantId) -> f64 {
-        let mut worth = self.settings.classes[usize::from(class.0)].worth;
+        let mut worth = self.settings.classes[usize::from(class.0)].priority_weight;
         if let Some(rate) = self.tenants.get_mut(usize::from(tenant.0)) {
             let rate = rate.add(now, 0.0) * f64::from(self.settings.nodes);
-            let within = self.settings.tenants[usize::from(tenant.0)].quota_per_s / rate.max(1e-9);
+            let within =
+                self.settings.tenants[usize::from(tenant.0)].quota_per_second / rate.max(1e-9);
             worth *=
-                within.min(WORTH_MOST) + (1.0 - within).max(0.0) * self.settings.over_share_worth;
+                within.min(WORTH_MOST) + (1.0 - within).max(0.0) * self.settings.over_quota_weight;
         }
         let leader = self.markets[usize::from(class.0)].leader;
         self.markets[leader].note_worth(class, worth, WORTHS);
@@ -612,20 +631,20 @@
     /// Whether a request's next attempt may go to this server, by any rule; every send passes here.
     fn open(&self, now: Time, r: &Request, s: &Server) -> bool {
         let class = &self.settings.classes[usize::from(r.class.0)];
-        let rules = &self.settings.rules;
+        let rules = &self.settings.protocol_limits;
         let warmth = s.warmth(rules, now);
         // One heavy request can spend a cold server's whole budget. Without a time for it there is
         // none.
-        let within = if rules.fall_time.is_zero() {
+        let within = if rules.overload_duration.is_zero() {
             f64::INFINITY
         } else {
-            rules.fall_time.as_secs_f64()
+            rules.overload_duration.as_secs_f64()
         };
-        let budget = HEAVY_PART * rules.fall_multiple * within * warmth;
-        if s.state != ServerState::Ready
+        let budget = HEAVY_PART * rules.overload_multiple * within * warmth;
+        if s.state != EndpointState::Active
             || !placed(class, s)
             || r.attempts.iter().any(|a| a.server == s.id)
-            || (!self.settings.second_copies && !r.idle())
+            || (!self.settings.hedging_allowed && !r.idle())
             || (warmth < 1.0 && r.work.unwrap_or(0.0) >= budget)
         {
             return false;
@@ -633,18 +652,21 @@
         let Some(risky) = r.attempts.iter().find(|a| a.risky()) else {
             return true;
         };
-        match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { window, .. } if now - risky.sent >= window => false,
-            Effect::Keyed {
-                group: Group::All, ..
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { window, .. } if now - risky.sent >= window => false,
+            Idempotency::Keyed {
+                scope: KeyScope::All,
+                ..
             } => true,
-            Effect::Keyed {
-                group: Group::Zone, ..
+            Idempotency::Keyed {
+                scope: KeyScope::Zone,
+                ..
             } => s.zone == risky.zone,
-            Effect::Keyed {
-                group: Group::Cell, ..
+            Idempotency::Keyed {
+                scope: KeyScope::Cell,
+                ..
             } => s.cell == risky.cell,
         }
     }
@@ -662,7 +684,7 @@
             if share <= 0.0 || r.asked.iter().any(|a| a.0 == s.id) || !self.open(now, r, s) {
                 continue;
             }
-            let (list, sum) = match s.warmth(&self.settings.rules, now) < 1.0 {
+            let (list, sum) = match s.warmth(&self.settings.protocol_limits, now) < 1.0 {
                 true if warm_only => continue,
                 true => (&mut cold, &mut cold_sum),
                 false => (&mut warm, &mut warm_sum),
@@ -683,7 +705,9 @@
 
     /// Finds a server for a request's next attempt: by probes where load is told only to them.
     fn place(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        if self.settings.reports == Reports::ByProbe && self.settings.may_probe {
+        if self.settings.load_reporting == LoadReporting::OnProbe
+            && self.settings.load_probes_allowed
+        {
             return self.ask(now, id, actions);
         }
         let server = self.draw(now, id, false);
@@ -694,8 +718,8 @@
     /// How long an attempt may take. Where no report tells load, that it takes the whole aim does:
     /// if it can earn nothing any more, it ends, and its server is known to be past what it can do.
     fn patience(&self, now: Time, r: &Request) -> Duration {
-        let untold = self.settings.reports == Reports::Absent;
-        match untold && self.settings.classes[usize::from(r.class.0)].late_worth == 0.0 {
+        let untold = self.settings.load_reporting == LoadReporting::Absent;
+        match untold && self.settings.classes[usize::from(r.class.0)].late_weight == 0.0 {
             true => {
                 r.ends
                     .min(r.arrived + Duration::from_secs_f64(self.aim(r.class, r.work)))
@@ -712,7 +736,7 @@
                 .is_some_and(|r| self.open(now, r, &self.servers[*i]))
         };
         let Some(i) = server.filter(fits) else {
-            return self.finish(id, Reason::NoServer, actions);
+            return self.finish(id, GiveUpReason::NoEligibleBackend, actions);
         };
         let Some(limit) = self.requests.get(&id).map(|r| self.patience(now, r)) else {
             return;
@@ -721,7 +745,7 @@
             return;
         };
         let s = &mut self.servers[i];
-        let fresh = !s.connected(now, self.settings.conn_idle);
+        let fresh = !s.connected(now, self.settings.idle_timeout);
         // Until the request is whole the server has nothing to work on.
         if !r.coming {
             s.out.push(now);
@@ -740,17 +764,17 @@
             may_have_run: false,
             fresh,
         });
-        actions.push(Action::Send {
+        actions.push(Action::StartAttempt {
             request: id,
-            server,
-            limit: Some(limit),
+            backend: server,
+            timeout: Some(limit),
         });
     }
 
-    fn ended(&mut self, now: Time, end: &Ended, actions: &mut Vec<Action>) {
-        end.report
+    fn ended(&mut self, now: Time, end: &AttemptResult, actions: &mut Vec<Action>) {
+        end.load_report
             .iter()
-            .for_each(|report| self.report(now, end.server, report));
+            .for_each(|report| self.report(now, end.backend, report));
         let Some(r) = self.requests.get_mut(&end.request) else {
             return;
         };
@@ -762,37 +786,39 @@
             return;
         };
         a.ended = true;
-        a.may_have_run = !end.outcome.never_ran();
+        a.may_have_run = !end.outcome.never_executed();
         let (server, sent, fresh) = (a.server, a.sent, a.fresh);
-        r.open &= !end.closed;
+        r.open &= !end.request_closed;
         let (streamed, over) = (r.begun, !r.open || !r.idle());
         let (class, work) = (usize::from(r.class.0), r.work);
         self.returned(server, sent);
         self.learn_connection(now, server, fresh, end.outcome);
-        if let (Outcome::Served, None, false) = (end.outcome, work, streamed) {
+        if let (AttemptOutcome::Success, None, false) = (end.outcome, work, streamed) {
             self.markets[class].learn_work(end.latency.as_secs_f64());
         }
         let aim = self.aim(ClassId(class as u8), work);
         let load = end
-            .report
+            .load_report
             .and(self.index.get(&server))
             .and_then(|&i| self.servers[i].load);
         let latency = end.latency.as_secs_f64();
         let load = match end.outcome {
-            Outcome::TurnedAway => Some(1.0 + EXCESS),
-            Outcome::TimedOut if latency > OVERDUE * self.latency => Some(1.0 + EXCESS),
+            AttemptOutcome::Rejected => Some(1.0 + EXCESS),
+            AttemptOutcome::TimedOut if latency > OVERDUE * self.latency => Some(1.0 + EXCESS),
             // How long a large answer takes to pass on is its client's doing: its first bytes have
             // counted.
-            Outcome::Served if streamed => load,
-            Outcome::Served => Some(load.unwrap_or(0.0).max((latency / aim).min(1.0 + EXCESS))),
+            AttemptOutcome::Success if streamed => load,
+            AttemptOutcome::Success => {
+                Some(load.unwrap_or(0.0).max((latency / aim).min(1.0 + EXCESS)))
+            }
             _ => load,
         };
         if let (Some(load), true) = (load, self.blind) {
             self.weigh(now, class, load);
         }
         match end.outcome {
-            Outcome::Served if !streamed => self.answered(now, server, latency, work),
-            Outcome::Served | Outcome::Cancelled | Outcome::NotSent => {}
+            AttemptOutcome::Success if !streamed => self.answered(now, server, latency, work),
+            AttemptOutcome::Success | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
             outcome => self.failed(now, server, outcome),
         }
         if over {
@@ -806,9 +832,11 @@
         let left = self.aim(r.class, r.work) - (now - r.arrived).as_secs_f64();
         let tries = (r.attempts.len() as u32) < self.settings.max_attempts;
         let reason = match () {
-            () if left < 0.5 * self.latency || r.ends <= now => Some(Reason::NoTime),
-            () if !tries => Some(Reason::Attempts),
-            () => (self.retry_budget < 1.0).then_some(Reason::RetryBudget),
+            () if left < 0.5 * self.latency || r.ends <= now => {
+                Some(GiveUpReason::InsufficientTime)
+            }
+            () if !tries => Some(GiveUpReason::AttemptsExhausted),
+            () => (self.retry_budget < 1.0).then_some(GiveUpReason::RetryBudgetExhausted),
         };
         if let Some(reason) = reason {
             self.finish(end.request, reason, actions);
@@ -819,28 +847,29 @@
 
     /// The final answer of a request that is given up: refused where that is true to its class,
     /// else failed.
-    fn finish(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
+    fn finish(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.open && !r.begun) else {
             return;
         };
         r.open = false;
         let class = usize::from(r.class.0);
-        let harmless = match self.settings.classes[usize::from(r.class.0)].effect {
-            Effect::Safe
-            | Effect::Keyed {
-                group: Group::All, ..
+        let harmless = match self.settings.classes[usize::from(r.class.0)].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: KeyScope::All,
+                ..
             } => true,
             _ => !r.attempts.iter().any(Attempt::risky),
         };
         // Back once a place is free and while its answer still counts, the later the more is shed.
         let shed = self.markets[self.markets[class].leader].refused;
-        let back = self.settings.classes[class].aim.mul_f64(shed);
+        let back = self.settings.classes[class].latency_objective.mul_f64(shed);
         let back = back.max(Duration::from_secs_f64(self.latency));
-        let wait = self.settings.max_wait.map(|most| most.min(back));
+        let wait = self.settings.max_retry_after.map(|most| most.min(back));
         actions.push(match harmless {
-            true => Action::Refuse {
+            true => Action::Reject {
                 request: id,
-                wait,
+                retry_after: wait,
                 reason,
             },
             false => Action::Fail {
@@ -870,11 +899,11 @@
             r.asked.push((s.id, fresh));
             if fresh.is_none() && s.probing.is_none_or(|at| (now - at).as_secs_f64() >= wait) {
                 s.probing = Some(now);
-                actions.push(Action::Probe { server: s.id });
+                actions.push(Action::SendLoadProbe { backend: s.id });
             }
         }
         let Some(r) = self.requests.get(&id).filter(|r| !r.asked.is_empty()) else {
-            self.finish(id, Reason::NoServer, actions);
+            self.finish(id, GiveUpReason::NoEligibleBackend, actions);
             return false;
         };
         if r.asked.iter().all(|a| a.1.is_some()) {
@@ -887,27 +916,27 @@
         true
     }
 
-    fn probed(&mut self, now: Time, p: &Probed, actions: &mut Vec<Action>) {
+    fn probed(&mut self, now: Time, p: &LoadProbeResult, actions: &mut Vec<Action>) {
         let mut load = f64::INFINITY;
-        if let Some(&i) = self.index.get(&p.server) {
+        if let Some(&i) = self.index.get(&p.backend) {
             self.servers[i].probing = None;
         }
         match p.outcome {
-            Outcome::Served => {
+            AttemptOutcome::Success => {
                 self.probe_latency += (p.latency.as_secs_f64() - self.probe_latency) / 32.0;
-                let report = p.report.unwrap_or_default();
-                self.report(now, p.server, &report);
+                let report = p.load_report.unwrap_or_default();
+                self.report(now, p.backend, &report);
                 load = report
-                    .held
-                    .or(report.busy)
+                    .in_flight
+                    .or(report.utilization)
                     .filter(|h| h.is_finite() && *h >= 0.0)
                     .unwrap_or(load);
-                if let (Some(&i), true) = (self.index.get(&p.server), load.is_finite()) {
+                if let (Some(&i), true) = (self.index.get(&p.backend), load.is_finite()) {
                     (self.servers[i].held, self.servers[i].heard) = (Some(load), now);
                 }
             }
-            Outcome::NotSent => {} // The node's own shortage says nothing of the server.
-            outcome => self.failed(now, p.server, outcome),
+            AttemptOutcome::NotSent => {} // The node's own shortage says nothing of the server.
+            outcome => self.failed(now, p.backend, outcome),
         }
         for k in (0..self.choosing.len()).rev() {
             let id = self.choosing[k].0;
@@ -917,7 +946,7 @@
             if let Some(a) = r
                 .asked
                 .iter_mut()
-                .find(|a| a.0 == p.server && a.1.is_none())
+                .find(|a| a.0 == p.backend && a.1.is_none())
             {
                 a.1 = Some(load);
                 self.choose(now, id, false, actions);
@@ -943,9 +972,9 @@
         });
         let shut = self.refused * self.settings.connect_timeout.as_secs_f64();
         let best = answers
-            .filter(|b| self.servers[b.1].state == ServerState::Ready)
+            .filter(|b| self.servers[b.1].state == EndpointState::Active)
             .map(|(load, i)| {
-                let open = self.servers[i].connected(now, self.settings.conn_idle);
+                let open = self.servers[i].connected(now, self.settings.idle_timeout);
                 (load * self.mean_work + if open { 0.0 } else { shut }, i)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0));
@@ -960,13 +989,13 @@
 }
 
 /// Whether a class may ever go to a server: its placement, by zone and kind.
-pub(crate) fn placed(class: &Class, s: &Server) -> bool {
+pub(crate) fn placed(class: &RequestClass, s: &Server) -> bool {
     class
-        .zones
+        .allowed_zones
         .as_ref()
         .is_none_or(|open| open.contains(&s.zone))
         && class
-            .kinds
+            .allowed_machine_types
             .as_ref()
             .is_none_or(|open| open.contains(&s.kind))
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,9 +1,9 @@
 //! What the decision module remembers: plain data, no decisions.
 
-use crate::interface::*;
 use crate::logic::{
     placed, KIND_PRIOR, PART_WINDOW, RATE_WINDOW, REPORT_LIFE, RETRY_MOST, TENANT_WINDOW,
 };
+use crate::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
@@ -49,13 +49,13 @@
 }
 
 pub(crate) struct Server {
-    pub id: ServerId,
+    pub id: BackendId,
     /// Place in this node's own order of servers.
     pub rank: u64,
     pub zone: ZoneId,
-    pub kind: KindId,
+    pub kind: MachineTypeId,
     pub cell: CellId,
-    pub state: ServerState,
+    pub state: EndpointState,
     pub weight: f64,
     pub started: Option<Time>,
     /// Price over the number of ready servers.
@@ -96,12 +96,12 @@
 }
 
 impl Server {
-    pub(crate) fn new(entry: &ServerEntry, salt: u64, price: f64, now: Time) -> Self {
+    pub(crate) fn new(entry: &Endpoint, salt: u64, price: f64, now: Time) -> Self {
         Server {
-            id: entry.server,
-            rank: Xoshiro256PlusPlus::seed_from_u64(salt ^ u64::from(entry.server.0)).next_u64(),
+            id: entry.backend,
+            rank: Xoshiro256PlusPlus::seed_from_u64(salt ^ u64::from(entry.backend.0)).next_u64(),
             zone: entry.zone,
-            kind: entry.kind,
+            kind: entry.machine_type,
             cell: entry.cell,
             state: entry.state,
             weight: if entry.weight.is_finite() && entry.weight > 0.0 {
@@ -109,7 +109,7 @@
             } else {
                 1.0
             },
-            started: entry.started,
+            started: entry.started_at,
             price,
             stepped: now,
             report: LoadReport::default(),
@@ -131,12 +131,13 @@
     }
 
     /// Part of its capacity that it surely has by now.
-    pub(crate) fn warmth(&self, rules: &Rules, now: Time) -> f64 {
+    pub(crate) fn warmth(&self, rules: &ProtocolLimits, now: Time) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
         };
-        let age = (now - started).as_secs_f64() / rules.warm_up.as_secs_f64().max(1e-9);
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+        let age = (now - started).as_secs_f64() / rules.slow_start_duration.as_secs_f64().max(1e-9);
+        (rules.slow_start_initial_capacity + (1.0 - rules.slow_start_initial_capacity) * age)
+            .min(1.0)
     }
 
     /// Whether a connection is surely open still.
@@ -203,7 +204,7 @@
 }
 
 pub(crate) struct Attempt {
-    pub server: ServerId,
+    pub server: BackendId,
     pub zone: ZoneId,
     pub cell: CellId,
     pub sent: Time,
@@ -233,7 +234,7 @@
     pub begun: bool,
     pub attempts: Vec<Attempt>,
     /// Servers probed for it, with the load each has answered.
-    pub asked: Vec<(ServerId, Option<f64>)>,
+    pub asked: Vec<(BackendId, Option<f64>)>,
 }
 
 impl Request {
@@ -317,7 +318,7 @@
     pub(crate) salt: u64,
     pub(crate) rng: Xoshiro256PlusPlus,
     pub(crate) servers: Vec<Server>,
-    pub(crate) index: FxHashMap<ServerId, usize>,
+    pub(crate) index: FxHashMap<BackendId, usize>,
     pub(crate) ready: Vec<usize>,
     pub(crate) markets: Vec<Market>,
     pub(crate) mean_price: f64,
@@ -325,7 +326,7 @@
     pub(crate) mean_load: f64,
     pub(crate) mean_speed: f64,
     /// Paces of the machine kinds, from the answers of their warm servers.
-    pub(crate) kinds: FxHashMap<KindId, Pace>,
+    pub(crate) kinds: FxHashMap<MachineTypeId, Pace>,
     /// Mean pace of the ready servers.
     pub(crate) mean_pace: f64,
     pub(crate) solved: Option<Time>,
@@ -361,9 +362,14 @@
     /// Starts with no servers and no requests.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         settings.check()?;
-        let aims = settings.classes.iter().map(|c| c.aim.as_secs_f64());
-        let same = |a: &Class, b: &Class| a.zones == b.zones && a.kinds == b.kinds;
-        let leader = |c: &Class| {
+        let aims = settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective.as_secs_f64());
+        let same = |a: &RequestClass, b: &RequestClass| {
+            a.allowed_zones == b.allowed_zones && a.allowed_machine_types == b.allowed_machine_types
+        };
+        let leader = |c: &RequestClass| {
             settings
                 .classes
                 .iter()
@@ -400,7 +406,8 @@
             refused: 0.0,
             report_life: REPORT_LIFE,
             usual_held: UsualHeld::default(),
-            blind: !settings.reports_rate && settings.reports != Reports::ByProbe,
+            blind: !settings.throughput_reported
+                && settings.load_reporting != LoadReporting::OnProbe,
             mean_work: 0.0,
             sends: Rate::new(now, RATE_WINDOW),
             part: 1.0 / f64::from(settings.nodes),
@@ -416,37 +423,37 @@
     }
 
     /// Brings the servers in line with a list or with changes to it.
-    pub(crate) fn take_list(&mut self, now: Time, kind: ListKind, entries: &[ServerEntry]) {
-        if kind != ListKind::Changes {
+    pub(crate) fn take_list(&mut self, now: Time, kind: ListUpdate, entries: &[Endpoint]) {
+        if kind != ListUpdate::Delta {
             self.servers
                 .iter_mut()
-                .for_each(|s| s.state = ServerState::Gone);
+                .for_each(|s| s.state = EndpointState::Removed);
         }
         for e in entries {
             let fresh = Server::new(e, self.salt, self.mean_price, now);
-            match self.index.get(&e.server) {
+            match self.index.get(&e.backend) {
                 None => {
-                    self.index.insert(e.server, self.servers.len());
+                    self.index.insert(e.backend, self.servers.len());
                     self.servers.push(fresh);
                 }
                 Some(&i) => {
                     // Of a restarted process nothing is known but what is still out; of others all
                     // stays.
                     let s = &mut self.servers[i];
-                    if e.started.is_some() && e.started != s.started {
+                    if e.started_at.is_some() && e.started_at != s.started {
                         *s = Server {
                             out: std::mem::take(&mut s.out),
                             ..fresh
                         };
                     } else {
                         (s.state, s.weight) = (e.state, fresh.weight);
-                        (s.zone, s.kind, s.cell) = (e.zone, e.kind, e.cell);
+                        (s.zone, s.kind, s.cell) = (e.zone, e.machine_type, e.cell);
                     }
                 }
             }
         }
         self.servers
-            .retain(|s| s.state != ServerState::Gone || !s.out.is_empty());
+            .retain(|s| s.state != EndpointState::Removed || !s.out.is_empty());
         self.index = self
             .servers
             .iter()
@@ -454,7 +461,7 @@
             .map(|(i, s)| (s.id, i))
             .collect();
         self.ready = (0..self.servers.len())
-            .filter(|&i| self.servers[i].state == ServerState::Ready)
+            .filter(|&i| self.servers[i].state == EndpointState::Active)
             .collect();
         self.ready.sort_by_key(|&i| self.servers[i].rank);
     }
@@ -520,7 +527,7 @@
         &mut self,
         id: RequestId,
         attempt: u32,
-    ) -> Option<(ServerId, ClassId, Option<f64>)> {
+    ) -> Option<(BackendId, ClassId, Option<f64>)> {
         let r = self.requests.get_mut(&id)?;
         let (server, sent) = r
             .attempts
@@ -532,7 +539,7 @@
         Some((
             server,
             class,
-            work.filter(|_| !self.settings.classes[usize::from(class.0)].streamed),
+            work.filter(|_| !self.settings.classes[usize::from(class.0)].streaming),
         ))
     }
 
@@ -540,26 +547,29 @@
     pub(crate) fn learn_connection(
         &mut self,
         now: Time,
-        server: ServerId,
+        server: BackendId,
         fresh: bool,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
     ) {
-        if outcome == Outcome::NotSent {
+        if outcome == AttemptOutcome::NotSent {
             return;
         }
         if fresh {
-            let failed = f64::from(u8::from(outcome == Outcome::Unreachable));
+            let failed = f64::from(u8::from(outcome == AttemptOutcome::ConnectFailed));
             self.refused += (failed - self.refused) / 8.0;
         }
         let Some(&i) = self.index.get(&server) else {
             return;
         };
-        let held = !matches!(outcome, Outcome::Unreachable | Outcome::Broken);
+        let held = !matches!(
+            outcome,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset
+        );
         self.servers[i].connected = held.then_some(now).or(self.servers[i].connected);
     }
 
     /// One send less is out.
-    pub(crate) fn returned(&mut self, server: ServerId, sent: Time) {
+    pub(crate) fn returned(&mut self, server: BackendId, sent: Time) {
         let Some(&i) = self.index.get(&server) else {
             return;
         };
@@ -589,46 +599,50 @@
     /// Seconds in which an answer earns the full worth.
     pub(crate) fn aim(&self, class: ClassId, work: Option<f64>) -> f64 {
         let class = &self.settings.classes[usize::from(class.0)];
-        class.aim.as_secs_f64() + class.aim_stretch * work.unwrap_or(0.0)
+        class.latency_objective.as_secs_f64() + class.objective_work_factor * work.unwrap_or(0.0)
     }
 
     /// What it goes by at present.
-    pub fn view(&self, now: Time) -> View {
+    pub fn snapshot(&self, now: Time) -> BalancerSnapshot {
         let nodes = f64::from(self.settings.nodes);
         let tenants = self.tenants.iter().zip(&self.settings.tenants);
         let tenants = tenants
-            .map(|(rate, t)| rate.read(now) * nodes / t.quota_per_s)
+            .map(|(rate, t)| rate.read(now) * nodes / t.quota_per_second)
             .collect();
         let shares = self.markets.first().map_or(&[][..], |m| &m.shares);
         let servers = self.ready.iter().enumerate().map(|(k, &i)| {
             let s = &self.servers[i];
-            let speed = match self.settings.reports_rate {
+            let speed = match self.settings.throughput_reported {
                 true if s.evidence > 0.0 => s.speed / self.mean_speed,
                 true => 1.0,
                 false => self.pace(s, KIND_PRIOR) / self.mean_pace,
             };
             let share = shares.get(k).copied().unwrap_or(0.0);
-            let (load, out, warmth) = (s.load, s.out.len(), s.warmth(&self.settings.rules, now));
+            let (load, out, warmth) = (
+                s.load,
+                s.out.len(),
+                s.warmth(&self.settings.protocol_limits, now),
+            );
             let (server, weight, price, report) = (s.id, s.weight, s.price, s.report);
-            ServerView {
-                server,
+            BackendSnapshot {
+                backend: server,
                 weight,
                 price,
                 load,
-                report,
-                warmth,
+                load_report: report,
+                available_capacity: warmth,
                 speed,
                 share,
-                out,
+                in_flight: out,
             }
         });
-        View {
-            shed: self.markets.first().map_or(0.0, |m| m.refused),
-            load: self.mean_load,
-            latency: self.latency,
+        BalancerSnapshot {
+            shed_fraction: self.markets.first().map_or(0.0, |m| m.refused),
+            mean_load: self.mean_load,
+            typical_latency: self.latency,
             retry_budget: self.retry_budget,
-            tenants,
-            servers: servers.collect(),
+            quota_usage: tenants,
+            backends: servers.collect(),
         }
     }
 
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -8,7 +8,7 @@
 use crate::send_invariants::{self, Rule};
 use crate::transient_errors;
 use crate::upstream::backend_registry::{AnswerBody, MOST_BUFFERED};
-use balancer::{ClassId, Effect, TenantId};
+use balancer::{ClassId, Idempotency, TenantId};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body as _, Frame, Incoming as Body, SizeHint};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -112,7 +112,7 @@
 /// What a connection needs to know.
 pub struct Frontend {
     engine: Rc<Engine>,
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     phase: watch::Receiver<Phase>,
     slots: Places,
     /// A connection has ended.
@@ -301,7 +301,7 @@
     /// Takes at most `connections` at a time. They may have been made since `listening_since`.
     pub fn new(
         engine: Rc<Engine>,
-        effects: Vec<Effect>,
+        effects: Vec<Idempotency>,
         connections: usize,
         listening_since: Instant,
         phase: watch::Receiver<Phase>,
@@ -703,10 +703,10 @@
         let wait = text(&TIMEOUT).and_then(parse_wait);
         let wait = wait.ok_or(bad("X-Timeout is missing or makes no sense"))?;
         let effect = self.effects[class];
-        if matches!(effect, Effect::Keyed { .. }) && text(&KEY).is_none_or(str::is_empty) {
+        if matches!(effect, Idempotency::Keyed { .. }) && text(&KEY).is_none_or(str::is_empty) {
             return Err(bad("Idempotency-Key is missing"));
         }
-        if (*method == Method::GET) != (effect == Effect::Safe) {
+        if (*method == Method::GET) != (effect == Idempotency::Idempotent) {
             return Err((
                 StatusCode::METHOD_NOT_ALLOWED,
                 "another method goes with this class",
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What the node counts for its log, and how much it says of single requests.
 
 use crate::send_invariants::RuleCounts;
-use balancer::{ClassId, Outcome, Reason};
+use balancer::{AttemptOutcome, ClassId, GiveUpReason};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -57,15 +57,15 @@
 
 impl Counts {
     /// Counts the end of an attempt.
-    pub fn ended(&mut self, outcome: Outcome) {
+    pub fn ended(&mut self, outcome: AttemptOutcome) {
         match outcome {
-            Outcome::Served => {}
-            Outcome::Error => self.errors += 1,
-            Outcome::TurnedAway => self.turned_away += 1,
-            Outcome::TimedOut => self.timed_out += 1,
-            Outcome::Unreachable => self.unreachable += 1,
-            Outcome::Broken => self.broken += 1,
-            Outcome::Cancelled | Outcome::NotSent => self.unsent += 1,
+            AttemptOutcome::Success => {}
+            AttemptOutcome::ServerError => self.errors += 1,
+            AttemptOutcome::Rejected => self.turned_away += 1,
+            AttemptOutcome::TimedOut => self.timed_out += 1,
+            AttemptOutcome::ConnectFailed => self.unreachable += 1,
+            AttemptOutcome::ConnectionReset => self.broken += 1,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => self.unsent += 1,
         }
     }
 }
@@ -80,7 +80,7 @@
     /// ... and of these after the class's aim.
     pub late: u32,
     /// Given up, by what for.
-    pub given_up: BTreeMap<Reason, u32>,
+    pub given_up: BTreeMap<GiveUpReason, u32>,
 }
 
 /// Counters for the log.
@@ -88,7 +88,7 @@
     counts: Cell<Counts>,
     classes: RefCell<FxHashMap<ClassId, ClassCounts>>,
     since: Cell<Instant>,
-    single: RefCell<FxHashMap<Reason, u32>>,
+    single: RefCell<FxHashMap<GiveUpReason, u32>>,
     turned_down: RefCell<FxHashMap<&'static str, u32>>,
     broken: Cell<u32>,
     /// What rules have held back, and what was asked for against them.
@@ -129,7 +129,7 @@
     }
 
     /// Whether one more request given up may be written by itself; counts it if not.
-    pub fn single(&self, reason: Reason) -> bool {
+    pub fn single(&self, reason: GiveUpReason) -> bool {
         let mut single = self.single.borrow_mut();
         let written = single.entry(reason).or_default();
         if *written < MOST_SINGLE {
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -81,8 +81,8 @@
         .map(|c| c.deadline)
         .max()
         .unwrap_or_default();
-    let warm_up = settings.rules.warm_up;
-    let effects = settings.classes.iter().map(|c| c.effect).collect();
+    let warm_up = settings.protocol_limits.slow_start_duration;
+    let effects = settings.classes.iter().map(|c| c.idempotency).collect();
     // Three quarters of memory are for requests; clients and backends share what descriptors there
     // are. That is more than the third that clients need for requests: the rest is for those that
     // say nothing.
@@ -114,7 +114,7 @@
     let limits = backend_registry::Limits {
         connections,
         connect_timeout: or(settings.connect_timeout, Duration::from_millis(250)),
-        conn_idle: or(settings.conn_idle, Duration::from_secs(5)),
+        conn_idle: or(settings.idle_timeout, Duration::from_secs(5)),
     };
     let classes = config.site.names.classes.iter().zip(&settings.classes);
     let classes: Vec<String> = classes
@@ -122,7 +122,7 @@
             format!(
                 "{}:aim_ms={}:deadline_ms={}",
                 name.escape_debug(),
-                ms(c.aim),
+                ms(c.latency_objective),
                 ms(c.deadline)
             )
         })
@@ -132,12 +132,12 @@
          conn_idle_ms={} max_retry_after_ms={} clients={clients} \
          upstream={} {}",
         settings.nodes,
-        settings.rules.cold_from,
-        settings.rules.fall_multiple,
-        ms(settings.rules.warm_up),
-        ms(settings.rules.drain_grace),
-        ms(settings.conn_idle),
-        ms(settings.max_wait.unwrap_or_default()),
+        settings.protocol_limits.slow_start_initial_capacity,
+        settings.protocol_limits.overload_multiple,
+        ms(settings.protocol_limits.slow_start_duration),
+        ms(settings.protocol_limits.drain_grace),
+        ms(settings.idle_timeout),
+        ms(settings.max_retry_after.unwrap_or_default()),
         limits.connections,
         classes.join(" ")
     );
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -14,8 +14,9 @@
     AnswerBody, AttemptTerms, Backends, Exchange, Progress, Server, Source,
 };
 use balancer::{
-    Action, Arrival, Balancer, ClassId, Effect, Ended, Event, ListKind, LoadReport, Outcome,
-    Probed, Reason, RequestId, ServerId, ServerState, Settings, SettingsError, TenantId, Time,
+    Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, EndpointState, Event,
+    GiveUpReason, Idempotency, ListUpdate, LoadProbeResult, LoadReport, RequestArrival, RequestId,
+    Settings, SettingsError, TenantId, Time,
 };
 use hyper::{Request, Response};
 use rand_core::{RngCore, SeedableRng};
@@ -129,13 +130,13 @@
 }
 
 struct Attempt {
-    server: ServerId,
+    server: BackendId,
     place: Place,
     began: Instant,
     /// False once it is known that it did not run and will not.
     may_have_run: bool,
     /// How it ended, after how long, and the server's report.
-    end: Option<(Outcome, Duration, Option<LoadReport>)>,
+    end: Option<(AttemptOutcome, Duration, Option<LoadReport>)>,
     /// None once it has ended.
     task: Option<AbortHandle>,
     /// Whether it may have reached the server.
@@ -152,7 +153,7 @@
     next_request: u64,
     /// Attempts at each server since the counters were last written, and how many of them it turned
     /// away or answered with an error, or with nothing of use.
-    sent: FxHashMap<ServerId, [u32; 3]>,
+    sent: FxHashMap<BackendId, [u32; 3]>,
     /// The watch, or the task that keeps one open.
     watch: Option<AbortHandle>,
     /// The same at the address before this one. It is heard until this one has told its whole list.
@@ -180,7 +181,7 @@
     /// Two attempts of one request may be out together.
     second_copies: bool,
     /// By class: how far its requests may be repeated.
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     /// By class: within which time an answer earns its worth, the stretch for heavy requests left
     /// aside.
     aims: Vec<Duration>,
@@ -202,10 +203,14 @@
         discovery: SocketAddr,
     ) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::new();
-        let asked = settings.list_on_request;
-        let second_copies = settings.second_copies;
-        let effects = settings.classes.iter().map(|c| c.effect).collect();
-        let aims = settings.classes.iter().map(|c| c.aim).collect();
+        let asked = settings.polled_discovery;
+        let second_copies = settings.hedging_allowed;
+        let effects = settings.classes.iter().map(|c| c.idempotency).collect();
+        let aims = settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .collect();
         let state = State {
             balancer: Balancer::new(settings, seed, clock.now())?,
             events: VecDeque::new(),
@@ -280,9 +285,9 @@
     pub fn watching(&self) {
         self.watches.set(self.watches.get() + 1);
         if self.asked {
-            self.feed(Event::List {
-                kind: ListKind::Changes,
-                entries: Vec::new(),
+            self.feed(Event::EndpointList {
+                update: ListUpdate::Delta,
+                endpoints: Vec::new(),
             });
         }
     }
@@ -362,18 +367,18 @@
         let entries = list
             .map(|l| self.take_list(l, Source::Configuration))
             .unwrap_or_default();
-        self.feed(Event::List {
-            kind: ListKind::Cached,
-            entries,
+        self.feed(Event::EndpointList {
+            update: ListUpdate::Cached,
+            endpoints: entries,
         });
     }
 
     /// Takes in what discovery says, at the address that it says it from.
     pub fn list(&self, list: &ServerList, from: SocketAddr) {
         let kind = if list.complete {
-            ListKind::Full
+            ListUpdate::Snapshot
         } else {
-            ListKind::Changes
+            ListUpdate::Delta
         };
         self.lists_taken.set(self.lists_taken.get() + 1);
         if list.complete && from == self.discovery.get() {
@@ -389,26 +394,29 @@
         // Logged where it says anything: discovery may send lists of no change.
         if !entries.is_empty() {
             let count = |state| entries.iter().filter(|e| e.state == state).count();
-            let youngest = entries.iter().filter_map(|e| e.started).max();
+            let youngest = entries.iter().filter_map(|e| e.started_at).max();
             let age = youngest.map_or(f64::NAN, |at| (self.clock.now() - at).as_secs_f64());
             self.log(format_args!(
                 "list revision={} kind={kind:?} youngest_s={age:.1} ready={} draining={} gone={}",
                 list.revision,
-                count(ServerState::Ready),
-                count(ServerState::Draining),
-                count(ServerState::Gone)
+                count(EndpointState::Active),
+                count(EndpointState::Draining),
+                count(EndpointState::Removed)
             ));
         }
-        self.feed(Event::List { kind, entries });
+        self.feed(Event::EndpointList {
+            update: kind,
+            endpoints: entries,
+        });
     }
 
     /// Goes by what operators have said, from now on.
     pub fn heed(&self, word: &Word) {
         let entries = self.backends.heed(self.clock.now(), word);
         if !entries.is_empty() {
-            self.feed(Event::List {
-                kind: ListKind::Changes,
-                entries,
+            self.feed(Event::EndpointList {
+                update: ListUpdate::Delta,
+                endpoints: entries,
             });
         }
     }
@@ -424,10 +432,10 @@
         self.backends.warmed_up(self.clock.now(), backend, warm_up)
     }
 
-    fn take_list(&self, list: &ServerList, source: Source) -> Vec<balancer::ServerEntry> {
+    fn take_list(&self, list: &ServerList, source: Source) -> Vec<balancer::Endpoint> {
         self.revision.set(list.revision);
         let entries = self.backends.take_list(self.clock.now(), list, source);
-        let usable = entries.iter().any(|e| e.state == ServerState::Ready);
+        let usable = entries.iter().any(|e| e.state == EndpointState::Active);
         self.servers_listed.set(self.servers_listed.get() || usable);
         entries
     }
@@ -472,13 +480,13 @@
         };
         state.ledger.insert(id, entry);
         drop(state);
-        self.feed(Event::Arrival(Arrival {
+        self.feed(Event::RequestArrived(RequestArrival {
             request: id,
             class,
             tenant,
             remaining,
             work,
-            coming,
+            body_pending: coming,
         }));
         self.settle(id);
         Some(Taken {
@@ -490,7 +498,7 @@
 
     /// The last byte of a request has come that was taken before.
     pub fn uploaded(&self, request: RequestId) {
-        self.feed(Event::Uploaded { request });
+        self.feed(Event::RequestBodyReceived { request });
     }
 
     fn client_gone(&self, request: RequestId) {
@@ -500,7 +508,7 @@
             self.stats.count(|c| c.gone += 1);
             self.withhold(&mut state, request);
             drop(state);
-            self.feed(Event::ClientGone { request });
+            self.feed(Event::ClientDisconnected { request });
             self.settle(request);
         }
     }
@@ -518,20 +526,20 @@
             // The task ends in a later turn: nothing of it may be written until then.
             a.progress.set(Progress::Revoked);
             task.abort();
-            let (outcome, latency) = (Outcome::NotSent, a.began.elapsed());
+            let (outcome, latency) = (AttemptOutcome::NotSent, a.began.elapsed());
             (a.may_have_run, a.end) = (false, Some((outcome, latency, None)));
             self.stats.count(|c| c.ended(outcome));
             let (server, closed, report) = (a.server, true, None);
-            let ended = Ended {
+            let ended = AttemptResult {
                 request,
                 attempt,
-                server,
+                backend: server,
                 outcome,
                 latency,
-                closed,
-                report,
+                request_closed: closed,
+                load_report: report,
             };
-            state.events.push_back(Event::Ended(ended));
+            state.events.push_back(Event::AttemptEnded(ended));
         }
     }
 
@@ -556,7 +564,7 @@
         self.count_served(entry);
         let _ = reply.send(Answer::Served(answer));
         drop(state);
-        self.feed(Event::Begun {
+        self.feed(Event::ResponseStarted {
             request,
             attempt,
             latency,
@@ -575,9 +583,10 @@
         match ended {
             Some(Passed::Whole) => return,
             Some(Passed::Broken(problem)) => {
-                (exchange.outcome, exchange.problem) = (Outcome::Broken, Some(problem));
+                (exchange.outcome, exchange.problem) =
+                    (AttemptOutcome::ConnectionReset, Some(problem));
             }
-            None => exchange.outcome = Outcome::Cancelled,
+            None => exchange.outcome = AttemptOutcome::Cancelled,
         }
         exchange.connection = None;
         if begun {
@@ -596,14 +605,14 @@
         if a.task.take().is_none() {
             return; // Cancelled meanwhile: its end is told already.
         }
-        a.may_have_run = !exchange.outcome.never_ran();
+        a.may_have_run = !exchange.outcome.never_executed();
         let (server, latency) = (a.server, since(&entry.request, a.began));
         a.end = Some((exchange.outcome, latency, exchange.report));
         self.stats.count(|c| c.ended(exchange.outcome));
         let count = state.sent.entry(server).or_default();
         match exchange.outcome {
-            Outcome::TurnedAway => count[1] += 1,
-            Outcome::Error | Outcome::Broken => count[2] += 1,
+            AttemptOutcome::Rejected => count[1] += 1,
+            AttemptOutcome::ServerError | AttemptOutcome::ConnectionReset => count[2] += 1,
             _ => {}
         }
         let Some(entry) = state.ledger.get_mut(&request) else {
@@ -638,14 +647,14 @@
             self.withhold(&mut state, request);
         }
         drop(state);
-        self.feed(Event::Ended(Ended {
+        self.feed(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
-            server,
+            backend: server,
             outcome,
             latency,
-            closed,
-            report,
+            request_closed: closed,
+            load_report: report,
         }));
         self.settle(request);
     }
@@ -679,36 +688,36 @@
 
     fn carry_out(&self, state: &mut State, action: Action) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 request,
-                server,
-                limit,
+                backend: server,
+                timeout: limit,
             } => self.send(state, request, server, limit),
-            Action::Refuse {
+            Action::Reject {
                 request,
-                wait,
+                retry_after: wait,
                 reason,
             } => {
                 self.finish(state, request, Answer::Refused(wait), reason);
             }
             Action::Fail { request, reason } => self.finish(state, request, Answer::Failed, reason),
-            Action::Cancel { request, attempt } => Self::cancel(state, request, attempt),
+            Action::CancelAttempt { request, attempt } => Self::cancel(state, request, attempt),
             Action::SetTimer { at, timer } => {
                 let (me, at) = (self.me.clone(), self.clock.instant(at));
                 spawn_local(async move {
                     tokio::time::sleep_until(at).await;
                     me.upgrade()
                         .iter()
-                        .for_each(|engine| engine.feed(Event::Timer { timer }));
+                        .for_each(|engine| engine.feed(Event::TimerFired { timer }));
                 });
             }
-            Action::Probe { server } => self.probe(state, server),
-            Action::Watch => self.watch(state),
+            Action::SendLoadProbe { backend: server } => self.probe(state, server),
+            Action::RefreshEndpointList => self.watch(state),
             Action::Log(line) => self.log(format_args!("{line}")),
         }
     }
 
-    fn finish(&self, state: &mut State, request: RequestId, answer: Answer, reason: Reason) {
+    fn finish(&self, state: &mut State, request: RequestId, answer: Answer, reason: GiveUpReason) {
         // A client that has left takes no answer; nothing is owed then.
         let Some(entry) = state.ledger.get_mut(&request) else {
             return;
@@ -747,7 +756,7 @@
     }
 
     /// One line on a request that ends badly, with all that became of it.
-    fn log_given_up(&self, entry: &Entry, answer: &str, reason: Reason) {
+    fn log_given_up(&self, entry: &Entry, answer: &str, reason: GiveUpReason) {
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
         let id = printable(&entry.id);
         let mut line = format!(
@@ -765,7 +774,7 @@
             if let Some((outcome, latency, report)) = &a.end {
                 let _ = write!(line, ":{outcome:?}:{:.2}", ms(*latency));
                 let report = report.unwrap_or_default();
-                let figures = [("util", report.busy), ("queue", report.waiting)];
+                let figures = [("util", report.utilization), ("queue", report.queue_depth)];
                 for (name, figure) in figures.iter().filter_map(|f| Some((f.0, f.1?))) {
                     let _ = write!(line, ":{name}={figure:.2}");
                 }
@@ -784,7 +793,7 @@
         };
         let mut state = self.state.borrow_mut();
         let sent = std::mem::take(&mut state.sent);
-        let view = state.balancer.view(self.clock.now());
+        let view = state.balancer.snapshot(self.clock.now());
         let (clients, open) = (c.accepted, self.backends.connections());
         let mut line = format!(
             "stats s={:.1} requests={} served={} refused={} failed={} gone={} \
@@ -813,12 +822,12 @@
             c.told_to_close,
             c.connects,
             self.backends.left_out(),
-            view.shed,
-            view.load,
-            view.latency * 1e3,
+            view.shed_fraction,
+            view.mean_load,
+            view.typical_latency * 1e3,
             view.retry_budget,
         );
-        for (name, rate) in self.names().tenants.iter().zip(&view.tenants) {
+        for (name, rate) in self.names().tenants.iter().zip(&view.quota_usage) {
             let _ = write!(line, " {}={rate:.2}", name.escape_debug());
         }
         for (class, counts) in self.stats.take_classes() {
@@ -840,30 +849,30 @@
         // Those that it deals with, the busiest first, and no more than a line bears: there may be
         // a thousand.
         let mut dealt: Vec<_> = view
-            .servers
+            .backends
             .iter()
-            .map(|s| (sent.get(&s.server).copied(), s))
+            .map(|s| (sent.get(&s.backend).copied(), s))
             .collect();
-        dealt.retain(|(sent, s)| sent.is_some() || s.out > 0 || s.share > 0.0);
-        dealt.sort_by_key(|(sent, s)| (std::cmp::Reverse(sent.unwrap_or_default()[0]), s.server));
-        let unwritten = view.servers.len() - dealt.len().min(SERVERS_WRITTEN);
+        dealt.retain(|(sent, s)| sent.is_some() || s.in_flight > 0 || s.share > 0.0);
+        dealt.sort_by_key(|(sent, s)| (std::cmp::Reverse(sent.unwrap_or_default()[0]), s.backend));
+        let unwritten = view.backends.len() - dealt.len().min(SERVERS_WRITTEN);
         let _ = write!(
             line,
             " servers={} unwritten={unwritten}",
-            view.servers.len()
+            view.backends.len()
         );
         for (sent, s) in dealt.into_iter().take(SERVERS_WRITTEN) {
             let load = s.load.unwrap_or(f64::NAN);
             let [sent, full, bad] = sent.unwrap_or_default();
             let (util, queue) = (
-                s.report.busy.unwrap_or(f64::NAN),
-                s.report.waiting.unwrap_or(f64::NAN),
+                s.load_report.utilization.unwrap_or(f64::NAN),
+                s.load_report.queue_depth.unwrap_or(f64::NAN),
             );
             let _ = write!(
                 line,
                 " {}:weight={:.2},price={:.2},load={load:.2},util={util:.2},queue={queue:.2},\
                  warm={:.2},speed={:.2},share={:.2},out={},sent={sent},full={full},bad={bad}",
-                s.server, s.weight, s.price, s.warmth, s.speed, s.share, s.out
+                s.backend, s.weight, s.price, s.available_capacity, s.speed, s.share, s.in_flight
             );
         }
         drop(state);
@@ -875,7 +884,7 @@
         &self,
         state: &mut State,
         request: RequestId,
-        server: ServerId,
+        server: BackendId,
         limit: Option<Duration>,
     ) {
         let began = Instant::now();
@@ -886,8 +895,11 @@
         let backend = self.backends.get(server).filter(|_| entry.reply.is_some());
         let backend = backend.filter(|backend| self.may_send(entry, backend));
         let Some(backend) = backend else {
-            let (outcome, latency, closed) =
-                (Outcome::NotSent, Duration::ZERO, entry.reply.is_none());
+            let (outcome, latency, closed) = (
+                AttemptOutcome::NotSent,
+                Duration::ZERO,
+                entry.reply.is_none(),
+            );
             let end = Some((outcome, latency, None));
             self.stats.count(|c| c.ended(outcome));
             let (task, progress, place) = (None, Rc::default(), Place::default());
@@ -902,16 +914,16 @@
                 progress,
             });
             let report = None;
-            let ended = Ended {
+            let ended = AttemptResult {
                 request,
                 attempt,
-                server,
+                backend: server,
                 outcome,
                 latency,
-                closed,
-                report,
+                request_closed: closed,
+                load_report: report,
             };
-            return state.events.push_back(Event::Ended(ended));
+            return state.events.push_back(Event::AttemptEnded(ended));
         };
         let until = limit.map_or(entry.due, |limit| entry.due.min(began + limit));
         // The balancer looks at the window when it decides; connecting takes time after that, in
@@ -987,11 +999,11 @@
     }
 
     /// How far a class of requests may be repeated.
-    fn effect(&self, class: ClassId) -> Effect {
+    fn effect(&self, class: ClassId) -> Idempotency {
         self.effects
             .get(usize::from(class.0))
             .copied()
-            .unwrap_or(Effect::Unsafe)
+            .unwrap_or(Idempotency::NonIdempotent)
     }
 
     /// How many requests have no final answer yet.
@@ -1012,45 +1024,47 @@
             return;
         };
         let Some(task) = a.task.take() else { return };
-        a.end = Some((Outcome::Cancelled, a.began.elapsed(), None));
+        a.end = Some((AttemptOutcome::Cancelled, a.began.elapsed(), None));
         task.abort(); // Its connection goes with it.
         let (server, latency, closed) = (a.server, a.began.elapsed(), entry.reply.is_none());
-        let outcome = Outcome::Cancelled;
-        let ended = Ended {
+        let outcome = AttemptOutcome::Cancelled;
+        let ended = AttemptResult {
             request,
             attempt,
-            server,
+            backend: server,
             outcome,
             latency,
-            closed,
-            report: None,
+            request_closed: closed,
+            load_report: None,
         };
-        state.events.push_back(Event::Ended(ended));
+        state.events.push_back(Event::AttemptEnded(ended));
     }
 
-    fn probe(&self, state: &mut State, server: ServerId) {
+    fn probe(&self, state: &mut State, server: BackendId) {
         let Some(backend) = self.backends.get(server) else {
-            let (outcome, latency, report) = (Outcome::NotSent, Duration::ZERO, None);
-            return state.events.push_back(Event::Probed(Probed {
-                server,
-                outcome,
-                latency,
-                report,
-            }));
+            let (outcome, latency, report) = (AttemptOutcome::NotSent, Duration::ZERO, None);
+            return state
+                .events
+                .push_back(Event::LoadProbeEnded(LoadProbeResult {
+                    backend: server,
+                    outcome,
+                    latency,
+                    load_report: report,
+                }));
         };
         let (me, backends, began) = (self.me.clone(), self.backends.clone(), Instant::now());
         spawn_local(async move {
             let exchange = backends.probe(&backend, PROBE_TIMEOUT).await;
             let (outcome, latency, report) = (exchange.outcome, began.elapsed(), exchange.report);
-            let probed = Probed {
-                server,
+            let probed = LoadProbeResult {
+                backend: server,
                 outcome,
                 latency,
-                report,
+                load_report: report,
             };
             me.upgrade()
                 .iter()
-                .for_each(|e| e.feed(Event::Probed(probed)));
+                .for_each(|e| e.feed(Event::LoadProbeEnded(probed)));
             if let Some(connection) = exchange.connection {
                 backends.give_back(&backend, connection).await;
             }
@@ -1072,9 +1086,9 @@
             let error = client::watch_once(&engine, address).await;
             if engine.discovery() == address {
                 engine.log(format_args!("watch: {error}"));
-                engine.feed(Event::List {
-                    kind: ListKind::Failed,
-                    entries: Vec::new(),
+                engine.feed(Event::EndpointList {
+                    update: ListUpdate::Failed,
+                    endpoints: Vec::new(),
                 });
             }
         });
--- a/crates/proxy/src/send_invariants.rs
+++ b/crates/proxy/src/send_invariants.rs
@@ -5,7 +5,7 @@
 //! is wise. What a rule has held back is counted by rule, and so is what the balancer asked for
 //! although no rule allows it: a violation, which builds with debug assertions don't survive.
 
-use balancer::{Effect, Group};
+use balancer::{Idempotency, KeyScope};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
@@ -92,7 +92,7 @@
 
 /// Whether a class allows one more attempt at a server, after those that were.
 pub fn may_repeat(
-    effect: Effect,
+    effect: Idempotency,
     second_copies: bool,
     to: Place,
     earlier: &[Earlier],
@@ -107,16 +107,19 @@
         return Ok(());
     };
     let allowed = match effect {
-        Effect::Safe
-        | Effect::Keyed {
-            group: Group::All, ..
+        Idempotency::Idempotent
+        | Idempotency::Keyed {
+            scope: KeyScope::All,
+            ..
         } => true,
-        Effect::Unsafe => false,
-        Effect::Keyed {
-            group: Group::Zone, ..
+        Idempotency::NonIdempotent => false,
+        Idempotency::Keyed {
+            scope: KeyScope::Zone,
+            ..
         } => risky.place.zone == to.zone,
-        Effect::Keyed {
-            group: Group::Cell, ..
+        Idempotency::Keyed {
+            scope: KeyScope::Cell,
+            ..
         } => risky.place.cell == to.cell,
     };
     allowed.then_some(()).ok_or(Rule::Repeat)
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -9,7 +9,9 @@
 use crate::send_invariants::{self, AttemptFacts, Place, Rule};
 use crate::start_times::Starts;
 use crate::transient_errors;
-use balancer::{KindId, LoadReport, Outcome, ServerEntry, ServerId, ServerState, Time, ZoneId};
+use balancer::{
+    AttemptOutcome, BackendId, Endpoint, EndpointState, LoadReport, MachineTypeId, Time, ZoneId,
+};
 use bytes::{Bytes, BytesMut};
 use hyper::body::Body;
 use hyper::client::conn::http1;
@@ -50,20 +52,20 @@
 /// One server, as long as the list names it or something is out there.
 pub struct Server {
     /// Its id at this node.
-    pub id: ServerId,
+    pub id: BackendId,
     name: String,
     address: Cell<SocketAddr>,
     /// By the list ...
-    listed: Cell<ServerState>,
+    listed: Cell<EndpointState>,
     /// ... and by the operators' word on top of that.
-    state: Cell<ServerState>,
+    state: Cell<EndpointState>,
     started: Cell<Option<Time>>,
     weight: Cell<f64>,
     /// Grows whenever the connections made so far are of no more use.
     generation: Cell<u64>,
     /// The most recently used one is last.
     idle: RefCell<Vec<Idle>>,
-    place: Cell<(ZoneId, KindId, u16)>,
+    place: Cell<(ZoneId, MachineTypeId, u16)>,
 }
 
 impl Server {
@@ -75,19 +77,19 @@
 
     /// Whether anything new may go there.
     pub fn takes_new(&self) -> bool {
-        self.state.get() == ServerState::Ready
+        self.state.get() == EndpointState::Active
     }
 
-    fn entry(&self) -> ServerEntry {
+    fn entry(&self) -> Endpoint {
         let (zone, kind, cell) = self.place.get();
-        ServerEntry {
-            server: self.id,
+        Endpoint {
+            backend: self.id,
             zone,
-            kind,
+            machine_type: kind,
             cell: balancer::CellId(cell),
             state: self.state.get(),
             weight: self.weight.get(),
-            started: self.started.get(),
+            started_at: self.started.get(),
         }
     }
 
@@ -189,7 +191,7 @@
 /// What a server's answer comes to.
 pub struct Exchange {
     /// How the attempt or probe ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// The load report that came along.
     pub report: Option<LoadReport>,
     /// The answer to pass on, of one that was served.
@@ -203,7 +205,7 @@
 }
 
 impl Exchange {
-    fn failed(outcome: Outcome) -> Self {
+    fn failed(outcome: AttemptOutcome) -> Self {
         Exchange {
             outcome,
             report: None,
@@ -218,7 +220,7 @@
         let source = error.source().map(|s| format!(": {s}")).unwrap_or_default();
         Exchange {
             problem: Some(format!("{error}{source}")),
-            ..Exchange::failed(Outcome::Broken)
+            ..Exchange::failed(AttemptOutcome::ConnectionReset)
         }
     }
 }
@@ -269,7 +271,7 @@
     fields: Vec<Field>,
     slots: Places,
     by_name: RefCell<FxHashMap<String, Rc<Server>>>,
-    by_id: RefCell<FxHashMap<ServerId, Rc<Server>>>,
+    by_id: RefCell<FxHashMap<BackendId, Rc<Server>>>,
     next_id: Cell<u32>,
     /// When servers started.
     starts: RefCell<Starts>,
@@ -301,7 +303,7 @@
     }
 
     /// The server with this id, if it is listed.
-    pub fn get(&self, id: ServerId) -> Option<Rc<Server>> {
+    pub fn get(&self, id: BackendId) -> Option<Rc<Server>> {
         self.by_id.borrow().get(&id).cloned()
     }
 
@@ -322,7 +324,7 @@
 
     // ---- the list ----
     /// Brings the servers in line with a list and puts it in the balancer's terms.
-    pub fn take_list(&self, now: Time, list: &ServerList, source: Source) -> Vec<ServerEntry> {
+    pub fn take_list(&self, now: Time, list: &ServerList, source: Source) -> Vec<Endpoint> {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -337,7 +339,7 @@
             by_name.retain(|name, server| {
                 let stays = named.contains(name.as_str());
                 if !stays {
-                    server.state.set(ServerState::Gone);
+                    server.state.set(EndpointState::Removed);
                     server.abandon_connections();
                     by_id.remove(&server.id);
                 }
@@ -347,16 +349,16 @@
         let mut entries = Vec::with_capacity(list.members.len());
         for member in &list.members {
             let listed = match member.phase {
-                Phase::Active => ServerState::Ready,
-                Phase::Leaving => ServerState::Draining,
-                Phase::Left => ServerState::Gone,
+                Phase::Active => EndpointState::Active,
+                Phase::Leaving => EndpointState::Draining,
+                Phase::Left => EndpointState::Removed,
             };
             let started = starts.started(now, wall, &member.id, member.stamp());
             let state = state(&word, &member.id, listed);
             let server = match (by_name.get(&member.id), member.host_port) {
                 (Some(server), _) => server.clone(),
-                (None, Some(address)) if state != ServerState::Gone => {
-                    let id = ServerId(self.next_id.get());
+                (None, Some(address)) if state != EndpointState::Removed => {
+                    let id = BackendId(self.next_id.get());
                     self.next_id.set(id.0.wrapping_add(1));
                     let server = Rc::new(Server {
                         id,
@@ -379,14 +381,14 @@
             server.listed.set(listed);
             server.state.set(state);
             server.weight.set(member.size);
-            if state == ServerState::Gone {
+            if state == EndpointState::Removed {
                 server.abandon_connections();
                 by_name.remove(&member.id);
                 by_id.remove(&server.id);
             } else {
                 server.place.set((
                     ZoneId(position(&self.names.zones, &member.locality)),
-                    KindId(position(&self.names.kinds, &member.flavor)),
+                    MachineTypeId(position(&self.names.kinds, &member.flavor)),
                     member.cell,
                 ));
                 let moved = member
@@ -396,7 +398,7 @@
                 // so.
                 let restarted = server.started.replace(started) != started;
                 // And what nothing new may go over is only in the way of others.
-                if restarted || moved || state == ServerState::Draining {
+                if restarted || moved || state == EndpointState::Draining {
                     server.abandon_connections();
                 }
             }
@@ -411,7 +413,7 @@
     // ---- maintenance ----
     /// Goes by what operators have said, from now on and whatever lists say. Returns what changes
     /// for the balancer.
-    pub fn heed(&self, now: Time, word: &Word) -> Vec<ServerEntry> {
+    pub fn heed(&self, now: Time, word: &Word) -> Vec<Endpoint> {
         *self.word.borrow_mut() = word.clone();
         let mut starts = self.starts.borrow_mut();
         starts.hear_returned(now, word.returned.iter());
@@ -428,7 +430,7 @@
             server.abandon_connections();
             changed.push(server.entry());
         }
-        changed.sort_unstable_by_key(|e| e.server);
+        changed.sort_unstable_by_key(|e| e.backend);
         changed
     }
 
@@ -453,13 +455,13 @@
 
     // ---- connections ----
     /// The most recently used idle connection that has been quiet since, or a new one.
-    async fn checkout(&self, server: &Server) -> Result<Connection, Outcome> {
+    async fn checkout(&self, server: &Server) -> Result<Connection, AttemptOutcome> {
         while let Some(connection) = self.take_idle(server) {
             if connection.good() {
                 return Ok(connection);
             }
         }
-        let permit = self.slot().await.ok_or(Outcome::NotSent)?;
+        let permit = self.slot().await.ok_or(AttemptOutcome::NotSent)?;
         let generation = server.generation.get();
         self.stats.count(|c| c.connects += 1);
         let connect = connect_despite_shortage(server.address.get());
@@ -467,15 +469,15 @@
             Ok(Ok(stream)) => stream,
             // The node's own shortage says nothing of the server.
             Ok(Err(error)) if transient_errors::is_shortage(&error) => {
-                return Err(Outcome::NotSent)
+                return Err(AttemptOutcome::NotSent)
             }
-            _ => return Err(Outcome::Unreachable),
+            _ => return Err(AttemptOutcome::ConnectFailed),
         };
         // Word may have come meanwhile that the server moved or restarted: what answers at the
         // address that it had is another's, or gone.
         if generation != server.generation.get() {
             self.stats.rules.withheld(Rule::Drain);
-            return Err(Outcome::NotSent);
+            return Err(AttemptOutcome::NotSent);
         }
         let _ = stream.set_nodelay(true);
         let (stream, more) = (Rc::new(stream), Rc::new(Cell::new(false)));
@@ -492,7 +494,7 @@
             .max_buf_size(MOST_BUFFERED)
             .handshake(TokioIo::new(gate))
             .await;
-        let (sender, connection) = made.map_err(|_| Outcome::Unreachable)?;
+        let (sender, connection) = made.map_err(|_| AttemptOutcome::ConnectFailed)?;
         let driver = tokio::task::spawn_local(drive(connection, permit)).abort_handle();
         Ok(Connection {
             sender,
@@ -596,7 +598,7 @@
         let (head, body) = request.into_parts();
         // What can't be sent again isn't.
         let Some(sending) = body.sending() else {
-            return Exchange::failed(Outcome::NotSent);
+            return Exchange::failed(AttemptOutcome::NotSent);
         };
         let limit = until.saturating_duration_since(Instant::now());
         let mut request = Request::from_parts(head, sending);
@@ -624,7 +626,7 @@
             // the writing.
             if check(None).is_err() {
                 self.give_back(server, connection).await;
-                return Exchange::failed(Outcome::NotSent);
+                return Exchange::failed(AttemptOutcome::NotSent);
             }
             let left = until.saturating_duration_since(reckoned);
             let left = HeaderValue::from_str(&format!("{}u", left.as_micros()));
@@ -641,10 +643,10 @@
             return match timeout_at(until, exchange).await {
                 Ok(exchange) => exchange,
                 Err(_) if progress.get() == Progress::Written => {
-                    Exchange::failed(Outcome::TimedOut)
+                    Exchange::failed(AttemptOutcome::TimedOut)
                 }
                 // It was still connecting: nothing of it can have run.
-                Err(_) => Exchange::failed(Outcome::Unreachable),
+                Err(_) => Exchange::failed(AttemptOutcome::ConnectFailed),
             };
         };
         // A server begins with a request's last byte: so does its time.
@@ -655,17 +657,19 @@
         let exchange = tokio::select! {
             biased;
             exchange = exchange => exchange,
-            () = over => Exchange::failed(Outcome::TimedOut),
-            () = upload.stalled() => Exchange::failed(Outcome::Broken),
+            () = over => Exchange::failed(AttemptOutcome::TimedOut),
+            () = upload.stalled() => Exchange::failed(AttemptOutcome::ConnectionReset),
         };
         match exchange.outcome {
             // Where the last byte was not written, nothing has run; and if that is the client's
             // doing, it says nothing of the server.
-            Outcome::Broken | Outcome::TimedOut if upload.problem().is_some() => {
-                Exchange::failed(Outcome::NotSent)
+            AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
+                if upload.problem().is_some() =>
+            {
+                Exchange::failed(AttemptOutcome::NotSent)
             }
-            Outcome::Broken if !upload.whole() => Exchange {
-                outcome: Outcome::Unreachable,
+            AttemptOutcome::ConnectionReset if !upload.whole() => Exchange {
+                outcome: AttemptOutcome::ConnectFailed,
                 ..exchange
             },
             _ => exchange,
@@ -687,7 +691,7 @@
         };
         timeout(limit, exchange)
             .await
-            .unwrap_or_else(|_| Exchange::failed(Outcome::TimedOut))
+            .unwrap_or_else(|_| Exchange::failed(AttemptOutcome::TimedOut))
     }
 
     async fn exchange(
@@ -699,17 +703,19 @@
         let response = match connection.sender.try_send_request(request).await {
             Ok(response) => response,
             // Nothing of it was written: that was not allowed any more.
-            Err(_) if connection.permit.refused.get() => return Exchange::failed(Outcome::NotSent),
+            Err(_) if connection.permit.refused.get() => {
+                return Exchange::failed(AttemptOutcome::NotSent)
+            }
             // Handed back unsent. Anything else may have reached the server, and may have run
             // there.
             Err(error) if error.message().is_some() => {
-                return Exchange::failed(Outcome::Unreachable)
+                return Exchange::failed(AttemptOutcome::ConnectFailed)
             }
             Err(error) => return Exchange::broken(error.error()),
         };
         let (head, mut body) = response.into_parts();
         let outcome = outcome(head.status, &head.headers);
-        let served = outcome == Outcome::Served;
+        let served = outcome == AttemptOutcome::Success;
         let mut held = BytesMut::new();
         let large = body
             .size_hint()
@@ -810,19 +816,19 @@
 }
 
 /// What an answer says of the request.
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
+fn outcome(status: StatusCode, headers: &HeaderMap) -> AttemptOutcome {
     let not_run = || {
         headers
             .get(NOT_PROCESSED)
             .is_some_and(|v| v.as_bytes() == b"1")
     };
     match status {
-        StatusCode::OK => Outcome::Served,
+        StatusCode::OK => AttemptOutcome::Success,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run() => {
-            Outcome::TurnedAway
+            AttemptOutcome::Rejected
         }
         // A 503 without the mark proves nothing.
-        _ => Outcome::Error,
+        _ => AttemptOutcome::ServerError,
     }
 }
 
@@ -845,9 +851,9 @@
 }
 
 /// A server's state by a list, under what operators have said of it.
-fn state(word: &Word, name: &str, listed: ServerState) -> ServerState {
+fn state(word: &Word, name: &str, listed: EndpointState) -> EndpointState {
     match listed {
-        ServerState::Ready if word.out.contains(name) => ServerState::Draining,
+        EndpointState::Active if word.out.contains(name) => EndpointState::Draining,
         listed => listed,
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,7 +12,8 @@
 //! the report value `errors_per_s`.
 
 use balancer::{
-    Class, Effect, Group, KindId, LoadReport, Reports, Rules, Settings, Tenant, ZoneId,
+    Idempotency, KeyScope, LoadReport, LoadReporting, MachineTypeId, ProtocolLimits, RequestClass,
+    Settings, Tenant, ZoneId,
 };
 use serde::Deserialize;
 use std::time::Duration;
@@ -51,11 +52,11 @@
     /// Writes the figure found at this position into a report.
     pub fn put(self, value: f64, report: &mut LoadReport) {
         match self {
-            Field::Utilization => report.busy = Some(value),
-            Field::Throughput => report.rate = Some(value),
-            Field::Backlog => report.waiting = Some(value),
-            Field::Outstanding => report.held = Some(value),
-            Field::RecentMs => report.service = Some(value / 1e3),
+            Field::Utilization => report.utilization = Some(value),
+            Field::Throughput => report.throughput = Some(value),
+            Field::Backlog => report.queue_depth = Some(value),
+            Field::Outstanding => report.in_flight = Some(value),
+            Field::RecentMs => report.service_time = Some(value / 1e3),
             Field::Other => {}
         }
     }
@@ -246,33 +247,33 @@
     })?;
     let fields: Vec<Field> = doc.report.fields.iter().map(|name| field(name)).collect();
     let ns = Duration::from_nanos;
-    let classes = doc.profiles.iter().map(|p| Class {
-        effect: match p.effect {
-            EffectDoc::Free => Effect::Safe,
-            EffectDoc::SingleShot => Effect::Unsafe,
-            EffectDoc::Guarded => Effect::Keyed {
-                group: match p.key_scope {
-                    Scope::All => Group::All,
-                    Scope::Zone => Group::Zone,
-                    Scope::Cell => Group::Cell,
+    let classes = doc.profiles.iter().map(|p| RequestClass {
+        idempotency: match p.effect {
+            EffectDoc::Free => Idempotency::Idempotent,
+            EffectDoc::SingleShot => Idempotency::NonIdempotent,
+            EffectDoc::Guarded => Idempotency::Keyed {
+                scope: match p.key_scope {
+                    Scope::All => KeyScope::All,
+                    Scope::Zone => KeyScope::Zone,
+                    Scope::Cell => KeyScope::Cell,
                 },
                 window: ns(p.repeat_window_ns),
             },
         },
-        aim: ns(p.promise_ns),
-        aim_stretch: p.aim_stretch,
+        latency_objective: ns(p.promise_ns),
+        objective_work_factor: p.aim_stretch,
         deadline: ns(p.deadline_ns),
-        worth: p.importance,
-        late_worth: p.late_worth,
-        streamed: p.streaming,
-        zones: p
+        priority_weight: p.importance,
+        late_weight: p.late_worth,
+        streaming: p.streaming,
+        allowed_zones: p
             .runs_in
             .as_ref()
             .map(|open| open.iter().map(|&z| ZoneId(z)).collect()),
-        kinds: p
+        allowed_machine_types: p
             .kinds_open
             .as_ref()
-            .map(|open| open.iter().map(|&k| KindId(k)).collect()),
+            .map(|open| open.iter().map(|&k| MachineTypeId(k)).collect()),
     });
     let settings = Settings {
         nodes: doc.balancers,
@@ -283,36 +284,37 @@
             .tenants
             .iter()
             .map(|t| Tenant {
-                quota_per_s: t.quota_per_s,
+                quota_per_second: t.quota_per_s,
             })
             .collect(),
-        over_share_worth: doc.over_share_worth,
-        worth_by_work: matches!(doc.worth_by, WorthBy::Work),
-        weights_given: !matches!(doc.weights, Weights::Silent),
-        reports: match doc.report.how {
-            How::Piggyback => Reports::WithAnswers,
-            How::Pull => Reports::ByProbe,
-            How::Silent => Reports::Absent,
+        over_quota_weight: doc.over_share_worth,
+        weight_per_work: matches!(doc.worth_by, WorthBy::Work),
+        endpoint_weights_given: !matches!(doc.weights, Weights::Silent),
+        load_reporting: match doc.report.how {
+            How::Piggyback => LoadReporting::WithResponses,
+            How::Pull => LoadReporting::OnProbe,
+            How::Silent => LoadReporting::Absent,
         },
-        reports_rate: fields.contains(&Field::Utilization) && fields.contains(&Field::Throughput),
-        list_on_request: matches!(doc.registry_mode, Mode::Subscribe),
+        throughput_reported: fields.contains(&Field::Utilization)
+            && fields.contains(&Field::Throughput),
+        polled_discovery: matches!(doc.registry_mode, Mode::Subscribe),
         max_attempts: doc.limits.try_limit,
-        may_cancel: doc.limits.may_cancel,
-        may_probe: doc.limits.may_probe,
-        second_copies: doc.limits.second_copies,
-        conn_idle: ns(doc.limits.conn_idle_ns),
+        cancellation_allowed: doc.limits.may_cancel,
+        load_probes_allowed: doc.limits.may_probe,
+        hedging_allowed: doc.limits.second_copies,
+        idle_timeout: ns(doc.limits.conn_idle_ns),
         connect_timeout: ns(doc.limits.connect_timeout_ns),
-        max_wait: doc
+        max_retry_after: doc
             .limits
             .retry_after
             .then(|| ns(doc.limits.max_retry_after_ns)),
-        rules: Rules {
+        protocol_limits: ProtocolLimits {
             drain_grace: ns(doc.rules.drain_grace_ns),
-            cold_from: doc.rules.cold_from,
-            warm_up: ns(doc.rules.warm_up_ns),
-            fall_multiple: doc.rules.fall_multiple,
-            fall_time: ns(doc.rules.overload_for_ns),
-            ask_within: ns(doc.rules.ask_every_ns),
+            slow_start_initial_capacity: doc.rules.cold_from,
+            slow_start_duration: ns(doc.rules.warm_up_ns),
+            overload_multiple: doc.rules.fall_multiple,
+            overload_duration: ns(doc.rules.overload_for_ns),
+            poll_interval_limit: ns(doc.rules.ask_every_ns),
         },
     };
     let names = Names {
