--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,8 +1,9 @@
 //! The simulator's binary frames: big-endian records of fixed size and one shared tail.
 
 use balancer::{
-    Action, Arrival, CellId, ClassId, Ended, Event, KindId, ListKind, LoadReport, Outcome, Probed,
-    RequestId, ServerEntry, ServerId, ServerState, TenantId, Time, TimerId, ZoneId,
+    Action, AttemptOutcome, AttemptResult, BackendId, CellId, ClassId, Endpoint, EndpointState,
+    Event, ListUpdate, LoadProbeResult, LoadReport, MachineTypeId, RequestArrival, RequestId,
+    TenantId, Time, TimerId, ZoneId,
 };
 use settings::Field;
 use std::time::Duration;
@@ -165,37 +166,37 @@
                 Record::Note
             }
             16 => Record::Event(self.list(at, r)?),
-            19 => Record::Event(Event::Arrival(Arrival {
+            19 => Record::Event(Event::RequestArrived(RequestArrival {
                 request: request(),
                 tenant: TenantId(int::<2>(r, 9) as u16),
                 class: ClassId(r[11]),
                 remaining: ns(20),
                 work: (r[36] & 1 != 0).then(|| ns(28)),
-                coming: false,
+                body_pending: false,
             })),
-            25 => Record::Event(Event::Begun {
+            25 => Record::Event(Event::ResponseStarted {
                 request: request(),
                 attempt: u32::from(r[9]),
                 latency: ns(14),
             }),
-            21 => Record::Event(Event::Ended(Ended {
+            21 => Record::Event(Event::AttemptEnded(AttemptResult {
                 request: request(),
                 attempt: u32::from(r[9]),
-                server: ServerId(int::<4>(r, 10) as u32),
+                backend: BackendId(int::<4>(r, 10) as u32),
                 outcome: outcome(at, int::<2>(r, 14))?,
                 latency: ns(16),
-                closed: r[24] != 0,
-                report: report(at, &r[25..42], fields)?,
+                request_closed: r[24] != 0,
+                load_report: report(at, &r[25..42], fields)?,
             })),
-            22 => Record::Event(Event::ClientGone { request: request() }),
-            17 => Record::Event(Event::Timer {
+            22 => Record::Event(Event::ClientDisconnected { request: request() }),
+            17 => Record::Event(Event::TimerFired {
                 timer: TimerId(int::<4>(r, 1) as u32),
             }),
-            20 => Record::Event(Event::Probed(Probed {
+            20 => Record::Event(Event::LoadProbeEnded(LoadProbeResult {
                 latency: ns(1),
-                server: ServerId(int::<4>(r, 9) as u32),
+                backend: BackendId(int::<4>(r, 9) as u32),
                 outcome: outcome(at, int::<2>(r, 13))?,
-                report: report(at, &r[15..32], fields)?,
+                load_report: report(at, &r[15..32], fields)?,
             })),
             code => return Err(WireError::Code { at, code }),
         })
@@ -218,10 +219,10 @@
 
     fn list(&self, at: usize, r: &[u8]) -> Result<Event, WireError> {
         let kind = match r[1] {
-            0 => ListKind::Cached,
-            1 => ListKind::Failed,
-            2 => ListKind::Changes,
-            3 => ListKind::Full,
+            0 => ListUpdate::Cached,
+            1 => ListUpdate::Failed,
+            2 => ListUpdate::Delta,
+            3 => ListUpdate::Snapshot,
             other => {
                 return Err(WireError::Value {
                     at,
@@ -233,15 +234,15 @@
         let lines = self.tail_slice(at, "entries", int::<4>(r, 10), int::<4>(r, 14), ENTRY)?;
         let mut entries = Vec::with_capacity(lines.len() / ENTRY);
         for e in lines.chunks_exact(ENTRY) {
-            entries.push(ServerEntry {
-                server: ServerId(int::<4>(e, 0) as u32),
+            entries.push(Endpoint {
+                backend: BackendId(int::<4>(e, 0) as u32),
                 zone: ZoneId(e[4]),
-                kind: KindId(e[5]),
+                machine_type: MachineTypeId(e[5]),
                 cell: CellId(int::<2>(e, 6) as u16),
                 state: match e[8] {
-                    0 => ServerState::Gone,
-                    1 => ServerState::Ready,
-                    2 => ServerState::Draining,
+                    0 => EndpointState::Removed,
+                    1 => EndpointState::Active,
+                    2 => EndpointState::Draining,
                     other => {
                         return Err(WireError::Value {
                             at,
@@ -251,23 +252,26 @@
                     }
                 },
                 weight: f64::from(f32::from_bits(int::<4>(e, 9) as u32)),
-                started: Some(int::<8>(e, 13)).filter(|t| *t > 0).map(Time),
+                started_at: Some(int::<8>(e, 13)).filter(|t| *t > 0).map(Time),
             });
         }
-        Ok(Event::List { kind, entries })
+        Ok(Event::EndpointList {
+            update: kind,
+            endpoints: entries,
+        })
     }
 }
 
-fn outcome(at: usize, code: u64) -> Result<Outcome, WireError> {
+fn outcome(at: usize, code: u64) -> Result<AttemptOutcome, WireError> {
     Ok(match code {
-        200 => Outcome::Served,
-        500 => Outcome::Error,
-        503 => Outcome::TurnedAway,
-        504 => Outcome::TimedOut,
-        502 => Outcome::Unreachable,
-        598 => Outcome::Broken,
-        499 => Outcome::Cancelled,
-        410 => Outcome::NotSent,
+        200 => AttemptOutcome::Success,
+        500 => AttemptOutcome::ServerError,
+        503 => AttemptOutcome::Rejected,
+        504 => AttemptOutcome::TimedOut,
+        502 => AttemptOutcome::ConnectFailed,
+        598 => AttemptOutcome::ConnectionReset,
+        499 => AttemptOutcome::Cancelled,
+        410 => AttemptOutcome::NotSent,
         value => {
             return Err(WireError::Value {
                 at,
@@ -346,10 +350,10 @@
     pub fn action(&mut self, action: &Action) {
         let ns = |d: &Option<Duration>| d.map_or(0, |d| d.as_nanos() as u64).to_be_bytes();
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 request,
-                server,
-                limit,
+                backend: server,
+                timeout: limit,
             } => self.record(
                 25,
                 &[
@@ -358,18 +362,24 @@
                     &ns(limit),
                 ],
             ),
-            Action::Refuse { request, wait, .. } => {
+            Action::Reject {
+                request,
+                retry_after: wait,
+                ..
+            } => {
                 self.record(21, &[&request.0.to_be_bytes(), &ns(wait)]);
             }
             Action::Fail { request, .. } => self.record(22, &[&request.0.to_be_bytes()]),
-            Action::Cancel { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 self.record(19, &[&request.0.to_be_bytes(), &[*attempt as u8]]);
             }
             Action::SetTimer { at, timer } => {
                 self.record(26, &[&at.0.to_be_bytes(), &timer.0.to_be_bytes()]);
             }
-            Action::Probe { server } => self.record(23, &[&server.0.to_be_bytes()]),
-            Action::Watch => self.record(20, &[&[1]]),
+            Action::SendLoadProbe { backend: server } => {
+                self.record(23, &[&server.0.to_be_bytes()])
+            }
+            Action::RefreshEndpointList => self.record(20, &[&[1]]),
             Action::Log(text) => self.text(27, text),
         }
     }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -89,7 +89,7 @@
         &[],
     )
     .unwrap();
-    let Event::Arrival(a) = e else {
+    let Event::RequestArrived(a) = e else {
         panic!("{e:?}")
     };
     assert_eq!(
@@ -104,17 +104,17 @@
         "15 00068b685d3a91c4 00 03124a07 00c8 00000000011a49a0 01 04 3f1eb852 430c0000 40400000 40e00000",
         &[],
     );
-    let Ok(Event::Ended(v)) = e else {
+    let Ok(Event::AttemptEnded(v)) = e else {
         panic!("{e:?}")
     };
     assert_eq!(
-        (v.attempt, v.server.0, v.outcome, v.closed),
-        (0, 0x0312_4a07, Outcome::Served, true)
+        (v.attempt, v.backend.0, v.outcome, v.request_closed),
+        (0, 0x0312_4a07, AttemptOutcome::Success, true)
     );
-    let report = v.report.unwrap();
-    assert!((report.busy.unwrap() - 0.62).abs() < 1e-6);
+    let report = v.load_report.unwrap();
+    assert!((report.utilization.unwrap() - 0.62).abs() < 1e-6);
     assert_eq!(
-        (report.rate, report.waiting, report.held),
+        (report.throughput, report.queue_depth, report.in_flight),
         (Some(140.0), Some(3.0), Some(7.0))
     );
     let e = one(
@@ -123,22 +123,22 @@
     )
     .unwrap();
     assert!(
-        matches!(e, Event::Probed(p) if p.server.0 == 0x2c90_11f2 && p.latency == Duration::from_micros(1400))
+        matches!(e, Event::LoadProbeEnded(p) if p.backend.0 == 0x2c90_11f2 && p.latency == Duration::from_micros(1400))
     );
     let e = one("19 00068b685d3a91c4 00 03124a07 00000000008d24d0", &[]).unwrap();
     assert!(
-        matches!(e, Event::Begun { attempt: 0, latency, .. } if latency == Duration::from_micros(9250))
+        matches!(e, Event::ResponseStarted { attempt: 0, latency, .. } if latency == Duration::from_micros(9250))
     );
     assert!(matches!(
         one("11 0000004d", &[]).unwrap(),
-        Event::Timer {
+        Event::TimerFired {
             timer: TimerId(0x4d)
         }
     ));
     let e = one("16 00058cb70e6f2b19", &[]).unwrap();
     assert!(matches!(
         e,
-        Event::ClientGone {
+        Event::ClientDisconnected {
             request: RequestId(0x0005_8cb7_0e6f_2b19)
         }
     ));
@@ -146,22 +146,25 @@
         "03124a07 00 00 0000 01 3f800000 0000000000000000 2c9011f2 01 02 0000 01 3fc00000 000000016b969d00",
     );
     let e = one("10 00 0000000000000029 00000000 00000002", &tail).unwrap();
-    let Event::List {
-        kind: ListKind::Cached,
-        entries,
+    let Event::EndpointList {
+        update: ListUpdate::Cached,
+        endpoints: entries,
     } = e
     else {
         panic!("{e:?}")
     };
     assert_eq!(
-        (entries.len(), entries[0].started, entries[1].started),
+        (entries.len(), entries[0].started_at, entries[1].started_at),
         (2, None, Some(Time(0x1_6b96_9d00)))
     );
     assert_eq!(
-        (entries[1].server.0, entries[1].zone.0, entries[1].weight),
+        (entries[1].backend.0, entries[1].zone.0, entries[1].weight),
         (0x2c90_11f2, 1, 1.5)
     );
-    assert_eq!((entries[0].kind, entries[1].kind), (KindId(0), KindId(2)));
+    assert_eq!(
+        (entries[0].machine_type, entries[1].machine_type),
+        (MachineTypeId(0), MachineTypeId(2))
+    );
     let f = frame(
         1,
         &[padded("17 00000002 00000000 00000004", EVENT)],
@@ -182,13 +185,13 @@
 fn actions_as_on_the_wire_page() {
     let mut r = Reply::default();
     let request = RequestId(0x0006_8b68_5d3a_91c4);
-    let (first, second) = (ServerId(0x0312_4a07), RequestId(0x0005_8cb7_0e6f_2b19));
+    let (first, second) = (BackendId(0x0312_4a07), RequestId(0x0005_8cb7_0e6f_2b19));
     let ns = Duration::from_nanos;
     r.on_behalf(3);
-    r.action(&Action::Send {
+    r.action(&Action::StartAttempt {
         request,
-        server: first,
-        limit: Some(Duration::from_millis(80)),
+        backend: first,
+        timeout: Some(Duration::from_millis(80)),
     });
     r.action(&Action::SetTimer {
         at: Time(0x2_1336_2490),
@@ -210,10 +213,10 @@
     want.extend(hex("74776f2073657276657273206b6e6f776e"));
     assert_eq!(r.frame(), want);
     for (action, bytes) in [
-        (Action::Watch, "14 01"),
-        (Action::Probe { server: first }, "17 03124a07"),
+        (Action::RefreshEndpointList, "14 01"),
+        (Action::SendLoadProbe { backend: first }, "17 03124a07"),
         (
-            Action::Cancel {
+            Action::CancelAttempt {
                 request,
                 attempt: 0,
             },
@@ -222,15 +225,15 @@
         (
             Action::Fail {
                 request: second,
-                reason: Reason::NoTime,
+                reason: GiveUpReason::InsufficientTime,
             },
             "16 00058cb70e6f2b19",
         ),
         (
-            Action::Refuse {
+            Action::Reject {
                 request: second,
-                wait: Some(ns(0x0ee6_b280)),
-                reason: Reason::Shed,
+                retry_after: Some(ns(0x0ee6_b280)),
+                reason: GiveUpReason::LoadShed,
             },
             "15 00058cb70e6f2b19 000000000ee6b280",
         ),
@@ -361,19 +364,25 @@
         ),
         (4, 1, 2)
     );
-    assert!(c.settings.reports_rate);
-    let keyed = Effect::Keyed {
-        group: Group::Cell,
+    assert!(c.settings.throughput_reported);
+    let keyed = Idempotency::Keyed {
+        scope: KeyScope::Cell,
         window: Duration::from_secs(3),
     };
-    assert_eq!(c.settings.classes[1].effect, keyed);
-    assert_eq!(c.settings.classes[1].kinds, Some(vec![KindId(1)]));
+    assert_eq!(c.settings.classes[1].idempotency, keyed);
+    assert_eq!(
+        c.settings.classes[1].allowed_machine_types,
+        Some(vec![MachineTypeId(1)])
+    );
     assert_eq!(
-        c.settings.classes[1].zones,
+        c.settings.classes[1].allowed_zones,
         Some(vec![ZoneId(0), ZoneId(1)])
     );
     assert_eq!(
-        (&c.settings.classes[0].kinds, &c.settings.classes[0].zones),
+        (
+            &c.settings.classes[0].allowed_machine_types,
+            &c.settings.classes[0].allowed_zones
+        ),
         (&None, &None)
     );
     let bad = |from: &str, to: &str| {
