--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,9 +1,9 @@
 //! The operators' side: a listener of its own, with places of its own, and the calls that it takes.
 
-use crate::downstream::listener::{accept_failed, discard, Phase, MOST_LINGERING};
+use crate::downstream::listener::{accept_failed, discard, ShutdownPhase, MOST_LINGERING};
 use crate::http1::head_filter::{self, Problem};
-use crate::operator_state::store::{Keeper, Word};
-use crate::requests::dispatcher::Engine;
+use crate::operator_state::store::{OperatorState, OperatorStateStore};
+use crate::requests::dispatcher::Dispatcher;
 use crate::socket::Socket;
 use bytes::BytesMut;
 use hyper::StatusCode;
@@ -31,10 +31,10 @@
 const LOGGED: usize = 128;
 
 /// See the module's own words.
-pub struct Console {
-    engine: Rc<Engine>,
-    phase: Rc<watch::Sender<Phase>>,
-    keeper: Rc<Keeper>,
+pub struct AdminServer {
+    engine: Rc<Dispatcher>,
+    phase: Rc<watch::Sender<ShutdownPhase>>,
+    keeper: Rc<OperatorStateStore>,
     warm_up: Duration,
     /// The latest look at what another process was told has failed.
     look_failed: Cell<bool>,
@@ -43,16 +43,16 @@
 /// What a call is answered with.
 type Reply = (StatusCode, &'static str);
 
-impl Console {
+impl AdminServer {
     /// For this node, which goes at once by what the keeper holds. Backends that were put back into
     /// use are warm after `warm_up`.
     pub fn new(
-        engine: Rc<Engine>,
-        phase: Rc<watch::Sender<Phase>>,
-        keeper: Rc<Keeper>,
+        engine: Rc<Dispatcher>,
+        phase: Rc<watch::Sender<ShutdownPhase>>,
+        keeper: Rc<OperatorStateStore>,
         warm_up: Duration,
     ) -> Rc<Self> {
-        let console = Rc::new(Console {
+        let console = Rc::new(AdminServer {
             engine,
             phase,
             keeper,
@@ -70,7 +70,7 @@
         let warm = |name: &String| self.engine.warmed_up(name, self.warm_up);
         let settled = self.keeper.word().returned.keys().any(warm);
         if settled && self.keeper.may_write() {
-            let forget = |word: &mut Word| word.returned.retain(|name, _| !warm(name));
+            let forget = |word: &mut OperatorState| word.returned.retain(|name, _| !warm(name));
             if let Err(error) = self.keeper.change(forget).await {
                 self.engine.log(format_args!("{error}"));
             }
@@ -96,21 +96,21 @@
     /// Puts the operators' word in force.
     fn apply(&self) {
         let word = self.keeper.word();
-        self.engine.heed(&word);
+        self.engine.apply_operator_state(&word);
         self.phase.send_if_modified(|phase| {
             let drained = if word.draining {
-                Phase::Draining
+                ShutdownPhase::Draining
             } else {
-                Phase::Serving
+                ShutdownPhase::Serving
             };
-            let turns = *phase <= Phase::Draining && *phase != drained;
+            let turns = *phase <= ShutdownPhase::Draining && *phase != drained;
             *phase = if turns { drained } else { *phase };
             turns
         });
     }
 
     /// Changes the operators' word, for every process of this node, and puts it in force.
-    async fn say<T>(&self, change: impl FnOnce(&mut Word) -> T) -> Result<T, Reply> {
+    async fn say<T>(&self, change: impl FnOnce(&mut OperatorState) -> T) -> Result<T, Reply> {
         match self.keeper.change(change).await {
             Ok(said) => {
                 self.apply();
@@ -190,15 +190,15 @@
             .and_then(|rest| rest.rsplit_once('/'));
         Ok(match (method, path, backend) {
             ("GET", "/healthcheck", _) => match *self.phase.borrow() {
-                Phase::Serving | Phase::Draining if !self.engine.ready() => {
+                ShutdownPhase::Serving | ShutdownPhase::Draining if !self.engine.ready() => {
                     (StatusCode::SERVICE_UNAVAILABLE, "no list of backends")
                 }
-                Phase::Serving => (StatusCode::OK, "ready"),
-                Phase::Draining => (StatusCode::OK, "ready, draining"),
+                ShutdownPhase::Serving => (StatusCode::OK, "ready"),
+                ShutdownPhase::Draining => (StatusCode::OK, "ready, draining"),
                 _ => (StatusCode::SERVICE_UNAVAILABLE, "leaving"),
             },
             ("POST", "/healthcheck/fail" | "/healthcheck/ok", _) => {
-                if *self.phase.borrow() > Phase::Draining {
+                if *self.phase.borrow() > ShutdownPhase::Draining {
                     return Err((StatusCode::CONFLICT, "the process is leaving"));
                 }
                 let draining = path == "/healthcheck/fail";
@@ -210,7 +210,7 @@
             }
             ("POST", _, Some((id, "maint"))) => {
                 let known = self.engine.knows(id);
-                let out = |word: &mut Word| {
+                let out = |word: &mut OperatorState| {
                     let known = known || word.out.contains(id);
                     known.then(|| word.out.insert(id.to_owned())).is_some()
                 };
@@ -218,7 +218,7 @@
             }
             ("POST", _, Some((id, "ready"))) => {
                 let known = self.engine.knows(id);
-                let back = |word: &mut Word| {
+                let back = |word: &mut OperatorState| {
                     if word.out.remove(id) {
                         word.mark_returned(id, SystemTime::now());
                         true
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start: the `GW_*` variables and the JSON file that one of them names.
 
-use crate::discovery::client::ServerList;
+use crate::discovery::client::EndpointList;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -84,7 +84,7 @@
     /// Memory that it may use, in bytes.
     pub memory: usize,
     /// The servers as last known, if they are.
-    pub known: Option<ServerList>,
+    pub known: Option<EndpointList>,
     /// The site's settings.
     pub site: settings::Config,
 }
@@ -99,7 +99,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<ServerList>,
+    known: Option<EndpointList>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,6 +1,6 @@
 //! The list of servers: its form on the wire, and the watch that follows its changes.
 
-use crate::requests::dispatcher::Engine;
+use crate::requests::dispatcher::Dispatcher;
 use crate::socket::Socket;
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -43,18 +43,18 @@
 
 /// Servers, all of them or those that have changed.
 #[derive(Debug, Deserialize)]
-pub struct ServerList {
+pub struct EndpointList {
     /// Version of the list.
     pub revision: u64,
     /// Whether those not named are gone.
     pub complete: bool,
     /// The servers.
-    pub members: Vec<Member>,
+    pub members: Vec<ListedEndpoint>,
 }
 
 /// One server, as discovery describes it.
 #[derive(Debug, Deserialize)]
-pub struct Member {
+pub struct ListedEndpoint {
     /// Its name, the same at every node.
     pub id: String,
     /// Where it listens. One that has left needs none.
@@ -69,7 +69,7 @@
     #[serde(default)]
     pub cell: u16,
     /// What it takes.
-    pub phase: Phase,
+    pub phase: EndpointPhase,
     /// Its weight.
     #[serde(default = "one")]
     pub size: f64,
@@ -78,7 +78,7 @@
     pub up_since_ms: u64,
 }
 
-impl Member {
+impl ListedEndpoint {
     /// Its latest start in Unix time; zero for long ago.
     pub fn stamp(&self) -> Duration {
         Duration::from_millis(self.up_since_ms)
@@ -92,7 +92,7 @@
 /// What a server takes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Phase {
+pub enum EndpointPhase {
     /// New requests.
     Active,
     /// Nothing new.
@@ -133,7 +133,7 @@
 
 /// Takes a stream of JSON objects apart, however it is cut and indented.
 #[derive(Default)]
-struct Documents {
+struct JsonLineDecoder {
     held: BytesMut,
     /// So much of it was looked at ...
     searched: usize,
@@ -146,7 +146,7 @@
     sound: usize,
 }
 
-impl Documents {
+impl JsonLineDecoder {
     /// Whether one has begun.
     fn begun(&self) -> bool {
         self.depth > 0
@@ -216,15 +216,15 @@
     }
 }
 
-impl ServerList {
+impl EndpointList {
     /// Reads one list.
     pub fn parse(line: &[u8]) -> Result<Self, WatchError> {
-        let list: ServerList =
+        let list: EndpointList =
             serde_json::from_slice(line).map_err(|e| WatchError::BadLine(e.to_string()))?;
         match list
             .members
             .iter()
-            .find(|m| m.host_port.is_none() && m.phase != Phase::Left)
+            .find(|m| m.host_port.is_none() && m.phase != EndpointPhase::Left)
         {
             Some(m) => Err(WatchError::BadLine(format!("{} has no host_port", m.id))),
             None => Ok(list),
@@ -234,7 +234,7 @@
 
 /// Keeps a watch open for good, for sites where lists are pushed. Ends once the list is to be had
 /// elsewhere.
-pub async fn follow(engine: Rc<Engine>, address: SocketAddr) {
+pub async fn follow(engine: Rc<Dispatcher>, address: SocketAddr) {
     let (mut pause, mut opening) = (PAUSE[0], OPENING_PUSHED);
     loop {
         let (before, began) = (engine.watches(), Instant::now());
@@ -271,22 +271,22 @@
 }
 
 /// The same for one watch, where the balancer asks for it.
-pub async fn watch_once(engine: &Rc<Engine>, address: SocketAddr) -> WatchError {
+pub async fn watch_once(engine: &Rc<Dispatcher>, address: SocketAddr) -> WatchError {
     watch(engine, address, OPENING).await
 }
 
 /// Opens one watch from the version held on, which may take so long, and hands on what it brings
 /// until it ends.
-async fn watch(engine: &Rc<Engine>, address: SocketAddr, opening: Duration) -> WatchError {
+async fn watch(engine: &Rc<Dispatcher>, address: SocketAddr, opening: Duration) -> WatchError {
     if engine.needs_whole_list() {
         // The version held comes from another address and may mean anything here, also one that is
         // newer.
-        let call = Call::new(engine, address, OPENING);
+        let call = DiscoveryCall::new(engine, address, OPENING);
         if let Err(error) = call.clone().hear(fetch(call)).await {
             return error;
         }
     }
-    let call = Call::new(engine, address, opening);
+    let call = DiscoveryCall::new(engine, address, opening);
     match call.clone().hear(run_watch(call)).await {
         Ok(()) => WatchError::Ended,
         Err(error) => error,
@@ -295,8 +295,8 @@
 
 /// One call to discovery, and how long it may still be silent.
 #[derive(Clone)]
-struct Call {
-    engine: Rc<Engine>,
+struct DiscoveryCall {
+    engine: Rc<Dispatcher>,
     address: SocketAddr,
     /// By when it has to say something.
     silent_until: Rc<Cell<Instant>>,
@@ -304,10 +304,10 @@
     given_up: Rc<Cell<bool>>,
 }
 
-impl Call {
-    fn new(engine: &Rc<Engine>, address: SocketAddr, patience: Duration) -> Self {
+impl DiscoveryCall {
+    fn new(engine: &Rc<Dispatcher>, address: SocketAddr, patience: Duration) -> Self {
         let silent_until = Rc::new(Cell::new(Instant::now() + patience));
-        Call {
+        DiscoveryCall {
             engine: engine.clone(),
             address,
             silent_until,
@@ -321,7 +321,7 @@
     }
 
     /// Hands on a list.
-    fn tell(&self, list: &ServerList) {
+    fn tell(&self, list: &EndpointList) {
         // Of a call that was given up only what is not older than all that was heard since counts.
         // A whole list of the same version may name fewer: it leaves out what drains.
         let awaited = self.engine.needs_whole_list() && list.complete;
@@ -395,7 +395,7 @@
 }
 
 /// Asks for the whole list, once.
-async fn fetch(call: Call) -> Result<(), WatchError> {
+async fn fetch(call: DiscoveryCall) -> Result<(), WatchError> {
     let (mut sender, connection) =
         http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
     let dialogue = async {
@@ -406,7 +406,7 @@
         let body = Limited::new(response.into_body(), LONGEST_LINE)
             .collect()
             .await;
-        let list = ServerList::parse(
+        let list = EndpointList::parse(
             &body
                 .map_err(|e| WatchError::BadLine(e.to_string()))?
                 .to_bytes(),
@@ -420,7 +420,7 @@
     converse(connection, dialogue).await
 }
 
-async fn run_watch(call: Call) -> Result<(), WatchError> {
+async fn run_watch(call: DiscoveryCall) -> Result<(), WatchError> {
     let (mut sender, connection) =
         http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
     // The connection is driven here, so that nothing of it outlives the watch.
@@ -435,7 +435,7 @@
             call.engine.watching();
         }
         let mut body = response.into_body();
-        let mut held = Documents::default();
+        let mut held = JsonLineDecoder::default();
         call.has_spoken();
         // A machine that vanishes leaves its connections open and silent: only the clock tells. So
         // it does of a list that has begun and does not end, whatever else comes.
@@ -450,7 +450,7 @@
             // After a bad one the next may rest on what it said: a new watch starts from the last
             // good one.
             while let Some(document) = held.next()? {
-                call.tell(&ServerList::parse(&document)?);
+                call.tell(&EndpointList::parse(&document)?);
                 call.has_spoken();
             }
         }
--- a/crates/proxy/src/discovery/client_tests.rs
+++ b/crates/proxy/src/discovery/client_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn taken(parts: &[&[u8]]) -> Result<Vec<String>, String> {
-    let (mut documents, mut all) = (Documents::default(), Vec::new());
+    let (mut documents, mut all) = (JsonLineDecoder::default(), Vec::new());
     for part in parts {
         documents.extend(part);
         while let Some(document) = documents.next().map_err(|e| e.to_string())? {
@@ -63,7 +63,7 @@
 fn a_list_that_is_cut_inside_a_number_is_no_bad_line() {
     let list = br#"{"revision":1,"complete":true,"members":[{"id":"s","host_port":"127.0.0.1:1","phase":"active","size":1.25e-1}]}"#;
     for cut in 1..list.len() {
-        let mut documents = Documents::default();
+        let mut documents = JsonLineDecoder::default();
         documents.extend(&list[..cut]);
         assert!(matches!(documents.next(), Ok(None)), "cut at {cut}");
         documents.extend(&list[cut..]);
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,13 +1,15 @@
 //! The clients' side: takes connections and requests, checks them, and writes the final answers.
 
-use crate::http1::head_filter::{self, Gate, Guard, Head, Next, Problem, MOST_BODY};
-use crate::http1::streaming::{hold, BodyError, Outgoing, Upload, STALL};
-use crate::metrics::Stats;
-use crate::requests::dispatcher::{Answer, Engine, Incoming};
-use crate::resizable_semaphore::Places;
-use crate::send_invariants::{self, Rule};
+use crate::http1::head_filter::{
+    self, Expected, Head, HeadFilter, MessagePolicy, Problem, MOST_BODY,
+};
+use crate::http1::streaming::{buffer_body, BodyError, RequestBody, Upload, STALL};
+use crate::metrics::Metrics;
+use crate::requests::dispatcher::{Dispatcher, FinalResponse, ForwardRequest};
+use crate::resizable_semaphore::ResizableSemaphore;
+use crate::send_invariants::{self, Invariant};
 use crate::transient_errors;
-use crate::upstream::backend_registry::{AnswerBody, MOST_BUFFERED};
+use crate::upstream::backend_registry::{ResponseBody, MOST_BUFFERED};
 use balancer::{ClassId, Idempotency, TenantId};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body as _, Frame, Incoming as Body, SizeHint};
@@ -96,7 +98,7 @@
 
 /// How far the node's end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// It serves.
     Serving,
     /// It serves, and asks clients to go elsewhere until the drain ends.
@@ -110,23 +112,23 @@
 }
 
 /// What a connection needs to know.
-pub struct Frontend {
-    engine: Rc<Engine>,
+pub struct Listener {
+    engine: Rc<Dispatcher>,
     effects: Vec<Idempotency>,
-    phase: watch::Receiver<Phase>,
-    slots: Places,
+    phase: watch::Receiver<ShutdownPhase>,
+    slots: ResizableSemaphore,
     /// A connection has ended.
     ended: Notify,
     /// Connections may have come since then.
     listening_since: Instant,
-    clients: RefCell<FxHashMap<u64, Rc<Client>>>,
+    clients: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
     next_client: Cell<u64>,
 }
 
 /// One connection.
-struct Client {
+struct ClientConnection {
     socket: Rc<TcpStream>,
-    stage: Cell<Stage>,
+    stage: Cell<ConnectionState>,
     since: Cell<Instant>,
     /// Why the head under way is turned down, once it is.
     problem: Cell<Option<Problem>>,
@@ -142,13 +144,13 @@
     /// Since when the connection may have waited to be accepted, if bytes had come on it by then.
     waiting_since: Cell<Option<Instant>>,
     /// Where it stood when it was to close.
-    left: Cell<Stage>,
+    left: Cell<ConnectionState>,
     wake: Notify,
 }
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum ConnectionState {
     /// Nothing has come yet.
     New,
     /// A head has begun: since the connecting on the first request, since its first bytes on
@@ -159,7 +161,7 @@
     /// A request is in hand.
     Busy,
     /// A large answer is passed on, and something of it was taken at last then.
-    Passing,
+    StreamingResponse,
     /// It waits for the next request.
     Idle,
     /// It is to close.
@@ -168,19 +170,19 @@
     Gone,
 }
 
-impl Stage {
+impl ConnectionState {
     /// For the counters: what went for others.
     fn evicted(self) -> &'static str {
         match self {
-            Stage::New => "for places: nothing came",
-            Stage::Head | Stage::Late => "for places: a head under way",
+            ConnectionState::New => "for places: nothing came",
+            ConnectionState::Head | ConnectionState::Late => "for places: a head under way",
             _ => "for places: idle",
         }
     }
 }
 
-impl Client {
-    fn enter(&self, stage: Stage) {
+impl ClientConnection {
+    fn enter(&self, stage: ConnectionState) {
         self.stage.set(stage);
         self.since.set(Instant::now());
     }
@@ -192,64 +194,78 @@
     /// Whether it may be closed for others that need its place.
     fn in_the_way(&self) -> bool {
         let least = match self.stage.get() {
-            Stage::New => FIRST_LEAST,
-            Stage::Head | Stage::Late => HEAD_LEAST,
-            Stage::Idle => IDLE_LEAST,
-            Stage::Busy | Stage::Passing | Stage::Leaving | Stage::Gone => return false,
+            ConnectionState::New => FIRST_LEAST,
+            ConnectionState::Head | ConnectionState::Late => HEAD_LEAST,
+            ConnectionState::Idle => IDLE_LEAST,
+            ConnectionState::Busy
+            | ConnectionState::StreamingResponse
+            | ConnectionState::Leaving
+            | ConnectionState::Gone => return false,
         };
         self.age() >= least && self.may_close().is_ok()
     }
 
     /// Whether the rules let it be closed at this moment for having nothing to say.
-    fn may_close(&self) -> Result<(), Rule> {
-        let in_hand = matches!(self.stage.get(), Stage::Busy | Stage::Passing);
+    fn may_close(&self) -> Result<(), Invariant> {
+        let in_hand = matches!(
+            self.stage.get(),
+            ConnectionState::Busy | ConnectionState::StreamingResponse
+        );
         send_invariants::may_close(in_hand, !head_filter::quiet(&self.socket))
     }
 
     fn leave(&self) {
         self.left.set(self.stage.get());
-        self.enter(Stage::Leaving);
+        self.enter(ConnectionState::Leaving);
         self.wake.notify_one();
     }
 
     /// Whether bytes have come since it was to close for having nothing to say.
     fn crossed(&self) -> bool {
-        matches!(self.left.get(), Stage::New | Stage::Head | Stage::Idle)
-            && self.may_close().is_err()
+        matches!(
+            self.left.get(),
+            ConnectionState::New | ConnectionState::Head | ConnectionState::Idle
+        ) && self.may_close().is_err()
     }
 
     /// Ends what has taken too long.
-    fn sweep(&self, phase: Phase, stats: &Stats) {
+    fn sweep(&self, phase: ShutdownPhase, stats: &Metrics) {
         let (stage, age) = (self.stage.get(), self.age());
         // In a drain each answer says to close: who is idle has been so since before.
         let idle = match phase {
-            Phase::Serving => IDLE,
-            Phase::Draining | Phase::Leaving | Phase::HandingOver => IDLE_LEAST,
-            Phase::Closing => Duration::ZERO,
+            ShutdownPhase::Serving => IDLE,
+            ShutdownPhase::Draining | ShutdownPhase::Leaving | ShutdownPhase::HandingOver => {
+                IDLE_LEAST
+            }
+            ShutdownPhase::Closing => Duration::ZERO,
         };
         match stage {
             // What comes with a connection needs a moment. A request that has begun is answered,
             // and told to close.
-            Stage::New
-                if phase == Phase::Closing && age >= LAST_CHANCE && self.may_close().is_ok() =>
+            ConnectionState::New
+                if phase == ShutdownPhase::Closing
+                    && age >= LAST_CHANCE
+                    && self.may_close().is_ok() =>
             {
                 self.leave();
             }
             // Never one on which a request has come that was not read yet.
-            Stage::New if age >= FIRST => {
+            ConnectionState::New if age >= FIRST => {
                 stats.turned_down("nothing came");
                 self.leave();
             }
             // Who has closed waits for nothing. Hyper sees that only where nothing stands before
             // it.
-            Stage::Busy | Stage::Passing if head_filter::left(&self.socket) => {
-                self.stage.set(Stage::Gone);
+            ConnectionState::Busy | ConnectionState::StreamingResponse
+                if head_filter::left(&self.socket) =>
+            {
+                self.stage.set(ConnectionState::Gone);
                 self.wake.notify_one();
             }
-            Stage::Passing if age >= STALL => self.leave(),
-            Stage::Idle if age >= idle && self.may_close().is_ok() => self.leave(),
-            Stage::Head if age >= FIRST => {
-                self.stage.set(Stage::Late);
+            ConnectionState::StreamingResponse if age >= STALL => self.leave(),
+            ConnectionState::Idle if age >= idle && self.may_close().is_ok() => self.leave(),
+            ConnectionState::Head if age >= FIRST => {
+                self.stage.set(ConnectionState::Late);
                 self.wake.notify_one();
             }
             _ => {}
@@ -261,24 +277,30 @@
 /// connection. No client can send one of this method.
 const TURNED_DOWN: &str = "TURNED-DOWN";
 
-impl Guard for Rc<Client> {
-    const BETWEEN: Next = Next::Head;
+impl MessagePolicy for Rc<ClientConnection> {
+    const BETWEEN: Expected = Expected::Head;
 
     fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
         head_filter::request_head(bytes)
     }
 
-    fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
+    fn reject(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
         self.problem.set(Some(problem));
         Ok(b"TURNED-DOWN / HTTP/1.1\r\n\r\n")
     }
 
     fn begun(&self) -> Result<(), Problem> {
         match self.stage.get() {
-            Stage::New => self.stage.set(Stage::Head),
-            Stage::Idle => self.enter(Stage::Head),
-            Stage::Late => return Err((StatusCode::REQUEST_TIMEOUT, "the head took too long")),
-            Stage::Head | Stage::Busy | Stage::Passing | Stage::Leaving | Stage::Gone => {}
+            ConnectionState::New => self.stage.set(ConnectionState::Head),
+            ConnectionState::Idle => self.enter(ConnectionState::Head),
+            ConnectionState::Late => {
+                return Err((StatusCode::REQUEST_TIMEOUT, "the head took too long"))
+            }
+            ConnectionState::Head
+            | ConnectionState::Busy
+            | ConnectionState::StreamingResponse
+            | ConnectionState::Leaving
+            | ConnectionState::Gone => {}
         }
         Ok(())
     }
@@ -297,20 +319,20 @@
     }
 }
 
-impl Frontend {
+impl Listener {
     /// Takes at most `connections` at a time. They may have been made since `listening_since`.
     pub fn new(
-        engine: Rc<Engine>,
+        engine: Rc<Dispatcher>,
         effects: Vec<Idempotency>,
         connections: usize,
         listening_since: Instant,
-        phase: watch::Receiver<Phase>,
+        phase: watch::Receiver<ShutdownPhase>,
     ) -> Rc<Self> {
-        Rc::new(Frontend {
+        Rc::new(Listener {
             engine,
             effects,
             phase,
-            slots: Places::new(connections),
+            slots: ResizableSemaphore::new(connections),
             ended: Notify::new(),
             listening_since,
             clients: RefCell::default(),
@@ -336,12 +358,12 @@
         let mut phase = self.phase.clone();
         let mut closing = std::pin::pin!(async move {
             let ending = phase
-                .wait_for(|p| *p >= Phase::HandingOver)
+                .wait_for(|p| *p >= ShutdownPhase::HandingOver)
                 .await
-                .map_or(Phase::Closing, |p| *p);
+                .map_or(ShutdownPhase::Closing, |p| *p);
             // Whose request crosses the closing of an idle connection comes again, and finds a
             // listener.
-            if ending == Phase::Closing {
+            if ending == ShutdownPhase::Closing {
                 tokio::time::sleep(LAST_CHANCE).await;
             }
         });
@@ -351,7 +373,7 @@
             // requests, and would be lost with the socket. One that is handed over lives on, and so
             // does its queue.
             let permit = self.slot().await;
-            if *self.phase.borrow() == Phase::HandingOver {
+            if *self.phase.borrow() == ShutdownPhase::HandingOver {
                 break;
             }
             tokio::select! {
@@ -376,8 +398,12 @@
 
     /// Whether a request is in hand, or an answer on its way.
     pub fn in_hand(&self) -> bool {
-        let busy =
-            |c: &Rc<Client>| matches!(c.stage.get(), Stage::Head | Stage::Busy | Stage::Passing);
+        let busy = |c: &Rc<ClientConnection>| {
+            matches!(
+                c.stage.get(),
+                ConnectionState::Head | ConnectionState::Busy | ConnectionState::StreamingResponse
+            )
+        };
         self.clients.borrow().values().any(busy)
     }
 
@@ -430,9 +456,9 @@
         let _ = stream.set_nodelay(true);
         let came_with_it = !head_filter::quiet(&stream);
         self.engine.stats().count(|c| c.accepted += 1);
-        let client = Rc::new(Client {
+        let client = Rc::new(ClientConnection {
             socket: Rc::new(stream),
-            stage: Cell::new(Stage::New),
+            stage: Cell::new(ConnectionState::New),
             since: Cell::new(Instant::now()),
             problem: Cell::new(None),
             malformed: Cell::new(false),
@@ -440,7 +466,7 @@
             taken: Cell::new(false),
             whole_at: Cell::new(None),
             waiting_since: Cell::new(came_with_it.then_some(waiting_since)),
-            left: Cell::new(Stage::New),
+            left: Cell::new(ConnectionState::New),
             wake: Notify::new(),
         });
         let id = self.next_client.replace(self.next_client.get() + 1);
@@ -455,10 +481,10 @@
         });
     }
 
-    async fn serve_connection(self: &Rc<Self>, client: &Rc<Client>) {
+    async fn serve_connection(self: &Rc<Self>, client: &Rc<ClientConnection>) {
         let service = service_fn(|request: Request<Body>| async {
             let since = client.since.get();
-            client.enter(Stage::Busy);
+            client.enter(ConnectionState::Busy);
             let mut response = match client.problem.get() {
                 Some((status, why)) if request.method() == TURNED_DOWN => turned_down(status, why),
                 _ => {
@@ -476,16 +502,16 @@
                 .extensions()
                 .get()
                 .iter()
-                .for_each(|why: &&TurnedDown| self.engine.stats().turned_down(why.0));
+                .for_each(|why: &&RejectedRequest| self.engine.stats().turned_down(why.0));
             // A client that is told to close goes elsewhere next. Where places run short each is:
             // many ask once and keep their connection, and until those may be closed nobody else
             // would get in.
-            if *self.phase.borrow() > Phase::Serving || self.scarce() {
+            if *self.phase.borrow() > ShutdownPhase::Serving || self.scarce() {
                 self.engine.stats().count(|c| c.told_to_close += 1);
                 close(&mut response);
             }
-            if let AnswerBody::Passing(_) = response.body().body {
-                client.enter(Stage::Passing);
+            if let ResponseBody::StreamingResponse(_) = response.body().body {
+                client.enter(ConnectionState::StreamingResponse);
                 let _ = SockRef::from(&*client.socket).set_send_buffer_size(SEND_BUFFER);
             }
             response.body_mut().client = Some(client.clone());
@@ -496,7 +522,7 @@
             .header_read_timeout(None)
             .max_buf_size(MOST_BUFFERED)
             .serve_connection(
-                TokioIo::new(Gate::new(client.socket.clone(), client.clone())),
+                TokioIo::new(HeadFilter::new(client.socket.clone(), client.clone())),
                 service,
             );
         let mut connection = std::pin::pin!(connection);
@@ -506,12 +532,12 @@
                 _ = connection.as_mut() => break, // Its errors are the client's: it left or spoke no HTTP.
                 () = client.wake.notified() => {}
             }
-            if client.stage.get() == Stage::Gone {
+            if client.stage.get() == ConnectionState::Gone {
                 return;
             }
-            if client.stage.get() == Stage::Leaving {
+            if client.stage.get() == ConnectionState::Leaving {
                 if client.crossed() {
-                    self.engine.stats().rules.withheld(Rule::Close);
+                    self.engine.stats().rules.withheld(Invariant::Close);
                     client.stage.set(client.left.get());
                     continue;
                 }
@@ -519,7 +545,10 @@
                 // Its last answer may still be on its way. A request that was read meanwhile is
                 // answered.
                 while timeout(LAST_WRITES, connection.as_mut()).await.is_err()
-                    && matches!(client.stage.get(), Stage::Busy | Stage::Passing)
+                    && matches!(
+                        client.stage.get(),
+                        ConnectionState::Busy | ConnectionState::StreamingResponse
+                    )
                 {}
                 break;
             }
@@ -540,11 +569,11 @@
         &self,
         request: Request<Body>,
         since: Instant,
-        client: &Client,
+        client: &ClientConnection,
     ) -> Response<ClientBody> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/health/ready") => {
-                let ready = self.engine.ready() && *self.phase.borrow() == Phase::Serving;
+                let ready = self.engine.ready() && *self.phase.borrow() == ShutdownPhase::Serving;
                 return plain(
                     if ready {
                         StatusCode::OK
@@ -570,7 +599,7 @@
         let whole = loop {
             let by = since + WHOLE + Duration::from_secs_f64(held.len() as f64 / LEAST_RATE);
             let before = held.len();
-            match timeout_at(by, hold(&mut held, &mut body)).await {
+            match timeout_at(by, buffer_body(&mut held, &mut body)).await {
                 Ok(Ok(whole)) => break whole,
                 Ok(Err(_)) => return turned_down(StatusCode::BAD_REQUEST, "the body is not whole"),
                 Err(_) if held.len() > before => {}
@@ -587,24 +616,30 @@
             .unwrap()
             .saturating_sub(whole_at.elapsed());
         let (body, due) = if whole {
-            (Outgoing::Whole(held.freeze()), Instant::now() + remaining)
+            (
+                RequestBody::Whole(held.freeze()),
+                Instant::now() + remaining,
+            )
         } else {
             let upload = Upload::new(held.freeze(), body, length);
-            (Outgoing::Passing(upload), Instant::now() + LONGEST_WAIT)
+            (
+                RequestBody::StreamingResponse(upload),
+                Instant::now() + LONGEST_WAIT,
+            )
         };
         let upload = body.upload().cloned();
         let mut outgoing = Request::new(body);
         *outgoing.method_mut() = parts.method;
         *outgoing.uri_mut() = order.target;
         *outgoing.headers_mut() = end_to_end(parts.headers);
-        let Order {
+        let RequestHead {
             class,
             tenant,
             work,
             id,
             ..
         } = order;
-        let taken = self.engine.arrival(Incoming {
+        let taken = self.engine.arrival(ForwardRequest {
             class,
             tenant,
             work,
@@ -642,13 +677,13 @@
             }
         }
         let mut response = match answer {
-            Answer::Served(response) => {
+            FinalResponse::Served(response) => {
                 let (head, body) = response.into_parts();
                 let mut response = Response::new(ClientBody { body, client: None });
                 *response.headers_mut() = end_to_end(head.headers);
                 response
             }
-            Answer::Refused(wait) => {
+            FinalResponse::Refused(wait) => {
                 let mut response = plain(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "refused: trying again is harmless",
@@ -660,7 +695,7 @@
                 }
                 response
             }
-            Answer::Failed => plain(
+            FinalResponse::Failed => plain(
                 StatusCode::GATEWAY_TIMEOUT,
                 "failed: the request may have been carried out",
             ),
@@ -672,7 +707,12 @@
     }
 
     /// Reads what a request's head says of it, or why it is turned down.
-    fn read_head(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Result<Order, Problem> {
+    fn read_head(
+        &self,
+        method: &Method,
+        uri: &Uri,
+        headers: &HeaderMap,
+    ) -> Result<RequestHead, Problem> {
         let bad = |why| (StatusCode::BAD_REQUEST, why);
         let names = self.engine.names();
         let class = uri
@@ -736,7 +776,7 @@
             Some(Ok(us)) if (0.0..1e12).contains(&us) => Some(Duration::from_secs_f64(us / 1e6)),
             Some(_) => return Err(bad("X-Cost makes no sense")),
         };
-        Ok(Order {
+        Ok(RequestHead {
             class: ClassId(u8::try_from(class).map_err(|_| bad("unknown class of requests"))?),
             tenant: TenantId(u16::try_from(tenant).map_err(|_| bad("unknown tenant"))?),
             work,
@@ -748,7 +788,7 @@
 }
 
 /// What a request's head says.
-struct Order {
+struct RequestHead {
     class: ClassId,
     tenant: TenantId,
     work: Option<Duration>,
@@ -759,8 +799,8 @@
 
 /// What goes to a client. Once it is gone the connection waits for the next request.
 struct ClientBody {
-    body: AnswerBody,
-    client: Option<Rc<Client>>,
+    body: ResponseBody,
+    client: Option<Rc<ClientConnection>>,
 }
 
 impl hyper::body::Body for ClientBody {
@@ -773,9 +813,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let me = self.get_mut();
         match &mut me.body {
-            AnswerBody::Whole(body) if body.is_empty() => Poll::Ready(None),
-            AnswerBody::Whole(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
-            AnswerBody::Passing(body) => {
+            ResponseBody::Whole(body) if body.is_empty() => Poll::Ready(None),
+            ResponseBody::Whole(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
+            ResponseBody::StreamingResponse(body) => {
                 let polled = Pin::new(body).poll_frame(cx);
                 if polled.is_ready() {
                     me.client.iter().for_each(|c| c.since.set(Instant::now()));
@@ -786,13 +826,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(&self.body, AnswerBody::Whole(body) if body.is_empty())
+        matches!(&self.body, ResponseBody::Whole(body) if body.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            AnswerBody::Whole(body) => SizeHint::with_exact(body.len() as u64),
-            AnswerBody::Passing(body) => body.size_hint(),
+            ResponseBody::Whole(body) => SizeHint::with_exact(body.len() as u64),
+            ResponseBody::StreamingResponse(body) => body.size_hint(),
         }
     }
 }
@@ -800,11 +840,13 @@
 impl Drop for ClientBody {
     fn drop(&mut self) {
         self.client.iter().for_each(|c| c.taken.set(false));
-        let client = self
-            .client
-            .iter()
-            .filter(|c| matches!(c.stage.get(), Stage::Busy | Stage::Passing));
-        client.for_each(|c| c.enter(Stage::Idle));
+        let client = self.client.iter().filter(|c| {
+            matches!(
+                c.stage.get(),
+                ConnectionState::Busy | ConnectionState::StreamingResponse
+            )
+        });
+        client.for_each(|c| c.enter(ConnectionState::Idle));
     }
 }
 
@@ -827,7 +869,7 @@
 }
 
 /// Logs a failed `accept`, and waits where the next would fail as well.
-pub async fn accept_failed(engine: &Engine, what: &str, error: &std::io::Error) {
+pub async fn accept_failed(engine: &Dispatcher, what: &str, error: &std::io::Error) {
     if transient_errors::is_one_connections(error) {
         return engine.stats().turned_down("ended before it was accepted");
     }
@@ -843,13 +885,13 @@
 
 /// What was wrong, for the counters.
 #[derive(Clone, Copy)]
-struct TurnedDown(&'static str);
+struct RejectedRequest(&'static str);
 
 /// The answer to what is malformed. Nothing more is read on its connection: who sends one such
 /// thing is not trusted to have begun the next where it seems to.
 fn turned_down(status: StatusCode, why: &'static str) -> Response<ClientBody> {
     let mut response = plain(status, why);
-    response.extensions_mut().insert(TurnedDown(why));
+    response.extensions_mut().insert(RejectedRequest(why));
     close(&mut response);
     response
 }
@@ -868,7 +910,7 @@
 }
 
 fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ClientBody> {
-    let body = AnswerBody::Whole(text.into());
+    let body = ResponseBody::Whole(text.into());
     let mut response = Response::new(ClientBody { body, client: None });
     *response.status_mut() = status;
     response
--- a/crates/proxy/src/http1/head_filter.rs
+++ b/crates/proxy/src/http1/head_filter.rs
@@ -40,7 +40,7 @@
 
 /// What comes next on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Expected {
     /// A head.
     Head,
     /// So much more of a body.
@@ -59,17 +59,17 @@
     /// Bytes that it takes.
     pub length: usize,
     /// What follows it.
-    pub next: Next,
+    pub next: Expected,
 }
 
 /// Decides about heads, for one side of the node.
-pub trait Guard {
+pub trait MessagePolicy {
     /// What comes first, and after each message.
-    const BETWEEN: Next;
+    const BETWEEN: Expected;
     /// Reads a head. None: more of it is to come.
     fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem>;
     /// What hyper gets in place of a message that is turned down.
-    fn turn_down(&self, problem: Problem) -> io::Result<&'static [u8]>;
+    fn reject(&self, problem: Problem) -> io::Result<&'static [u8]>;
     /// Bytes of a head are there. Says what is wrong with it even though it is not whole.
     fn begun(&self) -> Result<(), Problem> {
         Ok(())
@@ -96,24 +96,24 @@
 }
 
 /// See the module's own words.
-pub struct Gate<G> {
+pub struct HeadFilter<G> {
     socket: Rc<TcpStream>,
     guard: G,
     held: BytesMut,
     /// So much of what is held may go to hyper.
     pass: usize,
-    next: Next,
+    next: Expected,
     /// When bytes were read last.
     read_at: Instant,
     /// Bytes of interim heads since something was written.
     interim: usize,
 }
 
-impl<G: Guard> Gate<G> {
+impl<G: MessagePolicy> HeadFilter<G> {
     /// Around a socket on which nothing was read yet.
     pub fn new(socket: Rc<TcpStream>, guard: G) -> Self {
         let (held, read_at) = (BytesMut::new(), Instant::now());
-        Gate {
+        HeadFilter {
             socket,
             guard,
             held,
@@ -129,8 +129,8 @@
         loop {
             ready!(self.socket.poll_read_ready(cx))?;
             self.held.reserve(match self.next {
-                Next::Chunked => READ_BODY,
-                Next::Body(left) => left.clamp(READ as u64, READ_BODY as u64) as usize,
+                Expected::Chunked => READ_BODY,
+                Expected::Body(left) => left.clamp(READ as u64, READ_BODY as u64) as usize,
                 _ => READ,
             });
             match self.socket.try_read_buf(&mut self.held) {
@@ -156,13 +156,13 @@
         match self.guard.head(&self.held)? {
             Some(head) if self.interim + head.length <= MOST_HEAD => {
                 (self.pass, self.next) = (head.length, head.next);
-                self.interim = if head.next == Next::Head {
+                self.interim = if head.next == Expected::Head {
                     self.interim + head.length
                 } else {
                     0
                 };
                 let whole = match head.next {
-                    Next::Body(body) => (self.held.len() - head.length) as u64 >= body,
+                    Expected::Body(body) => (self.held.len() - head.length) as u64 >= body,
                     _ => false,
                 };
                 self.guard.passed(whole.then_some(self.read_at));
@@ -174,7 +174,7 @@
     }
 }
 
-impl<G: Guard + Unpin> AsyncRead for Gate<G> {
+impl<G: MessagePolicy + Unpin> AsyncRead for HeadFilter<G> {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context,
@@ -182,7 +182,7 @@
     ) -> Poll<io::Result<()>> {
         let me = self.get_mut();
         loop {
-            if me.next == Next::Body(0) {
+            if me.next == Expected::Body(0) {
                 if me.held.len() > me.pass {
                     me.guard.more();
                 }
@@ -202,7 +202,7 @@
                 // All that is looked for is the connection's end. What comes is held, up to a
                 // head's length. Requests in a row wait there; what is none is thrown away beyond
                 // that, or its sender's leaving would never be seen.
-                Next::Head if me.guard.busy() => {
+                Expected::Head if me.guard.busy() => {
                     if me.held.len() >= MOST_HEAD {
                         if begins_request(&me.held) {
                             return Poll::Pending;
@@ -213,30 +213,30 @@
                         return Poll::Ready(Ok(()));
                     }
                 }
-                Next::Head => match me.find_head() {
+                Expected::Head => match me.find_head() {
                     Ok(true) => {}
                     Ok(false) if ready!(me.fill(cx))? == 0 => return Poll::Ready(Ok(())),
                     Ok(false) => {}
                     Err(problem) => {
                         me.held.clear();
-                        me.held.extend_from_slice(me.guard.turn_down(problem)?);
-                        (me.pass, me.next) = (me.held.len(), Next::Over);
+                        me.held.extend_from_slice(me.guard.reject(problem)?);
+                        (me.pass, me.next) = (me.held.len(), Expected::Over);
                     }
                 },
-                Next::Body(_) | Next::Chunked if me.held.is_empty() => {
+                Expected::Body(_) | Expected::Chunked if me.held.is_empty() => {
                     if ready!(me.fill(cx))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
                 }
-                Next::Body(left) => {
+                Expected::Body(left) => {
                     me.pass = me
                         .held
                         .len()
                         .min(usize::try_from(left).unwrap_or(usize::MAX));
-                    me.next = Next::Body(left - me.pass as u64);
+                    me.next = Expected::Body(left - me.pass as u64);
                 }
-                Next::Chunked => me.pass = me.held.len(),
-                Next::Nothing => {
+                Expected::Chunked => me.pass = me.held.len(),
+                Expected::Nothing => {
                     if me.held.is_empty() && ready!(me.fill(cx))? == 0 {
                         return Poll::Ready(Ok(()));
                     }
@@ -245,13 +245,13 @@
                         "bytes out of turn",
                     )));
                 }
-                Next::Over => return Poll::Pending,
+                Expected::Over => return Poll::Pending,
             }
         }
     }
 }
 
-impl<G: Guard + Unpin> Gate<G> {
+impl<G: MessagePolicy + Unpin> HeadFilter<G> {
     /// A write of hyper's. What comes after it may be an answer to it.
     fn poll_writing(
         self: Pin<&mut Self>,
@@ -265,8 +265,8 @@
             match write(&me.socket) {
                 Err(error) if passes(&error) => {}
                 written => {
-                    if me.next == Next::Nothing && me.held.is_empty() {
-                        (me.next, me.interim) = (Next::Head, 0);
+                    if me.next == Expected::Nothing && me.held.is_empty() {
+                        (me.next, me.interim) = (Expected::Head, 0);
                     }
                     return Poll::Ready(written);
                 }
@@ -275,7 +275,7 @@
     }
 }
 
-impl<G: Guard + Unpin> AsyncWrite for Gate<G> {
+impl<G: MessagePolicy + Unpin> AsyncWrite for HeadFilter<G> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_writing(cx, |socket| socket.try_write(buf))
     }
@@ -368,16 +368,16 @@
         Framing::Length(body) if body > MOST_BODY => {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
         }
-        Framing::Length(body) => Next::Body(body),
-        Framing::None => Next::Body(0),
+        Framing::Length(body) => Expected::Body(body),
+        Framing::None => Expected::Body(0),
         Framing::Chunked if request.version != Some(1) => {
             return Err(bad("HTTP/1.0 knows no chunks"))
         }
-        Framing::Chunked => Next::Chunked,
+        Framing::Chunked => Expected::Chunked,
     };
     // What is behind a request has to begin another. Else its length is wrong, and nothing about it
     // can be trusted.
-    if let Next::Body(body) = next {
+    if let Expected::Body(body) = next {
         if !begins_request(bytes.get(length + body as usize..).unwrap_or_default()) {
             return Err(bad("more came than the head says"));
         }
@@ -397,14 +397,14 @@
     };
     let next = match (answer.code, framing(answer.headers).map_err(bad)?) {
         (Some(101), _) => return Err(bad("nobody asked for another protocol")),
-        (Some(100..200), _) => Next::Head,
-        (Some(204 | 304), _) => Next::Body(0),
-        (_, Framing::Length(body)) if body <= MOST_BODY => Next::Body(body),
+        (Some(100..200), _) => Expected::Head,
+        (Some(204 | 304), _) => Expected::Body(0),
+        (_, Framing::Length(body)) if body <= MOST_BODY => Expected::Body(body),
         (_, Framing::Length(_)) => return Err(bad("the body is too large")),
-        (_, Framing::Chunked) if answer.version == Some(1) => Next::Chunked,
+        (_, Framing::Chunked) if answer.version == Some(1) => Expected::Chunked,
         (_, Framing::Chunked) => return Err(bad("HTTP/1.0 knows no chunks")),
         // It ends with its connection.
-        (_, Framing::None) => Next::Chunked,
+        (_, Framing::None) => Expected::Chunked,
     };
     Ok(Some(Head { length, next }))
 }
--- a/crates/proxy/src/http1/head_filter_tests.rs
+++ b/crates/proxy/src/http1/head_filter_tests.rs
@@ -7,18 +7,18 @@
             .map(|h| h.map(|h| h.next))
             .map_err(|p| p.0.as_u16())
     };
-    assert_eq!(next("GET / HTTP/1.1\r\n\r\n"), Ok(Some(Next::Body(0))));
+    assert_eq!(next("GET / HTTP/1.1\r\n\r\n"), Ok(Some(Expected::Body(0))));
     assert_eq!(
         next("POST / HTTP/1.1\r\ncontent-LENGTH: 7\r\n\r\n"),
-        Ok(Some(Next::Body(7)))
+        Ok(Some(Expected::Body(7)))
     );
     assert_eq!(
         next("POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"),
-        Ok(Some(Next::Chunked))
+        Ok(Some(Expected::Chunked))
     );
     assert_eq!(
         next("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n.GET / HT"),
-        Ok(Some(Next::Body(1)))
+        Ok(Some(Expected::Body(1)))
     );
     assert_eq!(next("POST / HTTP/1.1\r\nContent-Le"), Ok(None));
     let both = [
@@ -66,16 +66,16 @@
     };
     assert_eq!(
         next("HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Length: 7\r\n\r\n"),
-        Ok(Some(Next::Body(7)))
+        Ok(Some(Expected::Body(7)))
     );
     assert_eq!(
         next("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"),
-        Ok(Some(Next::Head))
+        Ok(Some(Expected::Head))
     );
-    assert_eq!(next("HTTP/1.1 200 OK\r\n\r\n"), Ok(Some(Next::Chunked)));
+    assert_eq!(next("HTTP/1.1 200 OK\r\n\r\n"), Ok(Some(Expected::Chunked)));
     assert_eq!(
         next("HTTP/1.1 204 No Content\r\n\r\n"),
-        Ok(Some(Next::Body(0)))
+        Ok(Some(Expected::Body(0)))
     );
     for spoilt in [
         "101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
--- a/crates/proxy/src/http1/streaming.rs
+++ b/crates/proxy/src/http1/streaming.rs
@@ -30,23 +30,23 @@
 
 /// A request's body, on its way from the client to servers.
 #[derive(Clone)]
-pub enum Outgoing {
+pub enum RequestBody {
     /// All of it is here.
     Whole(Bytes),
     /// More of it is to come.
-    Passing(Rc<Upload>),
+    StreamingResponse(Rc<Upload>),
 }
 
-impl Outgoing {
+impl RequestBody {
     /// What one attempt sends. None: part of it is gone, and it can't be sent again.
-    pub fn sending(&self) -> Option<Sending> {
+    pub fn sending(&self) -> Option<RequestBodyStream> {
         match self {
-            Outgoing::Whole(body) => Some(Sending::Whole(Full::new(body.clone()))),
-            Outgoing::Passing(upload) if upload.beyond.get() => None,
-            Outgoing::Passing(upload) => {
+            RequestBody::Whole(body) => Some(RequestBodyStream::Whole(Full::new(body.clone()))),
+            RequestBody::StreamingResponse(upload) if upload.beyond.get() => None,
+            RequestBody::StreamingResponse(upload) => {
                 let reader = upload.readers.get() + 1;
                 upload.readers.set(reader);
-                Some(Sending::Passing {
+                Some(RequestBodyStream::StreamingResponse {
                     upload: upload.clone(),
                     reader,
                     begun: false,
@@ -58,8 +58,8 @@
     /// The body, where more of it is to come.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
-            Outgoing::Whole(_) => None,
-            Outgoing::Passing(upload) => Some(upload),
+            RequestBody::Whole(_) => None,
+            RequestBody::StreamingResponse(upload) => Some(upload),
         }
     }
 }
@@ -196,11 +196,11 @@
 }
 
 /// A request's body on its way to one server.
-pub enum Sending {
+pub enum RequestBodyStream {
     /// All of it is here.
     Whole(Full<Bytes>),
     /// More of it is to come.
-    Passing {
+    StreamingResponse {
         /// Where from.
         upload: Rc<Upload>,
         /// For which attempt.
@@ -210,25 +210,27 @@
     },
 }
 
-impl Default for Sending {
+impl Default for RequestBodyStream {
     fn default() -> Self {
-        Sending::Whole(Full::default())
+        RequestBodyStream::Whole(Full::default())
     }
 }
 
-impl Body for Sending {
+impl Body for RequestBodyStream {
     type Data = Bytes;
     type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> Polled {
         match self.get_mut() {
-            Sending::Whole(body) => Pin::new(body)
+            RequestBodyStream::Whole(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
-            Sending::Passing { upload, reader, .. } if *reader != upload.readers.get() => {
+            RequestBodyStream::StreamingResponse { upload, reader, .. }
+                if *reader != upload.readers.get() =>
+            {
                 Poll::Ready(Some(Err("another attempt has the body".into())))
             }
-            Sending::Passing { upload, begun, .. } => {
+            RequestBodyStream::StreamingResponse { upload, begun, .. } => {
                 let held = upload.held.borrow().clone();
                 if !std::mem::replace(begun, true) && !held.is_empty() {
                     return Poll::Ready(Some(Ok(Frame::data(held))));
@@ -240,15 +242,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Sending::Whole(body) => body.is_end_stream(),
-            Sending::Passing { upload, begun, .. } => *begun && upload.whole(),
+            RequestBodyStream::Whole(body) => body.is_end_stream(),
+            RequestBodyStream::StreamingResponse { upload, begun, .. } => *begun && upload.whole(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Sending::Whole(body) => body.size_hint(),
-            Sending::Passing { upload, .. } => upload
+            RequestBodyStream::Whole(body) => body.size_hint(),
+            RequestBodyStream::StreamingResponse { upload, .. } => upload
                 .length
                 .map_or_else(SizeHint::new, SizeHint::with_exact),
         }
@@ -256,7 +258,7 @@
 }
 
 /// How an answer ended that was passed on as it came. Without a word of it the client has left.
-pub enum Passed {
+pub enum StreamOutcome {
     /// All of it was taken.
     Whole,
     /// It broke.
@@ -264,20 +266,20 @@
 }
 
 /// A server's answer on its way to the client.
-pub struct Passing {
+pub struct StreamingResponse {
     held: Bytes,
     rest: Incoming,
     read: u64,
-    end: Option<oneshot::Sender<Passed>>,
+    end: Option<oneshot::Sender<StreamOutcome>>,
 }
 
-impl Passing {
+impl StreamingResponse {
     /// What has come of it, and the rest; its end is told through the channel.
-    pub fn new(held: Bytes, rest: Incoming) -> (Self, oneshot::Receiver<Passed>) {
+    pub fn new(held: Bytes, rest: Incoming) -> (Self, oneshot::Receiver<StreamOutcome>) {
         let (end, ended) = oneshot::channel();
         let read = held.len() as u64;
         (
-            Passing {
+            StreamingResponse {
                 held,
                 rest,
                 read,
@@ -287,14 +289,14 @@
         )
     }
 
-    fn finish(&mut self, end: Passed) {
+    fn finish(&mut self, end: StreamOutcome) {
         if let Some(told) = self.end.take() {
             let _ = told.send(end);
         }
     }
 }
 
-impl Body for Passing {
+impl Body for StreamingResponse {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -305,7 +307,7 @@
         loop {
             let broken = match ready!(Pin::new(&mut self.rest).poll_frame(cx)) {
                 None => {
-                    self.finish(Passed::Whole);
+                    self.finish(StreamOutcome::Whole);
                     return Poll::Ready(None);
                 }
                 Some(Ok(frame)) => {
@@ -315,7 +317,7 @@
                     self.read += data.len() as u64;
                     if self.read <= MOST_BODY {
                         if self.rest.is_end_stream() {
-                            self.finish(Passed::Whole);
+                            self.finish(StreamOutcome::Whole);
                         }
                         return Poll::Ready(Some(Ok(Frame::data(data))));
                     }
@@ -327,7 +329,7 @@
                 .source()
                 .map(|s| format!(": {s}"))
                 .unwrap_or_default();
-            self.finish(Passed::Broken(format!("{broken}{source}")));
+            self.finish(StreamOutcome::Broken(format!("{broken}{source}")));
             return Poll::Ready(Some(Err(broken)));
         }
     }
@@ -341,7 +343,10 @@
 }
 
 /// Reads a body into what is held until all is there, which it says, or more than may be held.
-pub async fn hold(held: &mut bytes::BytesMut, body: &mut Incoming) -> Result<bool, hyper::Error> {
+pub async fn buffer_body(
+    held: &mut bytes::BytesMut,
+    body: &mut Incoming,
+) -> Result<bool, hyper::Error> {
     while held.len() <= HELD_BODY {
         match poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx)).await {
             None => return Ok(true),
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,6 +1,6 @@
 //! What the node counts for its log, and how much it says of single requests.
 
-use crate::send_invariants::RuleCounts;
+use crate::send_invariants::InvariantCounts;
 use balancer::{AttemptOutcome, ClassId, GiveUpReason};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -16,7 +16,7 @@
 
 /// Counters since the last line of them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct Counters {
     /// Client connections accepted.
     pub accepted: u64,
     /// Answers that told their client to close its connection.
@@ -55,7 +55,7 @@
     pub suppressed: u64,
 }
 
-impl Counts {
+impl Counters {
     /// Counts the end of an attempt.
     pub fn ended(&mut self, outcome: AttemptOutcome) {
         match outcome {
@@ -72,7 +72,7 @@
 
 /// How the requests of one class ended since the last line of counters.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct ClassCounts {
+pub struct ClassCounters {
     /// Requests taken.
     pub requests: u32,
     /// Answered with a server's answer ...
@@ -84,45 +84,45 @@
 }
 
 /// Counters for the log.
-pub struct Stats {
-    counts: Cell<Counts>,
-    classes: RefCell<FxHashMap<ClassId, ClassCounts>>,
+pub struct Metrics {
+    counts: Cell<Counters>,
+    classes: RefCell<FxHashMap<ClassId, ClassCounters>>,
     since: Cell<Instant>,
     single: RefCell<FxHashMap<GiveUpReason, u32>>,
     turned_down: RefCell<FxHashMap<&'static str, u32>>,
     broken: Cell<u32>,
     /// What rules have held back, and what was asked for against them.
-    pub rules: RuleCounts,
+    pub rules: InvariantCounts,
 }
 
-impl Stats {
+impl Metrics {
     /// All zero.
     pub fn new() -> Self {
-        Stats {
+        Metrics {
             counts: Cell::default(),
             classes: RefCell::default(),
             since: Cell::new(Instant::now()),
             single: RefCell::default(),
             turned_down: RefCell::default(),
             broken: Cell::new(0),
-            rules: RuleCounts::default(),
+            rules: InvariantCounts::default(),
         }
     }
 
     /// Changes a counter.
-    pub fn count(&self, change: impl FnOnce(&mut Counts)) {
+    pub fn count(&self, change: impl FnOnce(&mut Counters)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
     }
 
     /// Changes a class's counters.
-    pub fn count_class(&self, class: ClassId, change: impl FnOnce(&mut ClassCounts)) {
+    pub fn count_class(&self, class: ClassId, change: impl FnOnce(&mut ClassCounters)) {
         change(self.classes.borrow_mut().entry(class).or_default());
     }
 
     /// The classes' counters since this was last asked, in the order of the settings.
-    pub fn take_classes(&self) -> Vec<(ClassId, ClassCounts)> {
+    pub fn take_classes(&self) -> Vec<(ClassId, ClassCounters)> {
         let mut counts: Vec<_> = self.classes.borrow_mut().drain().collect();
         counts.sort_unstable_by_key(|c| c.0);
         counts
@@ -158,7 +158,7 @@
     }
 
     /// The counters and their time, which start again from zero. None: nothing happened.
-    pub fn take(&self) -> Option<(Counts, Duration)> {
+    pub fn take(&self) -> Option<(Counters, Duration)> {
         self.single.borrow_mut().clear();
         self.broken.set(0);
         let time = self.since.replace(Instant::now()).elapsed();
--- a/crates/proxy/src/metrics_tests.rs
+++ b/crates/proxy/src/metrics_tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn single_lines_are_bounded_and_the_rest_is_counted() {
-    let stats = Stats::new();
+    let stats = Metrics::new();
     stats.count(|c| c.requests += 1);
     let written = (0..2 * MOST_SINGLE)
         .filter(|_| stats.single(GiveUpReason::LoadShed))
@@ -22,20 +22,20 @@
 
 #[test]
 fn classes_are_counted_apart_and_start_again_from_zero() {
-    let stats = Stats::new();
+    let stats = Metrics::new();
     stats.count_class(ClassId(2), |c| c.requests += 1);
     stats.count_class(ClassId(0), |c| {
         *c.given_up.entry(GiveUpReason::LoadShed).or_default() += 2;
     });
     stats.count_class(ClassId(2), |c| c.late += 1);
-    let shed = ClassCounts {
+    let shed = ClassCounters {
         given_up: [(GiveUpReason::LoadShed, 2)].into(),
-        ..ClassCounts::default()
+        ..ClassCounters::default()
     };
-    let late = ClassCounts {
+    let late = ClassCounters {
         requests: 1,
         late: 1,
-        ..ClassCounts::default()
+        ..ClassCounters::default()
     };
     assert_eq!(
         stats.take_classes(),
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -2,15 +2,15 @@
 //! shuts down.
 
 use crate::admin::server;
-use crate::admin::server::Console;
+use crate::admin::server::AdminServer;
 use crate::config::{Config, ConfigError, ConfigText};
-use crate::downstream::listener::{Frontend, Phase};
+use crate::downstream::listener::{Listener, ShutdownPhase};
 use crate::operator_state::store;
-use crate::operator_state::store::Keeper;
-use crate::requests::dispatcher::Engine;
+use crate::operator_state::store::OperatorStateStore;
+use crate::requests::dispatcher::Dispatcher;
 use crate::transient_errors::retry_at_start;
 use crate::upstream::backend_registry;
-use crate::upstream::backend_registry::Backends;
+use crate::upstream::backend_registry::BackendRegistry;
 use crate::{metrics, send_invariants, transient_errors};
 use rustix::process::{getrlimit, Resource};
 use std::error::Error;
@@ -90,7 +90,7 @@
     let operated = config.console.is_some() || config.inherited.is_some();
     let place = std::env::var_os("TMPDIR").filter(|_| operated);
     let unkept = operated && place.is_none();
-    let (keeper, unread) = Keeper::open(place.map(Into::into), &config.name);
+    let (keeper, unread) = OperatorStateStore::open(place.map(Into::into), &config.name);
     let keeper = Rc::new(keeper);
     // Two processes of a node have one machine between them. What the system allows a process is
     // its own.
@@ -141,8 +141,12 @@
         limits.connections,
         classes.join(" ")
     );
-    let backends = Rc::new(Backends::new(limits, config.site.names, config.site.fields));
-    let engine = Engine::new(
+    let backends = Rc::new(BackendRegistry::new(
+        limits,
+        config.site.names,
+        config.site.fields,
+    ));
+    let engine = Dispatcher::new(
         config.name,
         settings,
         config.seed,
@@ -172,9 +176,9 @@
             "TMPDIR is not set: maintenance and drain end with this process"
         ));
     }
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
     let phase = Rc::new(phase);
-    let console = Console::new(engine.clone(), phase.clone(), keeper.clone(), warm_up);
+    let console = AdminServer::new(engine.clone(), phase.clone(), keeper.clone(), warm_up);
     engine.known(config.known.as_ref());
     engine.follow();
     let reloading = engine.clone();
@@ -198,7 +202,7 @@
         engine.log(format_args!("console at {}", calls.local_addr()?));
         spawn_local(console.clone().serve(calls));
     }
-    let frontend = Frontend::new(engine.clone(), effects, clients, listening_since, phases);
+    let frontend = Listener::new(engine.clone(), effects, clients, listening_since, phases);
     if operated {
         let (engine, keeper, frontend) = (engine.clone(), keeper.clone(), frontend.clone());
         spawn_local(async move {
@@ -239,12 +243,12 @@
     let handing_over = inherited && keeper.accompanied();
     engine.log(format_args!("leaving handing_over={handing_over}"));
     phase.send_replace(if handing_over {
-        Phase::HandingOver
+        ShutdownPhase::HandingOver
     } else {
-        Phase::Leaving
+        ShutdownPhase::Leaving
     });
     tokio::time::sleep(LEAVE).await;
-    phase.send_replace(Phase::Closing);
+    phase.send_replace(ShutdownPhase::Closing);
     // What was taken last is due within the longest deadline. Large messages take the time that
     // their peers need.
     let mut served = std::pin::pin!(served);
@@ -268,7 +272,7 @@
 /// Reads the configuration again. The whole file is checked before anything of it is used: one that
 /// is bad changes nothing. What the file says prevails now over what the environment said at the
 /// start.
-async fn reload(engine: &Engine) {
+async fn reload(engine: &Dispatcher) {
     match read_again(engine).await.and_then(|text| text.parse()) {
         Ok(config) => {
             engine.log(format_args!("configuration read again"));
@@ -283,7 +287,7 @@
 
 /// Reads the configuration's text. Where that fails for a moment the signal is owed another try: it
 /// isn't sent again.
-async fn read_again(engine: &Engine) -> Result<ConfigText, ConfigError> {
+async fn read_again(engine: &Dispatcher) -> Result<ConfigText, ConfigError> {
     let by = tokio::time::Instant::now() + RELOAD_PATIENCE;
     let mut logged = false;
     loop {
--- a/crates/proxy/src/operator_state/store.rs
+++ b/crates/proxy/src/operator_state/store.rs
@@ -87,7 +87,7 @@
 /// What operators have said and not taken back.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Word {
+pub struct OperatorState {
     /// The node is drained.
     pub draining: bool,
     /// Backends that are left out, by name.
@@ -98,7 +98,7 @@
     pub returned: BTreeMap<String, u64>,
 }
 
-impl Word {
+impl OperatorState {
     /// A backend is put back into use, by a call that differs from those before.
     pub fn mark_returned(&mut self, name: &str, wall: SystemTime) {
         let unix = wall
@@ -115,15 +115,15 @@
 
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Kept {
+struct StoredState {
     version: u32,
     node: String,
-    word: Word,
+    word: OperatorState,
 }
 
 /// Why the operators' word can't be read or kept.
 #[derive(Debug, thiserror::Error)]
-pub enum KeepError {
+pub enum StoreError {
     /// The system's word.
     #[error("{0}: {1}")]
     Io(&'static str, io::Error),
@@ -142,22 +142,22 @@
 type Stamp = (u64, u64, Option<SystemTime>);
 
 /// Keeps the operators' word, in a file if there is a place for one.
-pub struct Keeper {
+pub struct OperatorStateStore {
     place: Option<PathBuf>,
     node: String,
-    word: RefCell<Word>,
+    word: RefCell<OperatorState>,
     seen: Cell<Option<Stamp>>,
     /// When a change could not be written last, unless one was since.
     failed: Cell<Option<Instant>>,
     presence: RefCell<Option<(usize, File)>>,
 }
 
-impl Keeper {
+impl OperatorStateStore {
     /// With what the process before has left in `place`; also says what of that is no good.
-    pub fn open(place: Option<PathBuf>, node: &str) -> (Self, Option<KeepError>) {
+    pub fn open(place: Option<PathBuf>, node: &str) -> (Self, Option<StoreError>) {
         let (word, presence) = (RefCell::default(), RefCell::default());
         let (seen, failed) = (Cell::new(None), Cell::new(None));
-        let keeper = Keeper {
+        let keeper = OperatorStateStore {
             place,
             node: node.to_owned(),
             word,
@@ -167,37 +167,37 @@
         };
         // What was taken on is owed still, so that a failure that may pass is waited for.
         let looked = retry_at_start(KEPT, || match keeper.look() {
-            Err(KeepError::Io(_, error)) => Err(error),
+            Err(StoreError::Io(_, error)) => Err(error),
             looked => Ok(looked),
         });
         let problem = match looked {
             Ok(looked) => looked.err(),
-            Err(error) => Some(KeepError::Io(KEPT, error)),
+            Err(error) => Some(StoreError::Io(KEPT, error)),
         };
         (keeper, problem)
     }
 
     /// What holds at present.
-    pub fn word(&self) -> Ref<'_, Word> {
+    pub fn word(&self) -> Ref<'_, OperatorState> {
         self.word.borrow()
     }
 
     /// Takes in what another process has written since. A file that is no good or gone leaves
     /// things as they are; one that can't be read for a moment is read at the next look.
-    pub fn look(&self) -> Result<bool, KeepError> {
+    pub fn look(&self) -> Result<bool, StoreError> {
         let Some(place) = &self.place else {
             return Ok(false);
         };
         let found = match fs::metadata(place.join(KEPT)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(false),
-            found => found.map_err(|error| KeepError::Io(KEPT, error))?,
+            found => found.map_err(|error| StoreError::Io(KEPT, error))?,
         };
         let stamp = Some((found.ino(), found.len(), found.modified().ok()));
         if self.seen.get() == stamp {
             return Ok(false);
         }
         let word = read(place, &self.node);
-        if !matches!(word, Err(KeepError::Io(..))) {
+        if !matches!(word, Err(StoreError::Io(..))) {
             self.seen.set(stamp);
         }
         let word = word?;
@@ -208,7 +208,10 @@
 
     /// Changes it, from what any process has written last, for all of them. Once this succeeds it
     /// lasts; where it fails nothing has changed, not even what this process goes by.
-    pub async fn change<T>(&self, change: impl FnOnce(&mut Word) -> T) -> Result<T, KeepError> {
+    pub async fn change<T>(
+        &self,
+        change: impl FnOnce(&mut OperatorState) -> T,
+    ) -> Result<T, StoreError> {
         let Some(place) = &self.place else {
             return Ok(change(&mut self.word.borrow_mut()));
         };
@@ -216,7 +219,7 @@
         let latest = match read(place, &self.node) {
             Ok(word) => word,
             // It may hold what another process was told: writing over it would take that back.
-            Err(error @ KeepError::Io(..)) => return Err(error),
+            Err(error @ StoreError::Io(..)) => return Err(error),
             // What is no good is replaced: it was logged when it was seen first.
             Err(_) => None,
         };
@@ -239,9 +242,14 @@
     }
 
     /// Replaces the file. Syncing may take long, so that it is done beside the loop.
-    async fn replace(&self, place: &Path, before: &Word, word: &Word) -> Result<(), KeepError> {
-        let text = |word: &Word| {
-            serde_json::to_vec(&Kept {
+    async fn replace(
+        &self,
+        place: &Path,
+        before: &OperatorState,
+        word: &OperatorState,
+    ) -> Result<(), StoreError> {
+        let text = |word: &OperatorState| {
+            serde_json::to_vec(&StoredState {
                 version: VERSION,
                 node: self.node.clone(),
                 word: word.clone(),
@@ -261,7 +269,7 @@
             .await
             .unwrap_or_else(|panicked| Err(io::Error::other(panicked)));
         self.failed.set(written.is_err().then(Instant::now));
-        written.map_err(|error| KeepError::Io(KEPT, error))
+        written.map_err(|error| StoreError::Io(KEPT, error))
     }
 
     /// Whether another process of this node lives. Holds this one's presence, which ends with the
@@ -295,8 +303,8 @@
     file.try_lock().ok().map(|()| file)
 }
 
-async fn lock(place: &Path) -> Result<File, KeepError> {
-    let failed = |error| KeepError::Io(LOCK, error);
+async fn lock(place: &Path) -> Result<File, StoreError> {
+    let failed = |error| StoreError::Io(LOCK, error);
     let file = File::options()
         .create(true)
         .truncate(false)
@@ -310,12 +318,12 @@
             Err(TryLockError::WouldBlock) => tokio::time::sleep(LOCK_AGAIN).await,
         }
     }
-    Err(KeepError::Held)
+    Err(StoreError::Held)
 }
 
 /// What the file says, if there is one.
-fn read(place: &Path, node: &str) -> Result<Option<Word>, KeepError> {
-    let failed = |error| KeepError::Io(KEPT, error);
+fn read(place: &Path, node: &str) -> Result<Option<OperatorState>, StoreError> {
+    let failed = |error| StoreError::Io(KEPT, error);
     let file = match File::open(place.join(KEPT)) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
         file => file.map_err(failed)?,
@@ -324,11 +332,11 @@
     file.take(MOST_KEPT)
         .read_to_end(&mut text)
         .map_err(failed)?;
-    let kept: Kept = serde_json::from_slice(&text)?;
+    let kept: StoredState = serde_json::from_slice(&text)?;
     if kept.version == VERSION && kept.node == node {
         Ok(Some(kept.word))
     } else {
-        Err(KeepError::Foreign(kept.version, kept.node))
+        Err(StoreError::Foreign(kept.version, kept.node))
     }
 }
 
--- a/crates/proxy/src/operator_state/store_tests.rs
+++ b/crates/proxy/src/operator_state/store_tests.rs
@@ -2,29 +2,29 @@
 use std::os::fd::{AsRawFd, IntoRawFd};
 
 /// An empty folder of a test's own.
-struct Place(PathBuf);
+struct TestFolder(PathBuf);
 
-impl std::ops::Deref for Place {
+impl std::ops::Deref for TestFolder {
     type Target = PathBuf;
     fn deref(&self) -> &PathBuf {
         &self.0
     }
 }
 
-impl Drop for Place {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn place(name: &str) -> Place {
+fn place(name: &str) -> TestFolder {
     let place = std::env::temp_dir().join(format!("balancer-proxy-{}-{name}", std::process::id()));
     fs::create_dir_all(&place).expect("a folder");
-    Place(place)
+    TestFolder(place)
 }
 
-fn open(place: &Path) -> Keeper {
-    let (keeper, problem) = Keeper::open(Some(place.to_owned()), "n");
+fn open(place: &Path) -> OperatorStateStore {
+    let (keeper, problem) = OperatorStateStore::open(Some(place.to_owned()), "n");
     assert!(problem.is_none(), "{problem:?}");
     keeper
 }
@@ -64,9 +64,9 @@
     ];
     for text in spoilt {
         fs::write(place.join(KEPT), text).expect("a file");
-        let (keeper, problem) = Keeper::open(Some(place.to_owned()), "n");
+        let (keeper, problem) = OperatorStateStore::open(Some(place.to_owned()), "n");
         assert!(problem.is_some(), "{text}");
-        assert_eq!(*keeper.word(), Word::default(), "{text}");
+        assert_eq!(*keeper.word(), OperatorState::default(), "{text}");
         keeper
             .change(|w| w.out.insert("b".into()))
             .await
@@ -84,7 +84,7 @@
     let _held = hold(&place.join(LOCK)).expect("the lock");
     assert!(matches!(
         keeper.change(|w| w.draining = true).await,
-        Err(KeepError::Held)
+        Err(StoreError::Held)
     ));
     assert!(!keeper.word().draining);
 }
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -4,14 +4,14 @@
 //! actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
 //! that actions bring about at once.
 
-use crate::discovery::client::{self, ServerList};
+use crate::discovery::client::{self, EndpointList};
 use crate::http1::head_filter;
-use crate::http1::streaming::{Outgoing, Passed};
-use crate::metrics::Stats;
-use crate::operator_state::store::Word;
-use crate::send_invariants::{self, Earlier, Place, Rule};
+use crate::http1::streaming::{RequestBody, StreamOutcome};
+use crate::metrics::Metrics;
+use crate::operator_state::store::OperatorState;
+use crate::send_invariants::{self, BackendIdentity, Invariant, PriorAttempt};
 use crate::upstream::backend_registry::{
-    AnswerBody, AttemptTerms, Backends, Exchange, Progress, Server, Source,
+    AttemptTerms, Backend, BackendRegistry, Exchange, Progress, ResponseBody, Source,
 };
 use balancer::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, EndpointState, Event,
@@ -69,7 +69,7 @@
 }
 
 /// A client's request in the node's own terms.
-pub struct Incoming {
+pub struct ForwardRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -85,15 +85,15 @@
     /// Time left for it, from its last byte on.
     pub remaining: Duration,
     /// What goes on to a server.
-    pub request: Request<Outgoing>,
+    pub request: Request<RequestBody>,
     /// The connection that it came on: whoever has closed it waits for nothing.
     pub client: Weak<TcpStream>,
 }
 
 /// A final answer.
-pub enum Answer {
+pub enum FinalResponse {
     /// What a server answered.
-    Served(Response<AnswerBody>),
+    Served(Response<ResponseBody>),
     /// Trying again is harmless, best after the wait.
     Refused(Option<Duration>),
     /// Nothing is promised.
@@ -101,21 +101,21 @@
 }
 
 /// A request in hand.
-struct Entry {
+struct RequestRecord {
     id: Box<[u8]>,
     class: ClassId,
     tenant: TenantId,
     since: Instant,
     taken: Instant,
-    request: Request<Outgoing>,
+    request: Request<RequestBody>,
     due: Instant,
     client: Weak<TcpStream>,
     /// Taken by the one final answer, or by the client's leaving.
-    reply: Option<oneshot::Sender<Answer>>,
+    reply: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Attempt>,
 }
 
-impl Entry {
+impl RequestRecord {
     /// Whether the client has left without its answer, by what the system knows at this moment.
     fn abandoned(&self) -> bool {
         self.reply.is_some() && left(&self.client)
@@ -131,7 +131,7 @@
 
 struct Attempt {
     server: BackendId,
-    place: Place,
+    place: BackendIdentity,
     began: Instant,
     /// False once it is known that it did not run and will not.
     may_have_run: bool,
@@ -146,7 +146,7 @@
 struct State {
     balancer: Balancer,
     events: VecDeque<Event>,
-    ledger: FxHashMap<RequestId, Entry>,
+    ledger: FxHashMap<RequestId, RequestRecord>,
     /// The clients' names for what is in the ledger. Clients choose them, hence the hasher with a
     /// secret.
     ids: HashSet<Box<[u8]>>,
@@ -163,15 +163,15 @@
 }
 
 /// See the module's own words.
-pub struct Engine {
+pub struct Dispatcher {
     /// Itself, for the tasks it starts.
-    me: Weak<Engine>,
+    me: Weak<Dispatcher>,
     name: String,
     clock: Clock,
     /// For what nodes should not do in step. The balancer's numbers are its own.
     rng: RefCell<Xoshiro256PlusPlus>,
-    backends: Rc<Backends>,
-    stats: Rc<Stats>,
+    backends: Rc<BackendRegistry>,
+    stats: Rc<Metrics>,
     /// Where the list of servers is.
     discovery: Cell<SocketAddr>,
     /// Lists come on request of the balancer.
@@ -193,13 +193,13 @@
     servers_listed: Cell<bool>,
 }
 
-impl Engine {
+impl Dispatcher {
     /// Starts with no servers and no requests.
     pub fn new(
         name: String,
         settings: Settings,
         seed: u64,
-        backends: Rc<Backends>,
+        backends: Rc<BackendRegistry>,
         discovery: SocketAddr,
     ) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::new();
@@ -222,7 +222,7 @@
             watch_before: None,
             silent_call: None,
         };
-        Ok(Rc::new_cyclic(|me| Engine {
+        Ok(Rc::new_cyclic(|me| Dispatcher {
             me: me.clone(),
             name,
             clock,
@@ -262,7 +262,7 @@
     }
 
     /// The node's counters.
-    pub fn stats(&self) -> &Stats {
+    pub fn stats(&self) -> &Metrics {
         &self.stats
     }
 
@@ -285,7 +285,7 @@
     pub fn watching(&self) {
         self.watches.set(self.watches.get() + 1);
         if self.asked {
-            self.feed(Event::EndpointList {
+            self.handle_event(Event::EndpointList {
                 update: ListUpdate::Delta,
                 endpoints: Vec::new(),
             });
@@ -363,18 +363,18 @@
     }
 
     /// Takes in the list as last known before the start. The balancer is owed one, be it empty.
-    pub fn known(&self, list: Option<&ServerList>) {
+    pub fn known(&self, list: Option<&EndpointList>) {
         let entries = list
-            .map(|l| self.take_list(l, Source::Configuration))
+            .map(|l| self.apply_endpoint_list(l, Source::Configuration))
             .unwrap_or_default();
-        self.feed(Event::EndpointList {
+        self.handle_event(Event::EndpointList {
             update: ListUpdate::Cached,
             endpoints: entries,
         });
     }
 
     /// Takes in what discovery says, at the address that it says it from.
-    pub fn list(&self, list: &ServerList, from: SocketAddr) {
+    pub fn list(&self, list: &EndpointList, from: SocketAddr) {
         let kind = if list.complete {
             ListUpdate::Snapshot
         } else {
@@ -390,7 +390,7 @@
                 .iter()
                 .for_each(AbortHandle::abort);
         }
-        let entries = self.take_list(list, Source::Discovery);
+        let entries = self.apply_endpoint_list(list, Source::Discovery);
         // Logged where it says anything: discovery may send lists of no change.
         if !entries.is_empty() {
             let count = |state| entries.iter().filter(|e| e.state == state).count();
@@ -404,17 +404,17 @@
                 count(EndpointState::Removed)
             ));
         }
-        self.feed(Event::EndpointList {
+        self.handle_event(Event::EndpointList {
             update: kind,
             endpoints: entries,
         });
     }
 
     /// Goes by what operators have said, from now on.
-    pub fn heed(&self, word: &Word) {
-        let entries = self.backends.heed(self.clock.now(), word);
+    pub fn apply_operator_state(&self, word: &OperatorState) {
+        let entries = self.backends.apply_operator_state(self.clock.now(), word);
         if !entries.is_empty() {
-            self.feed(Event::EndpointList {
+            self.handle_event(Event::EndpointList {
                 update: ListUpdate::Delta,
                 endpoints: entries,
             });
@@ -432,9 +432,11 @@
         self.backends.warmed_up(self.clock.now(), backend, warm_up)
     }
 
-    fn take_list(&self, list: &ServerList, source: Source) -> Vec<balancer::Endpoint> {
+    fn apply_endpoint_list(&self, list: &EndpointList, source: Source) -> Vec<balancer::Endpoint> {
         self.revision.set(list.revision);
-        let entries = self.backends.take_list(self.clock.now(), list, source);
+        let entries = self
+            .backends
+            .apply_endpoint_list(self.clock.now(), list, source);
         let usable = entries.iter().any(|e| e.state == EndpointState::Active);
         self.servers_listed.set(self.servers_listed.get() || usable);
         entries
@@ -443,7 +445,7 @@
     /// Takes a client's request. The answer comes through the channel; dropping [`Taken`] is the
     /// client's leaving. None: one of that id is open or still out at a server, where a second
     /// would pass for its repeat.
-    pub fn arrival(&self, incoming: Incoming) -> Option<Taken> {
+    pub fn arrival(&self, incoming: ForwardRequest) -> Option<Taken> {
         let (reply, answer) = oneshot::channel();
         let mut state = self.state.borrow_mut();
         if !state.ids.insert(incoming.id.clone()) {
@@ -453,7 +455,7 @@
         state.next_request += 1;
         self.stats.count(|c| c.requests += 1);
         self.stats.count_class(incoming.class, |c| c.requests += 1);
-        let Incoming {
+        let ForwardRequest {
             class,
             tenant,
             work,
@@ -466,7 +468,7 @@
         } = incoming;
         let coming = request.body().upload().is_some();
         let (taken, reply, attempts) = (Instant::now(), Some(reply), Vec::new());
-        let entry = Entry {
+        let entry = RequestRecord {
             id: name,
             class,
             tenant,
@@ -480,7 +482,7 @@
         };
         state.ledger.insert(id, entry);
         drop(state);
-        self.feed(Event::RequestArrived(RequestArrival {
+        self.handle_event(Event::RequestArrived(RequestArrival {
             request: id,
             class,
             tenant,
@@ -498,7 +500,7 @@
 
     /// The last byte of a request has come that was taken before.
     pub fn uploaded(&self, request: RequestId) {
-        self.feed(Event::RequestBodyReceived { request });
+        self.handle_event(Event::RequestBodyReceived { request });
     }
 
     fn client_gone(&self, request: RequestId) {
@@ -508,7 +510,7 @@
             self.stats.count(|c| c.gone += 1);
             self.withhold(&mut state, request);
             drop(state);
-            self.feed(Event::ClientDisconnected { request });
+            self.handle_event(Event::ClientDisconnected { request });
             self.settle(request);
         }
     }
@@ -562,9 +564,9 @@
         };
         self.stats.count(|c| c.passed_on += 1);
         self.count_served(entry);
-        let _ = reply.send(Answer::Served(answer));
+        let _ = reply.send(FinalResponse::Served(answer));
         drop(state);
-        self.feed(Event::ResponseStarted {
+        self.handle_event(Event::ResponseStarted {
             request,
             attempt,
             latency,
@@ -581,8 +583,8 @@
         exchange.answer = None;
         let ended = if begun { passing.await.ok() } else { None };
         match ended {
-            Some(Passed::Whole) => return,
-            Some(Passed::Broken(problem)) => {
+            Some(StreamOutcome::Whole) => return,
+            Some(StreamOutcome::Broken(problem)) => {
                 (exchange.outcome, exchange.problem) =
                     (AttemptOutcome::ConnectionReset, Some(problem));
             }
@@ -633,7 +635,7 @@
             // The first answer closes the request; a later one is the copy's and is dropped.
             if let Some(reply) = entry.reply.take() {
                 self.count_served(entry);
-                let _ = reply.send(Answer::Served(answer));
+                let _ = reply.send(FinalResponse::Served(answer));
             }
         }
         // No further attempt for a client that has left.
@@ -647,7 +649,7 @@
             self.withhold(&mut state, request);
         }
         drop(state);
-        self.feed(Event::AttemptEnded(AttemptResult {
+        self.handle_event(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             backend: server,
@@ -662,7 +664,8 @@
     /// Forgets a request that is answered and has nothing out.
     fn settle(&self, request: RequestId) {
         let state = &mut *self.state.borrow_mut();
-        let over = |e: &Entry| e.reply.is_none() && e.attempts.iter().all(|a| a.task.is_none());
+        let over =
+            |e: &RequestRecord| e.reply.is_none() && e.attempts.iter().all(|a| a.task.is_none());
         if state.ledger.get(&request).is_some_and(over) {
             let _ = state
                 .ledger
@@ -673,7 +676,7 @@
 
     // ---- what is to be done ----
     /// Gives an event to the balancer and carries out what it wants done.
-    fn feed(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
         state.events.push_back(event);
@@ -681,12 +684,12 @@
         while let Some(event) = state.events.pop_front() {
             state.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(state, action);
+                self.execute_action(state, action);
             }
         }
     }
 
-    fn carry_out(&self, state: &mut State, action: Action) {
+    fn execute_action(&self, state: &mut State, action: Action) {
         match action {
             Action::StartAttempt {
                 request,
@@ -698,9 +701,11 @@
                 retry_after: wait,
                 reason,
             } => {
-                self.finish(state, request, Answer::Refused(wait), reason);
+                self.finish(state, request, FinalResponse::Refused(wait), reason);
+            }
+            Action::Fail { request, reason } => {
+                self.finish(state, request, FinalResponse::Failed, reason)
             }
-            Action::Fail { request, reason } => self.finish(state, request, Answer::Failed, reason),
             Action::CancelAttempt { request, attempt } => Self::cancel(state, request, attempt),
             Action::SetTimer { at, timer } => {
                 let (me, at) = (self.me.clone(), self.clock.instant(at));
@@ -708,7 +713,7 @@
                     tokio::time::sleep_until(at).await;
                     me.upgrade()
                         .iter()
-                        .for_each(|engine| engine.feed(Event::TimerFired { timer }));
+                        .for_each(|engine| engine.handle_event(Event::TimerFired { timer }));
                 });
             }
             Action::SendLoadProbe { backend: server } => self.probe(state, server),
@@ -717,7 +722,13 @@
         }
     }
 
-    fn finish(&self, state: &mut State, request: RequestId, answer: Answer, reason: GiveUpReason) {
+    fn finish(
+        &self,
+        state: &mut State,
+        request: RequestId,
+        answer: FinalResponse,
+        reason: GiveUpReason,
+    ) {
         // A client that has left takes no answer; nothing is owed then.
         let Some(entry) = state.ledger.get_mut(&request) else {
             return;
@@ -725,7 +736,7 @@
         let Some(reply) = entry.reply.take() else {
             return;
         };
-        let refused = matches!(answer, Answer::Refused(_));
+        let refused = matches!(answer, FinalResponse::Refused(_));
         self.stats
             .count_class(entry.class, |c| *c.given_up.entry(reason).or_default() += 1);
         self.stats.count(|c| {
@@ -743,7 +754,7 @@
     }
 
     // ---- what is logged ----
-    fn count_served(&self, entry: &Entry) {
+    fn count_served(&self, entry: &RequestRecord) {
         let late = self
             .aims
             .get(usize::from(entry.class.0))
@@ -756,7 +767,7 @@
     }
 
     /// One line on a request that ends badly, with all that became of it.
-    fn log_given_up(&self, entry: &Entry, answer: &str, reason: GiveUpReason) {
+    fn log_given_up(&self, entry: &RequestRecord, answer: &str, reason: GiveUpReason) {
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
         let id = printable(&entry.id);
         let mut line = format!(
@@ -902,7 +913,7 @@
             );
             let end = Some((outcome, latency, None));
             self.stats.count(|c| c.ended(outcome));
-            let (task, progress, place) = (None, Rc::default(), Place::default());
+            let (task, progress, place) = (None, Rc::default(), BackendIdentity::default());
             let may_have_run = false;
             entry.attempts.push(Attempt {
                 server,
@@ -953,7 +964,7 @@
                 .iter()
                 .for_each(|e| e.attempt_ended(request, attempt, &mut exchange));
             if let Some(connection) = connection {
-                backends.give_back(&backend, connection).await;
+                backends.release(&backend, connection).await;
             }
         });
         self.stats.count(|c| c.attempts += 1);
@@ -974,15 +985,15 @@
     /// Whether the rules allow one more attempt of a request at a server. The balancer keeps them
     /// by itself: that it asks for what they forbid is a fault of its own, except where the list
     /// has changed since.
-    fn may_send(&self, entry: &Entry, backend: &Server) -> bool {
+    fn may_send(&self, entry: &RequestRecord, backend: &Backend) -> bool {
         if !backend.takes_new() {
-            self.stats.rules.withheld(Rule::Drain);
+            self.stats.rules.withheld(Invariant::Drain);
             return false;
         }
-        let earlier: Vec<Earlier> = entry
+        let earlier: Vec<PriorAttempt> = entry
             .attempts
             .iter()
-            .map(|a| Earlier {
+            .map(|a| PriorAttempt {
                 place: a.place,
                 out: a.task.is_some(),
                 may_have_run: a.may_have_run,
@@ -1064,9 +1075,9 @@
             };
             me.upgrade()
                 .iter()
-                .for_each(|e| e.feed(Event::LoadProbeEnded(probed)));
+                .for_each(|e| e.handle_event(Event::LoadProbeEnded(probed)));
             if let Some(connection) = exchange.connection {
-                backends.give_back(&backend, connection).await;
+                backends.release(&backend, connection).await;
             }
         });
     }
@@ -1086,7 +1097,7 @@
             let error = client::watch_once(&engine, address).await;
             if engine.discovery() == address {
                 engine.log(format_args!("watch: {error}"));
-                engine.feed(Event::EndpointList {
+                engine.handle_event(Event::EndpointList {
                     update: ListUpdate::Failed,
                     endpoints: Vec::new(),
                 });
@@ -1097,7 +1108,7 @@
 }
 
 /// An attempt's time, which runs from the last byte of its request.
-fn since(request: &Request<Outgoing>, began: Instant) -> Duration {
+fn since(request: &Request<RequestBody>, began: Instant) -> Duration {
     let whole = request.body().upload().and_then(|upload| upload.ended_at());
     whole.map_or(began, |at| began.max(at)).elapsed()
 }
@@ -1109,9 +1120,9 @@
 
 /// A request that the engine has taken.
 pub struct Taken {
-    engine: Option<Rc<Engine>>,
+    engine: Option<Rc<Dispatcher>>,
     id: RequestId,
-    answer: oneshot::Receiver<Answer>,
+    answer: oneshot::Receiver<FinalResponse>,
 }
 
 impl Taken {
@@ -1121,11 +1132,11 @@
     }
 
     /// The final answer, when `due` is over at the latest whatever the balancer does.
-    pub async fn answer(mut self, due: impl Future<Output = ()>) -> Answer {
+    pub async fn answer(mut self, due: impl Future<Output = ()>) -> FinalResponse {
         tokio::select! {
             biased;
-            answer = &mut self.answer => answer.unwrap_or(Answer::Failed),
-            () = due => Answer::Failed,
+            answer = &mut self.answer => answer.unwrap_or(FinalResponse::Failed),
+            () = due => FinalResponse::Failed,
         }
     }
 }
--- a/crates/proxy/src/resizable_semaphore.rs
+++ b/crates/proxy/src/resizable_semaphore.rs
@@ -5,17 +5,17 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 /// See the module's own words.
-pub struct Places {
+pub struct ResizableSemaphore {
     free: Arc<Semaphore>,
     most: Cell<usize>,
     /// Places taken beyond `most`: they go as they come free.
     owed: Cell<usize>,
 }
 
-impl Places {
+impl ResizableSemaphore {
     /// So many.
     pub fn new(most: usize) -> Self {
-        Places {
+        ResizableSemaphore {
             free: Arc::new(Semaphore::new(most)),
             most: Cell::new(most),
             owed: Cell::new(0),
--- a/crates/proxy/src/resizable_semaphore_tests.rs
+++ b/crates/proxy/src/resizable_semaphore_tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn fewer_places_are_reached_as_those_taken_come_free() {
-    let places = Places::new(4);
+    let places = ResizableSemaphore::new(4);
     let mut taken: Vec<_> = (0..3).map(|_| places.take().expect("a place")).collect();
     places.resize(2);
     assert!(places.short() && places.take().is_none());
--- a/crates/proxy/src/send_invariants.rs
+++ b/crates/proxy/src/send_invariants.rs
@@ -18,7 +18,7 @@
 
 /// A rule that holds something back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
+pub enum Invariant {
     /// The server drains, has left or is left out, or is another process by now.
     Drain,
     /// The client has its answer, or has left.
@@ -39,7 +39,7 @@
 
 /// Where a server stands, for the groups that drop repeats.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct BackendIdentity {
     /// Its zone.
     pub zone: u8,
     /// Its cell.
@@ -48,9 +48,9 @@
 
 /// An earlier attempt of the same request.
 #[derive(Clone, Copy, Debug)]
-pub struct Earlier {
+pub struct PriorAttempt {
     /// Where it went.
-    pub place: Place,
+    pub place: BackendIdentity,
     /// It has not ended.
     pub out: bool,
     /// It may have run, or may yet.
@@ -73,19 +73,19 @@
 }
 
 /// Whether an attempt may begin at this moment, by what changes while it waits for a connection.
-pub fn may_begin(now: Instant, facts: &AttemptFacts) -> Result<(), Rule> {
+pub fn may_begin(now: Instant, facts: &AttemptFacts) -> Result<(), Invariant> {
     if !facts.server_takes_new {
-        return Err(Rule::Drain);
+        return Err(Invariant::Drain);
     }
     if !facts.client_waits {
-        return Err(Rule::Answered);
+        return Err(Invariant::Answered);
     }
     let too_old = facts.told.is_some_and(|told| now > told + TOLD_IN_TIME);
     if too_old || facts.until.is_some_and(|until| now >= until) {
-        return Err(Rule::Deadline);
+        return Err(Invariant::Deadline);
     }
     if facts.repeat_by.is_some_and(|by| now >= by) {
-        return Err(Rule::Window);
+        return Err(Invariant::Window);
     }
     Ok(())
 }
@@ -94,11 +94,11 @@
 pub fn may_repeat(
     effect: Idempotency,
     second_copies: bool,
-    to: Place,
-    earlier: &[Earlier],
-) -> Result<(), Rule> {
+    to: BackendIdentity,
+    earlier: &[PriorAttempt],
+) -> Result<(), Invariant> {
     if !second_copies && earlier.iter().any(|attempt| attempt.out) {
-        return Err(Rule::SecondCopy);
+        return Err(Invariant::SecondCopy);
     }
     let Some(risky) = earlier
         .iter()
@@ -122,41 +122,41 @@
             ..
         } => risky.place.cell == to.cell,
     };
-    allowed.then_some(()).ok_or(Rule::Repeat)
+    allowed.then_some(()).ok_or(Invariant::Repeat)
 }
 
 /// Whether the node may close a client's connection of its own accord.
-pub fn may_close(request_in_hand: bool, unread: bool) -> Result<(), Rule> {
+pub fn may_close(request_in_hand: bool, unread: bool) -> Result<(), Invariant> {
     if request_in_hand || unread {
-        Err(Rule::Close)
+        Err(Invariant::Close)
     } else {
         Ok(())
     }
 }
 
 /// Whether the process may end, with so many requests open.
-pub fn may_end(open_requests: usize) -> Result<(), Rule> {
+pub fn may_end(open_requests: usize) -> Result<(), Invariant> {
     match open_requests {
         0 => Ok(()),
-        _ => Err(Rule::End),
+        _ => Err(Invariant::End),
     }
 }
 
 /// Counts by rule, for the log.
 #[derive(Default)]
-pub struct RuleCounts {
-    withheld: RefCell<BTreeMap<Rule, u32>>,
-    violations: RefCell<BTreeMap<Rule, u32>>,
+pub struct InvariantCounts {
+    withheld: RefCell<BTreeMap<Invariant, u32>>,
+    violations: RefCell<BTreeMap<Invariant, u32>>,
 }
 
-impl RuleCounts {
+impl InvariantCounts {
     /// Something was held back in time.
-    pub fn withheld(&self, rule: Rule) {
+    pub fn withheld(&self, rule: Invariant) {
         *self.withheld.borrow_mut().entry(rule).or_default() += 1;
     }
 
     /// Something was asked for, or done, that no rule allows.
-    pub fn violated(&self, rule: Rule) {
+    pub fn violated(&self, rule: Invariant) {
         *self.violations.borrow_mut().entry(rule).or_default() += 1;
     }
 
--- a/crates/proxy/src/send_invariants_tests.rs
+++ b/crates/proxy/src/send_invariants_tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
-const HERE: Place = Place { zone: 0, cell: 1 };
-const SAME_ZONE: Place = Place { zone: 0, cell: 2 };
-const ELSEWHERE: Place = Place { zone: 1, cell: 3 };
-const RAN: Earlier = Earlier {
+const HERE: BackendIdentity = BackendIdentity { zone: 0, cell: 1 };
+const SAME_ZONE: BackendIdentity = BackendIdentity { zone: 0, cell: 2 };
+const ELSEWHERE: BackendIdentity = BackendIdentity { zone: 1, cell: 3 };
+const RAN: PriorAttempt = PriorAttempt {
     place: HERE,
     out: false,
     may_have_run: true,
 };
-const OUT: Earlier = Earlier {
+const OUT: PriorAttempt = PriorAttempt {
     place: HERE,
     out: true,
     may_have_run: true,
 };
-const NEVER_RAN: Earlier = Earlier {
+const NEVER_RAN: PriorAttempt = PriorAttempt {
     place: HERE,
     out: false,
     may_have_run: false,
@@ -46,7 +46,7 @@
                 ..fine
             }
         ),
-        Err(Rule::Drain)
+        Err(Invariant::Drain)
     );
     assert_eq!(
         may_begin(
@@ -56,7 +56,7 @@
                 ..fine
             }
         ),
-        Err(Rule::Answered)
+        Err(Invariant::Answered)
     );
     assert_eq!(
         may_begin(
@@ -66,7 +66,7 @@
                 ..fine
             }
         ),
-        Err(Rule::Deadline)
+        Err(Invariant::Deadline)
     );
     assert_eq!(
         may_begin(
@@ -76,7 +76,7 @@
                 ..fine
             }
         ),
-        Err(Rule::Window)
+        Err(Invariant::Window)
     );
     let held_up = now + TOLD_IN_TIME + Duration::from_millis(1);
     let long = AttemptFacts {
@@ -84,7 +84,7 @@
         repeat_by: None,
         ..fine
     };
-    assert_eq!(may_begin(held_up, &long), Err(Rule::Deadline));
+    assert_eq!(may_begin(held_up, &long), Err(Invariant::Deadline));
     assert_eq!(
         may_begin(held_up, &AttemptFacts { told: None, ..long }),
         Ok(())
@@ -107,12 +107,15 @@
         );
         assert_eq!(
             may_repeat(effect, false, HERE, &[OUT]),
-            Err(Rule::SecondCopy)
+            Err(Invariant::SecondCopy)
         );
     }
     let may = |effect, to| may_repeat(effect, true, to, &[NEVER_RAN, RAN]);
     assert_eq!(may(Idempotency::Idempotent, ELSEWHERE), Ok(()));
-    assert_eq!(may(Idempotency::NonIdempotent, HERE), Err(Rule::Repeat));
+    assert_eq!(
+        may(Idempotency::NonIdempotent, HERE),
+        Err(Invariant::Repeat)
+    );
     assert_eq!(may(keyed(KeyScope::All), ELSEWHERE), Ok(()));
     assert_eq!(
         (
@@ -121,30 +124,36 @@
         ),
         (Ok(()), Ok(()))
     );
-    assert_eq!(may(keyed(KeyScope::Zone), ELSEWHERE), Err(Rule::Repeat));
-    assert_eq!(may(keyed(KeyScope::Cell), SAME_ZONE), Err(Rule::Repeat));
+    assert_eq!(
+        may(keyed(KeyScope::Zone), ELSEWHERE),
+        Err(Invariant::Repeat)
+    );
+    assert_eq!(
+        may(keyed(KeyScope::Cell), SAME_ZONE),
+        Err(Invariant::Repeat)
+    );
     assert_eq!(
         may_repeat(Idempotency::NonIdempotent, true, HERE, &[OUT]),
-        Err(Rule::Repeat)
+        Err(Invariant::Repeat)
     );
 }
 
 #[test]
 fn counts_are_written_once() {
-    let counts = RuleCounts::default();
-    counts.withheld(Rule::Drain);
-    counts.withheld(Rule::Drain);
-    counts.violated(Rule::Repeat);
+    let counts = InvariantCounts::default();
+    counts.withheld(Invariant::Drain);
+    counts.withheld(Invariant::Drain);
+    counts.violated(Invariant::Repeat);
     let mut line = String::new();
     counts.write_to(&mut line).expect("a line");
     counts.write_to(&mut line).expect("a line");
     assert_eq!(line, " withheld_Drain=2 violations_Repeat=1");
     assert_eq!(
         (may_close(false, false), may_close(true, false)),
-        (Ok(()), Err(Rule::Close))
+        (Ok(()), Err(Invariant::Close))
     );
     assert_eq!(
         (may_close(false, true), may_end(0), may_end(1)),
-        (Err(Rule::Close), Ok(()), Err(Rule::End))
+        (Err(Invariant::Close), Ok(()), Err(Invariant::End))
     );
 }
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -38,7 +38,7 @@
 
 /// See the module's own words.
 #[derive(Default)]
-pub struct Starts {
+pub struct StartTimes {
     known: FxHashMap<String, Known>,
     returned: FxHashMap<String, Returned>,
     reference: Option<Reference>,
@@ -46,7 +46,7 @@
     following: bool,
 }
 
-impl Starts {
+impl StartTimes {
     /// Takes in the stamps of a list before its servers are asked for. They tell how far the clock
     /// has come by which servers are stamped.
     pub fn hear(&mut self, now: Time, stamps: impl Iterator<Item = Duration>) {
--- a/crates/proxy/src/start_times_tests.rs
+++ b/crates/proxy/src/start_times_tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn list(
-    starts: &mut Starts,
+    starts: &mut StartTimes,
     now: Time,
     wall: Duration,
     stamps: &[(&str, Duration)],
@@ -33,7 +33,7 @@
         STAMPED.checked_sub(SECOND).unwrap(),
     ] {
         for wall in [STAMPED, STAMPED + HOUR, STAMPED.checked_sub(HOUR).unwrap()] {
-            let mut starts = Starts::default();
+            let mut starts = StartTimes::default();
             list(
                 &mut starts,
                 at(0),
@@ -73,7 +73,7 @@
         STAMPED + 5 * SECOND,
         STAMPED.checked_sub(5 * SECOND).unwrap(),
     ] {
-        let told = list(&mut Starts::default(), at(100), wall, &stamps);
+        let told = list(&mut StartTimes::default(), at(100), wall, &stamps);
         assert!(told[0] >= Some(at(99)), "{wall:?}");
         assert!(
             told[1] < Some(Time(0) + 16 * HOUR) && told[1] > Some(Time(0) + 12 * HOUR),
@@ -83,7 +83,7 @@
     }
     // The clock of all went back an hour, and one server has started since.
     let told = list(
-        &mut Starts::default(),
+        &mut StartTimes::default(),
         at(9),
         STAMPED.checked_sub(HOUR).unwrap(),
         &[("a", STAMPED), ("b", STAMPED.checked_sub(HOUR).unwrap())],
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_server_that_is_listed_again_is_as_old_as_it_was() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     list(
         &mut starts,
         at(0),
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_call_back_is_a_start_and_once() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     list(&mut starts, at(0), STAMPED, &[("a", Duration::ZERO)]);
     let name = "a".to_owned();
     starts.hear_returned(at(7), [(&name, &3)].into_iter());
@@ -130,7 +130,7 @@
 
 #[test]
 fn servers_long_gone_are_forgotten() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     for k in 0..1000 {
         let name = format!("s{k}");
         starts.started(at(k), STAMPED, &name, STAMPED);
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -1,13 +1,17 @@
 //! The servers' side: their addresses and states, connections to them, and what is sent over these.
 
-use crate::discovery::client::{Member, Phase, ServerList};
-use crate::http1::head_filter::{self, Gate, Guard, Head, Next, Problem, HELD_BODY};
-use crate::http1::streaming::{hold, Outgoing, Passed, Passing, Sending};
-use crate::metrics::Stats;
-use crate::operator_state::store::Word;
-use crate::resizable_semaphore::Places;
-use crate::send_invariants::{self, AttemptFacts, Place, Rule};
-use crate::start_times::Starts;
+use crate::discovery::client::{EndpointList, EndpointPhase, ListedEndpoint};
+use crate::http1::head_filter::{
+    self, Expected, Head, HeadFilter, MessagePolicy, Problem, HELD_BODY,
+};
+use crate::http1::streaming::{
+    buffer_body, RequestBody, RequestBodyStream, StreamOutcome, StreamingResponse,
+};
+use crate::metrics::Metrics;
+use crate::operator_state::store::OperatorState;
+use crate::resizable_semaphore::ResizableSemaphore;
+use crate::send_invariants::{self, AttemptFacts, BackendIdentity, Invariant};
+use crate::start_times::StartTimes;
 use crate::transient_errors;
 use balancer::{
     AttemptOutcome, BackendId, Endpoint, EndpointState, LoadReport, MachineTypeId, Time, ZoneId,
@@ -50,7 +54,7 @@
 pub const MOST_BUFFERED: usize = 32 << 10;
 
 /// One server, as long as the list names it or something is out there.
-pub struct Server {
+pub struct Backend {
     /// Its id at this node.
     pub id: BackendId,
     name: String,
@@ -68,11 +72,11 @@
     place: Cell<(ZoneId, MachineTypeId, u16)>,
 }
 
-impl Server {
+impl Backend {
     /// Where it stands.
-    pub fn place(&self) -> Place {
+    pub fn place(&self) -> BackendIdentity {
         let (zone, _, cell) = self.place.get();
-        Place { zone: zone.0, cell }
+        BackendIdentity { zone: zone.0, cell }
     }
 
     /// Whether anything new may go there.
@@ -106,7 +110,7 @@
 
 /// One connection to a server; dropping it closes it.
 pub struct Connection {
-    sender: http1::SendRequest<Sending>,
+    sender: http1::SendRequest<RequestBodyStream>,
     driver: AbortHandle,
     /// Not a hold on it: it is closed with its driver, also while the connection is idle.
     socket: Weak<TcpStream>,
@@ -136,7 +140,7 @@
 }
 
 /// Asked right before the first byte of a request is written.
-type WriteCheck = Box<dyn Fn() -> Result<(), Rule>>;
+type WriteCheck = Box<dyn Fn() -> Result<(), Invariant>>;
 
 /// Whether the request that is to be written next may be.
 #[derive(Default)]
@@ -146,19 +150,19 @@
 }
 
 /// Reads the heads of answers. What is no good ends the connection, and with it the attempt.
-struct Answers {
+struct ResponsePolicy {
     more: Rc<Cell<bool>>,
     permit: Rc<WritePermit>,
 }
 
-impl Guard for Answers {
-    const BETWEEN: Next = Next::Nothing;
+impl MessagePolicy for ResponsePolicy {
+    const BETWEEN: Expected = Expected::Nothing;
 
     fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
         head_filter::answer_head(bytes)
     }
 
-    fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
+    fn reject(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
         Err(std::io::Error::new(
             std::io::ErrorKind::InvalidData,
             problem.1,
@@ -181,11 +185,11 @@
 }
 
 /// The body of an answer.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it is here.
     Whole(Bytes),
     /// More of it is to come.
-    Passing(Passing),
+    StreamingResponse(StreamingResponse),
 }
 
 /// What a server's answer comes to.
@@ -195,9 +199,9 @@
     /// The load report that came along.
     pub report: Option<LoadReport>,
     /// The answer to pass on, of one that was served.
-    pub answer: Option<Response<AnswerBody>>,
+    pub answer: Option<Response<ResponseBody>>,
     /// Tells how an answer ends that is still to come.
-    pub passing: Option<oneshot::Receiver<Passed>>,
+    pub passing: Option<oneshot::Receiver<StreamOutcome>>,
     /// The connection, if it is good for another request.
     pub connection: Option<Connection>,
     /// What was wrong with the connection or the answer, where that is known.
@@ -265,19 +269,19 @@
 }
 
 /// All servers and the connections to them.
-pub struct Backends {
+pub struct BackendRegistry {
     limits: Limits,
     names: Names,
     fields: Vec<Field>,
-    slots: Places,
-    by_name: RefCell<FxHashMap<String, Rc<Server>>>,
-    by_id: RefCell<FxHashMap<BackendId, Rc<Server>>>,
+    slots: ResizableSemaphore,
+    by_name: RefCell<FxHashMap<String, Rc<Backend>>>,
+    by_id: RefCell<FxHashMap<BackendId, Rc<Backend>>>,
     next_id: Cell<u32>,
     /// When servers started.
-    starts: RefCell<Starts>,
+    starts: RefCell<StartTimes>,
     /// What operators have said of backends. It outlives what lists say of them.
-    word: RefCell<Word>,
-    stats: Rc<Stats>,
+    word: RefCell<OperatorState>,
+    stats: Rc<Metrics>,
 }
 
 /// Names the header of a load report.
@@ -285,11 +289,11 @@
 /// Marks an answer that proves that the request was not run.
 const NOT_PROCESSED: HeaderName = HeaderName::from_static("x-not-processed");
 
-impl Backends {
+impl BackendRegistry {
     /// Starts with no servers.
     pub fn new(limits: Limits, names: Names, fields: Vec<Field>) -> Self {
-        Backends {
-            slots: Places::new(limits.connections),
+        BackendRegistry {
+            slots: ResizableSemaphore::new(limits.connections),
             limits,
             names,
             fields,
@@ -298,17 +302,17 @@
             next_id: Cell::new(0),
             starts: RefCell::default(),
             word: RefCell::default(),
-            stats: Rc::new(Stats::new()),
+            stats: Rc::new(Metrics::new()),
         }
     }
 
     /// The server with this id, if it is listed.
-    pub fn get(&self, id: BackendId) -> Option<Rc<Server>> {
+    pub fn get(&self, id: BackendId) -> Option<Rc<Backend>> {
         self.by_id.borrow().get(&id).cloned()
     }
 
     /// The node's counters.
-    pub fn stats(&self) -> Rc<Stats> {
+    pub fn stats(&self) -> Rc<Metrics> {
         self.stats.clone()
     }
 
@@ -324,12 +328,17 @@
 
     // ---- the list ----
     /// Brings the servers in line with a list and puts it in the balancer's terms.
-    pub fn take_list(&self, now: Time, list: &ServerList, source: Source) -> Vec<Endpoint> {
+    pub fn apply_endpoint_list(
+        &self,
+        now: Time,
+        list: &EndpointList,
+        source: Source,
+    ) -> Vec<Endpoint> {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let mut starts = self.starts.borrow_mut();
-        starts.hear(now, list.members.iter().map(Member::stamp));
+        starts.hear(now, list.members.iter().map(ListedEndpoint::stamp));
         let mut by_name = self.by_name.borrow_mut();
         let mut by_id = self.by_id.borrow_mut();
         let word = self.word.borrow();
@@ -349,9 +358,9 @@
         let mut entries = Vec::with_capacity(list.members.len());
         for member in &list.members {
             let listed = match member.phase {
-                Phase::Active => EndpointState::Active,
-                Phase::Leaving => EndpointState::Draining,
-                Phase::Left => EndpointState::Removed,
+                EndpointPhase::Active => EndpointState::Active,
+                EndpointPhase::Leaving => EndpointState::Draining,
+                EndpointPhase::Left => EndpointState::Removed,
             };
             let started = starts.started(now, wall, &member.id, member.stamp());
             let state = state(&word, &member.id, listed);
@@ -360,7 +369,7 @@
                 (None, Some(address)) if state != EndpointState::Removed => {
                     let id = BackendId(self.next_id.get());
                     self.next_id.set(id.0.wrapping_add(1));
-                    let server = Rc::new(Server {
+                    let server = Rc::new(Backend {
                         id,
                         name: member.id.clone(),
                         address: Cell::new(address),
@@ -413,7 +422,7 @@
     // ---- maintenance ----
     /// Goes by what operators have said, from now on and whatever lists say. Returns what changes
     /// for the balancer.
-    pub fn heed(&self, now: Time, word: &Word) -> Vec<Endpoint> {
+    pub fn apply_operator_state(&self, now: Time, word: &OperatorState) -> Vec<Endpoint> {
         *self.word.borrow_mut() = word.clone();
         let mut starts = self.starts.borrow_mut();
         starts.hear_returned(now, word.returned.iter());
@@ -455,7 +464,7 @@
 
     // ---- connections ----
     /// The most recently used idle connection that has been quiet since, or a new one.
-    async fn checkout(&self, server: &Server) -> Result<Connection, AttemptOutcome> {
+    async fn acquire(&self, server: &Backend) -> Result<Connection, AttemptOutcome> {
         while let Some(connection) = self.take_idle(server) {
             if connection.good() {
                 return Ok(connection);
@@ -476,16 +485,16 @@
         // Word may have come meanwhile that the server moved or restarted: what answers at the
         // address that it had is another's, or gone.
         if generation != server.generation.get() {
-            self.stats.rules.withheld(Rule::Drain);
+            self.stats.rules.withheld(Invariant::Drain);
             return Err(AttemptOutcome::NotSent);
         }
         let _ = stream.set_nodelay(true);
         let (stream, more) = (Rc::new(stream), Rc::new(Cell::new(false)));
         let write_permit: Rc<WritePermit> = Rc::default();
         let socket = Rc::downgrade(&stream);
-        let gate = Gate::new(
+        let gate = HeadFilter::new(
             stream,
-            Answers {
+            ResponsePolicy {
                 more: more.clone(),
                 permit: write_permit.clone(),
             },
@@ -506,7 +515,7 @@
         })
     }
 
-    fn take_idle(&self, server: &Server) -> Option<Connection> {
+    fn take_idle(&self, server: &Backend) -> Option<Connection> {
         let mut idle = server.idle.borrow_mut();
         let rested = QUARANTINE..self.retire_after();
         let at = idle
@@ -543,7 +552,7 @@
 
     fn close_longest_idle(&self) {
         let by_id = self.by_id.borrow();
-        let idle = |s: &Rc<Server>| s.idle.borrow().first().map(|i| i.since);
+        let idle = |s: &Rc<Backend>| s.idle.borrow().first().map(|i| i.since);
         if let Some((_, server)) = by_id
             .values()
             .filter_map(|s| Some((idle(s)?, s)))
@@ -554,7 +563,7 @@
     }
 
     /// Takes back a connection after its answer has been read.
-    pub async fn give_back(&self, server: &Server, mut connection: Connection) {
+    pub async fn release(&self, server: &Backend, mut connection: Connection) {
         let settled = matches!(timeout(SETTLE, connection.sender.ready()).await, Ok(Ok(())));
         if settled
             && connection.good()
@@ -589,8 +598,8 @@
     /// first byte has gone.
     pub async fn attempt(
         &self,
-        server: &Rc<Server>,
-        request: Request<Outgoing>,
+        server: &Rc<Backend>,
+        request: Request<RequestBody>,
         until: Instant,
         terms: AttemptTerms,
         progress: Rc<Cell<Progress>>,
@@ -604,7 +613,7 @@
         let mut request = Request::from_parts(head, sending);
         let time_runs = body.upload().is_none();
         let exchange = async {
-            let connection = match self.checkout(server).await {
+            let connection = match self.acquire(server).await {
                 Ok(connection) => connection,
                 Err(outcome) => return Exchange::failed(outcome),
             };
@@ -625,7 +634,7 @@
             // Connecting took time, in which anything may have changed; and some more passes before
             // the writing.
             if check(None).is_err() {
-                self.give_back(server, connection).await;
+                self.release(server, connection).await;
                 return Exchange::failed(AttemptOutcome::NotSent);
             }
             let left = until.saturating_duration_since(reckoned);
@@ -677,15 +686,15 @@
     }
 
     /// Asks a server for its load.
-    pub async fn probe(&self, server: &Server, limit: Duration) -> Exchange {
+    pub async fn probe(&self, server: &Backend, limit: Duration) -> Exchange {
         let exchange = async {
-            let connection = match self.checkout(server).await {
+            let connection = match self.acquire(server).await {
                 Ok(connection) => connection,
                 Err(outcome) => return Exchange::failed(outcome),
             };
             let request = Request::get("/stats").header("host", server.address.get().to_string());
             let request = request
-                .body(Sending::default())
+                .body(RequestBodyStream::default())
                 .expect("a fixed path and an address are valid");
             self.exchange(connection, request, false).await
         };
@@ -697,7 +706,7 @@
     async fn exchange(
         &self,
         mut connection: Connection,
-        request: Request<Sending>,
+        request: Request<RequestBodyStream>,
         attempt: bool,
     ) -> Exchange {
         let response = match connection.sender.try_send_request(request).await {
@@ -724,7 +733,7 @@
         let whole = if let Some(true) = large {
             false
         } else {
-            let holding = hold(&mut held, &mut body);
+            let holding = buffer_body(&mut held, &mut body);
             // Who waits for it to be whole could wait for as long as a trickle lasts.
             let held = match large {
                 None if served => timeout(HELD_FOR, holding).await.unwrap_or(Ok(false)),
@@ -737,16 +746,16 @@
         };
         let (held, mut passing, mut connection) = (held.freeze(), None, Some(connection));
         let body = match whole {
-            true => AnswerBody::Whole(held.clone()),
+            true => ResponseBody::Whole(held.clone()),
             false if served && attempt => {
-                let (body, ended) = Passing::new(held.clone(), body);
+                let (body, ended) = StreamingResponse::new(held.clone(), body);
                 passing = Some(ended);
-                AnswerBody::Passing(body)
+                ResponseBody::StreamingResponse(body)
             }
             // Nobody wants the rest.
             false => {
                 connection = None;
-                AnswerBody::Whole(Bytes::new())
+                ResponseBody::Whole(Bytes::new())
             }
         };
         let report = match attempt {
@@ -778,7 +787,7 @@
 }
 
 /// Reads a load report field by field, with no map in between: one comes with every probe.
-struct ReportReader<'a>(&'a Backends);
+struct ReportReader<'a>(&'a BackendRegistry);
 
 impl<'de> DeserializeSeed<'de> for ReportReader<'_> {
     type Value = LoadReport;
@@ -831,7 +840,7 @@
     }
 }
 
-type Driver = http1::Connection<TokioIo<Gate<Answers>>, Sending>;
+type Driver = http1::Connection<TokioIo<HeadFilter<ResponsePolicy>>, RequestBodyStream>;
 
 async fn drive(connection: Driver, permit: OwnedSemaphorePermit) {
     let _ = connection.await;
@@ -850,7 +859,7 @@
 }
 
 /// A server's state by a list, under what operators have said of it.
-fn state(word: &Word, name: &str, listed: EndpointState) -> EndpointState {
+fn state(word: &OperatorState, name: &str, listed: EndpointState) -> EndpointState {
     match listed {
         EndpointState::Active if word.out.contains(name) => EndpointState::Draining,
         listed => listed,
