--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -251,7 +251,7 @@
             }
             // Never one on which a request has come that was not read yet.
             ConnectionState::New if age >= FIRST => {
-                stats.turned_down("nothing came");
+                stats.count_rejected_message("nothing came");
                 self.leave();
             }
             // Who has closed waits for nothing. Hyper sees that only where nothing stands before
@@ -438,7 +438,7 @@
         for client in going.iter().take(self.slots.most().div_ceil(EVICTED_PART)) {
             self.engine
                 .stats()
-                .turned_down(client.stage.get().evicted());
+                .count_rejected_message(client.stage.get().evicted());
             client.leave();
         }
     }
@@ -455,7 +455,7 @@
     ) {
         let _ = stream.set_nodelay(true);
         let came_with_it = !head_filter::quiet(&stream);
-        self.engine.stats().count(|c| c.accepted += 1);
+        self.engine.stats().count(|c| c.connections_accepted += 1);
         let client = Rc::new(ClientConnection {
             socket: Rc::new(stream),
             stage: Cell::new(ConnectionState::New),
@@ -502,12 +502,14 @@
                 .extensions()
                 .get()
                 .iter()
-                .for_each(|why: &&RejectedRequest| self.engine.stats().turned_down(why.0));
+                .for_each(|why: &&RejectedRequest| {
+                    self.engine.stats().count_rejected_message(why.0)
+                });
             // A client that is told to close goes elsewhere next. Where places run short each is:
             // many ask once and keep their connection, and until those may be closed nobody else
             // would get in.
             if *self.phase.borrow() > ShutdownPhase::Serving || self.scarce() {
-                self.engine.stats().count(|c| c.told_to_close += 1);
+                self.engine.stats().count(|c| c.connection_close_sent += 1);
                 close(&mut response);
             }
             if let ResponseBody::StreamingResponse(_) = response.body().body {
@@ -537,7 +539,10 @@
             }
             if client.stage.get() == ConnectionState::Leaving {
                 if client.crossed() {
-                    self.engine.stats().rules.withheld(Invariant::Close);
+                    self.engine
+                        .stats()
+                        .invariants
+                        .prevented(Invariant::ConnectionClose);
                     client.stage.set(client.left.get());
                     continue;
                 }
@@ -871,7 +876,9 @@
 /// Logs a failed `accept`, and waits where the next would fail as well.
 pub async fn accept_failed(engine: &Dispatcher, what: &str, error: &std::io::Error) {
     if transient_errors::is_one_connections(error) {
-        return engine.stats().turned_down("ended before it was accepted");
+        return engine
+            .stats()
+            .count_rejected_message("ended before it was accepted");
     }
     engine.log(format_args!("{what}: {error}"));
     tokio::time::sleep(ACCEPT_PAUSE).await;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the node counts for its log, and how much it says of single requests.
+//! Counters for the node's log, and the limit on log lines about single requests.
 
 use crate::send_invariants::InvariantCounts;
 use balancer::{AttemptOutcome, ClassId, GiveUpReason};
@@ -8,162 +8,174 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the counters are written.
-pub const EVERY: Duration = Duration::from_secs(5);
-/// Most requests given up for one reason that are written one by one, in the time between two lines
-/// of counters: a flood of one kind must not hide the others.
-const MOST_SINGLE: u32 = 10;
+/// Interval between two log lines of counters.
+pub const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// Lines about single requests in one interval, for each reason to give up: a flood of one kind must
+/// not hide the others.
+const MAX_LINES_PER_REASON: u32 = 10;
 
-/// Counters since the last line of them.
+/// Counters of one interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
     /// Client connections accepted.
-    pub accepted: u64,
-    /// Answers that told their client to close its connection.
-    pub told_to_close: u64,
-    /// Requests taken.
+    pub connections_accepted: u64,
+    /// Responses with `Connection: close`.
+    pub connection_close_sent: u64,
+    /// Requests accepted.
     pub requests: u64,
-    /// Answered with a server's answer.
+    /// Requests answered with a backend's response.
     pub served: u64,
-    /// Answered as refused.
-    pub refused: u64,
-    /// Answered as failed.
+    /// Requests answered as rejected.
+    pub rejected: u64,
+    /// Requests answered as failed.
     pub failed: u64,
-    /// Clients that left before their answer.
-    pub gone: u64,
-    /// Attempts begun.
+    /// Requests whose client disconnected before its response.
+    pub client_disconnected: u64,
+    /// Attempts started.
     pub attempts: u64,
-    /// Of these: answered with an error ...
-    pub errors: u64,
-    /// ... turned away unseen ...
-    pub turned_away: u64,
-    /// ... not answered in time ...
+    /// Attempts answered with an error.
+    pub server_errors: u64,
+    /// Attempts rejected without being executed.
+    pub attempts_rejected: u64,
+    /// Attempts not answered in time.
     pub timed_out: u64,
-    /// ... without a connection ...
-    pub unreachable: u64,
-    /// ... on a connection that broke ...
-    pub broken: u64,
-    /// ... withdrawn, or not sent for the node's own reasons.
-    pub unsent: u64,
-    /// Answers passed on as they came ...
-    pub passed_on: u64,
-    /// ... of which so many ended too soon.
-    pub cut: u64,
-    /// Upstream connections opened.
-    pub connects: u64,
-    /// Requests given up that were not written one by one.
-    pub suppressed: u64,
+    /// Attempts without a connection.
+    pub connect_failed: u64,
+    /// Attempts whose connection broke.
+    pub connection_reset: u64,
+    /// Attempts cancelled, or not sent for the node's own reasons.
+    pub not_sent: u64,
+    /// Responses streamed to their clients.
+    pub streamed: u64,
+    /// Streamed responses that ended early.
+    pub stream_aborted: u64,
+    /// Connections to backends opened.
+    pub backend_connects: u64,
+    /// Requests given up without a log line of their own.
+    pub unlogged: u64,
 }
 
 impl Counters {
     /// Counts the end of an attempt.
-    pub fn ended(&mut self, outcome: AttemptOutcome) {
+    pub fn count_attempt_end(&mut self, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Success => {}
-            AttemptOutcome::ServerError => self.errors += 1,
-            AttemptOutcome::Rejected => self.turned_away += 1,
+            AttemptOutcome::ServerError => self.server_errors += 1,
+            AttemptOutcome::Rejected => self.attempts_rejected += 1,
             AttemptOutcome::TimedOut => self.timed_out += 1,
-            AttemptOutcome::ConnectFailed => self.unreachable += 1,
-            AttemptOutcome::ConnectionReset => self.broken += 1,
-            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => self.unsent += 1,
+            AttemptOutcome::ConnectFailed => self.connect_failed += 1,
+            AttemptOutcome::ConnectionReset => self.connection_reset += 1,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => self.not_sent += 1,
         }
     }
+
+    fn is_idle(&self) -> bool {
+        self.requests + self.connections_accepted + self.attempts == 0
+    }
 }
 
-/// How the requests of one class ended since the last line of counters.
+/// Counters of one class of requests.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Requests taken.
+    /// Requests accepted.
     pub requests: u32,
-    /// Answered with a server's answer ...
+    /// Requests answered with a backend's response.
     pub served: u32,
-    /// ... and of these after the class's aim.
+    /// Requests served later than the class's latency objective.
     pub late: u32,
-    /// Given up, by what for.
+    /// Requests given up, by reason.
     pub given_up: BTreeMap<GiveUpReason, u32>,
 }
 
-/// Counters for the log.
+/// The node's counters. Reading a group of them resets it.
 pub struct Metrics {
-    counts: Cell<Counters>,
+    counters: Cell<Counters>,
     classes: RefCell<FxHashMap<ClassId, ClassCounters>>,
-    since: Cell<Instant>,
-    single: RefCell<FxHashMap<GiveUpReason, u32>>,
-    turned_down: RefCell<FxHashMap<&'static str, u32>>,
-    broken: Cell<u32>,
-    /// What rules have held back, and what was asked for against them.
-    pub rules: InvariantCounts,
+    interval_start: Cell<Instant>,
+    logged_by_reason: RefCell<FxHashMap<GiveUpReason, u32>>,
+    rejected_messages: RefCell<FxHashMap<&'static str, u32>>,
+    logged_errors: Cell<u32>,
+    /// What invariants have prevented, and what was requested against them.
+    pub invariants: InvariantCounts,
 }
 
 impl Metrics {
-    /// All zero.
+    /// Creates counters of zero.
     pub fn new() -> Self {
         Metrics {
-            counts: Cell::default(),
+            counters: Cell::default(),
             classes: RefCell::default(),
-            since: Cell::new(Instant::now()),
-            single: RefCell::default(),
-            turned_down: RefCell::default(),
-            broken: Cell::new(0),
-            rules: InvariantCounts::default(),
+            interval_start: Cell::new(Instant::now()),
+            logged_by_reason: RefCell::default(),
+            rejected_messages: RefCell::default(),
+            logged_errors: Cell::new(0),
+            invariants: InvariantCounts::default(),
         }
     }
 
-    /// Changes a counter.
+    /// Changes the counters.
     pub fn count(&self, change: impl FnOnce(&mut Counters)) {
-        let mut counts = self.counts.get();
-        change(&mut counts);
-        self.counts.set(counts);
+        let mut counters = self.counters.get();
+        change(&mut counters);
+        self.counters.set(counters);
     }
 
-    /// Changes a class's counters.
+    /// Changes the counters of a class.
     pub fn count_class(&self, class: ClassId, change: impl FnOnce(&mut ClassCounters)) {
         change(self.classes.borrow_mut().entry(class).or_default());
     }
 
-    /// The classes' counters since this was last asked, in the order of the settings.
+    /// Reads and resets the classes' counters, in the order of the settings.
     pub fn take_classes(&self) -> Vec<(ClassId, ClassCounters)> {
-        let mut counts: Vec<_> = self.classes.borrow_mut().drain().collect();
-        counts.sort_unstable_by_key(|c| c.0);
-        counts
+        let mut counters: Vec<_> = self.classes.borrow_mut().drain().collect();
+        counters.sort_unstable_by_key(|(class, _)| *class);
+        counters
     }
 
-    /// Whether one more request given up may be written by itself; counts it if not.
-    pub fn single(&self, reason: GiveUpReason) -> bool {
-        let mut single = self.single.borrow_mut();
-        let written = single.entry(reason).or_default();
-        if *written < MOST_SINGLE {
-            *written += 1;
+    /// Whether one more request given up for this reason may have a log line of its own; counts it as
+    /// unlogged if not.
+    pub fn may_log_request(&self, reason: GiveUpReason) -> bool {
+        let mut logged_by_reason = self.logged_by_reason.borrow_mut();
+        let logged = logged_by_reason.entry(reason).or_default();
+        if *logged < MAX_LINES_PER_REASON {
+            *logged += 1;
             return true;
         }
-        self.count(|c| c.suppressed += 1);
+        self.count(|c| c.unlogged += 1);
         false
     }
 
-    /// Counts a message of a client that was turned down, for whatever is wrong with it.
-    pub fn turned_down(&self, why: &'static str) {
-        *self.turned_down.borrow_mut().entry(why).or_default() += 1;
+    /// Whether one more failed exchange may have a log line of its own.
+    pub fn may_log_error(&self) -> bool {
+        let logged = self.logged_errors.get();
+        self.logged_errors.set(logged.saturating_add(1));
+        logged < MAX_LINES_PER_REASON
     }
 
-    /// How many were, by what was wrong, since this was last asked.
-    pub fn take_turned_down(&self) -> Vec<(&'static str, u32)> {
-        let mut counts: Vec<_> = self.turned_down.borrow_mut().drain().collect();
-        counts.sort_unstable();
-        counts
+    /// Counts a client's message that was rejected for its form.
+    pub fn count_rejected_message(&self, reason: &'static str) {
+        *self
+            .rejected_messages
+            .borrow_mut()
+            .entry(reason)
+            .or_default() += 1;
     }
 
-    /// Whether one more broken answer may be written by itself.
-    pub fn single_broken(&self) -> bool {
-        self.broken.replace(self.broken.get().saturating_add(1)) < MOST_SINGLE
+    /// Reads and resets the counts of rejected messages by reason, sorted.
+    pub fn take_rejected_messages(&self) -> Vec<(&'static str, u32)> {
+        let mut counts: Vec<_> = self.rejected_messages.borrow_mut().drain().collect();
+        counts.sort_unstable();
+        counts
     }
 
-    /// The counters and their time, which start again from zero. None: nothing happened.
+    /// Reads the counters with the length of their interval, and starts a new one. Returns `None` if
+    /// nothing happened.
     pub fn take(&self) -> Option<(Counters, Duration)> {
-        self.single.borrow_mut().clear();
-        self.broken.set(0);
-        let time = self.since.replace(Instant::now()).elapsed();
-        let counts = self.counts.take();
-        (counts.requests + counts.accepted + counts.attempts > 0).then_some((counts, time))
+        self.logged_by_reason.borrow_mut().clear();
+        self.logged_errors.set(0);
+        let interval = self.interval_start.replace(Instant::now()).elapsed();
+        let counters = self.counters.take();
+        (!counters.is_idle()).then_some((counters, interval))
     }
 }
 
--- a/crates/proxy/src/metrics_tests.rs
+++ b/crates/proxy/src/metrics_tests.rs
@@ -1,33 +1,33 @@
 use super::*;
 
 #[test]
-fn single_lines_are_bounded_and_the_rest_is_counted() {
-    let stats = Metrics::new();
-    stats.count(|c| c.requests += 1);
-    let written = (0..2 * MOST_SINGLE)
-        .filter(|_| stats.single(GiveUpReason::LoadShed))
+fn lines_about_single_requests_are_bounded_and_the_rest_is_counted() {
+    let metrics = Metrics::new();
+    metrics.count(|c| c.requests += 1);
+    let logged = (0..2 * MAX_LINES_PER_REASON)
+        .filter(|_| metrics.may_log_request(GiveUpReason::LoadShed))
         .count();
-    assert_eq!(written, MOST_SINGLE as usize);
+    assert_eq!(logged, MAX_LINES_PER_REASON as usize);
     assert!(
-        stats.single(GiveUpReason::NoEligibleBackend),
-        "another reason has its own"
+        metrics.may_log_request(GiveUpReason::NoEligibleBackend),
+        "another reason has its own limit"
     );
     assert_eq!(
-        stats.take().expect("counters").0.suppressed,
-        u64::from(MOST_SINGLE)
+        metrics.take().expect("counters").0.unlogged,
+        u64::from(MAX_LINES_PER_REASON)
     );
-    assert!(stats.take().is_none(), "nothing has happened since");
-    assert!(stats.single(GiveUpReason::LoadShed));
+    assert!(metrics.take().is_none(), "nothing happened since");
+    assert!(metrics.may_log_request(GiveUpReason::LoadShed));
 }
 
 #[test]
-fn classes_are_counted_apart_and_start_again_from_zero() {
-    let stats = Metrics::new();
-    stats.count_class(ClassId(2), |c| c.requests += 1);
-    stats.count_class(ClassId(0), |c| {
+fn class_counters_are_separate_and_reset_when_read() {
+    let metrics = Metrics::new();
+    metrics.count_class(ClassId(2), |c| c.requests += 1);
+    metrics.count_class(ClassId(0), |c| {
         *c.given_up.entry(GiveUpReason::LoadShed).or_default() += 2;
     });
-    stats.count_class(ClassId(2), |c| c.late += 1);
+    metrics.count_class(ClassId(2), |c| c.late += 1);
     let shed = ClassCounters {
         given_up: [(GiveUpReason::LoadShed, 2)].into(),
         ..ClassCounters::default()
@@ -38,8 +38,8 @@
         ..ClassCounters::default()
     };
     assert_eq!(
-        stats.take_classes(),
+        metrics.take_classes(),
         [(ClassId(0), shed), (ClassId(2), late)]
     );
-    assert!(stats.take_classes().is_empty());
+    assert!(metrics.take_classes().is_empty());
 }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -191,8 +191,10 @@
     spawn_local(async move { backends.retire_idle().await });
     let counted = engine.clone();
     spawn_local(async move {
-        let mut every =
-            tokio::time::interval_at(tokio::time::Instant::now() + metrics::EVERY, metrics::EVERY);
+        let mut every = tokio::time::interval_at(
+            tokio::time::Instant::now() + metrics::LOG_INTERVAL,
+            metrics::LOG_INTERVAL,
+        );
         loop {
             every.tick().await;
             counted.log_stats();
@@ -262,8 +264,8 @@
         }
     }
     let open = engine.open_requests();
-    if send_invariants::may_end(open).is_err() {
-        engine.log(format_args!("violations_End={open}"));
+    if send_invariants::may_exit(open).is_err() {
+        engine.log(format_args!("violations_ProcessExit={open}"));
     }
     engine.log(format_args!("left"));
     Ok(())
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -9,7 +9,7 @@
 use crate::http1::streaming::{RequestBody, StreamOutcome};
 use crate::metrics::Metrics;
 use crate::operator_state::store::OperatorState;
-use crate::send_invariants::{self, BackendIdentity, Invariant, PriorAttempt};
+use crate::send_invariants::{self, BackendIdentity, Execution, Invariant, PriorAttempt};
 use crate::upstream::backend_registry::{
     AttemptTerms, Backend, BackendRegistry, Exchange, Progress, ResponseBody, Source,
 };
@@ -507,7 +507,7 @@
         let mut state = self.state.borrow_mut();
         let open = state.ledger.get_mut(&request).and_then(|e| e.reply.take());
         if open.is_some() {
-            self.stats.count(|c| c.gone += 1);
+            self.stats.count(|c| c.client_disconnected += 1);
             self.withhold(&mut state, request);
             drop(state);
             self.handle_event(Event::ClientDisconnected { request });
@@ -530,7 +530,7 @@
             task.abort();
             let (outcome, latency) = (AttemptOutcome::NotSent, a.began.elapsed());
             (a.may_have_run, a.end) = (false, Some((outcome, latency, None)));
-            self.stats.count(|c| c.ended(outcome));
+            self.stats.count(|c| c.count_attempt_end(outcome));
             let (server, closed, report) = (a.server, true, None);
             let ended = AttemptResult {
                 request,
@@ -562,7 +562,7 @@
         let (Some(answer), Some(reply)) = (exchange.answer.take(), entry.reply.take()) else {
             return false;
         };
-        self.stats.count(|c| c.passed_on += 1);
+        self.stats.count(|c| c.streamed += 1);
         self.count_served(entry);
         let _ = reply.send(FinalResponse::Served(answer));
         drop(state);
@@ -592,7 +592,7 @@
         }
         exchange.connection = None;
         if begun {
-            self.stats.count(|c| c.cut += 1);
+            self.stats.count(|c| c.stream_aborted += 1);
         }
     }
 
@@ -610,7 +610,7 @@
         a.may_have_run = !exchange.outcome.never_executed();
         let (server, latency) = (a.server, since(&entry.request, a.began));
         a.end = Some((exchange.outcome, latency, exchange.report));
-        self.stats.count(|c| c.ended(exchange.outcome));
+        self.stats.count(|c| c.count_attempt_end(exchange.outcome));
         let count = state.sent.entry(server).or_default();
         match exchange.outcome {
             AttemptOutcome::Rejected => count[1] += 1,
@@ -623,12 +623,12 @@
         if let Some(problem) = exchange
             .problem
             .take()
-            .filter(|_| self.stats.single_broken())
+            .filter(|_| self.stats.may_log_error())
         {
             let id = printable(&entry.id);
             let ms = latency.as_secs_f64() * 1e3;
             self.log(format_args!(
-                "broken id={id} server={server} attempt={attempt} ms={ms:.2} {problem}"
+                "exchange_failed id={id} backend={server} attempt={attempt} ms={ms:.2} error=\"{problem}\""
             ));
         }
         if let Some(answer) = exchange.answer.take() {
@@ -641,7 +641,7 @@
         // No further attempt for a client that has left.
         if entry.abandoned() {
             entry.reply = None;
-            self.stats.count(|c| c.gone += 1);
+            self.stats.count(|c| c.client_disconnected += 1);
         }
         let closed = entry.reply.is_none();
         let (outcome, report) = (exchange.outcome, exchange.report);
@@ -741,14 +741,14 @@
             .count_class(entry.class, |c| *c.given_up.entry(reason).or_default() += 1);
         self.stats.count(|c| {
             *(if refused {
-                &mut c.refused
+                &mut c.rejected
             } else {
                 &mut c.failed
             }) += 1;
         });
         let _ = reply.send(answer);
-        if self.stats.single(reason) {
-            self.log_given_up(entry, if refused { "refused" } else { "failed" }, reason);
+        if self.stats.may_log_request(reason) {
+            self.log_given_up(entry, if refused { "rejected" } else { "failed" }, reason);
         }
         self.withhold(state, request);
     }
@@ -771,8 +771,8 @@
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
         let id = printable(&entry.id);
         let mut line = format!(
-            "request id={id} class={} tenant={} answer={answer} \
-             reason={reason:?} read_ms={:.2} age_ms={:.2} left_ms={:.0}",
+            "request id={id} class={} tenant={} response={answer} \
+             reason={reason:?} read_ms={:.2} age_ms={:.2} remaining_ms={:.0}",
             entry.class,
             entry.tenant,
             ms(entry.taken - entry.since),
@@ -785,7 +785,10 @@
             if let Some((outcome, latency, report)) = &a.end {
                 let _ = write!(line, ":{outcome:?}:{:.2}", ms(*latency));
                 let report = report.unwrap_or_default();
-                let figures = [("util", report.utilization), ("queue", report.queue_depth)];
+                let figures = [
+                    ("utilization", report.utilization),
+                    ("queue_depth", report.queue_depth),
+                ];
                 for (name, figure) in figures.iter().filter_map(|f| Some((f.0, f.1?))) {
                     let _ = write!(line, ":{name}={figure:.2}");
                 }
@@ -796,8 +799,10 @@
 
     /// The counters since they were last written, and what the balancer goes by.
     pub fn log_stats(&self) {
-        for (why, count) in self.stats.take_turned_down() {
-            self.log(format_args!("turned_down count={count} why=\"{why}\""));
+        for (why, count) in self.stats.take_rejected_messages() {
+            self.log(format_args!(
+                "rejected_messages count={count} reason=\"{why}\""
+            ));
         }
         let Some((c, time)) = self.stats.take() else {
             return;
@@ -805,33 +810,33 @@
         let mut state = self.state.borrow_mut();
         let sent = std::mem::take(&mut state.sent);
         let view = state.balancer.snapshot(self.clock.now());
-        let (clients, open) = (c.accepted, self.backends.connections());
+        let (clients, open) = (c.connections_accepted, self.backends.connections());
         let mut line = format!(
-            "stats s={:.1} requests={} served={} refused={} failed={} gone={} \
-             unlogged={} in_hand={} attempts={} \
-             errors={} turned_away={} timed_out={} unreachable={} broken={} unsent={} passed_on={} \
-             cut={} accepted={clients} told_to_close={} upstream_new={} \
-             upstream_open={open} left_out={} shed={:.3} \
+            "stats seconds={:.1} requests={} served={} rejected={} failed={} client_disconnected={} \
+             unlogged={} in_flight={} attempts={} server_errors={} attempts_rejected={} \
+             timed_out={} connect_failed={} connection_reset={} not_sent={} streamed={} \
+             stream_aborted={} connections_accepted={clients} connection_close_sent={} \
+             backend_connects={} backend_connections={open} in_maintenance={} shed={:.3} \
              load={:.2} latency_ms={:.1} retry_budget={:.1}",
             time.as_secs_f64(),
             c.requests,
             c.served,
-            c.refused,
+            c.rejected,
             c.failed,
-            c.gone,
-            c.suppressed,
+            c.client_disconnected,
+            c.unlogged,
             state.ledger.len(),
             c.attempts,
-            c.errors,
-            c.turned_away,
+            c.server_errors,
+            c.attempts_rejected,
             c.timed_out,
-            c.unreachable,
-            c.broken,
-            c.unsent,
-            c.passed_on,
-            c.cut,
-            c.told_to_close,
-            c.connects,
+            c.connect_failed,
+            c.connection_reset,
+            c.not_sent,
+            c.streamed,
+            c.stream_aborted,
+            c.connection_close_sent,
+            c.backend_connects,
             self.backends.left_out(),
             view.shed_fraction,
             view.mean_load,
@@ -850,7 +855,7 @@
             let (asked, served, late) = (counts.requests, counts.served, counts.late);
             let _ = write!(
                 line,
-                " class={}:asked={asked},served={served},late={late}",
+                " class={}:requests={asked},served={served},late={late}",
                 name.escape_debug()
             );
             for (reason, count) in &counts.given_up {
@@ -869,7 +874,7 @@
         let unwritten = view.backends.len() - dealt.len().min(SERVERS_WRITTEN);
         let _ = write!(
             line,
-            " servers={} unwritten={unwritten}",
+            " backends={} omitted={unwritten}",
             view.backends.len()
         );
         for (sent, s) in dealt.into_iter().take(SERVERS_WRITTEN) {
@@ -881,13 +886,14 @@
             );
             let _ = write!(
                 line,
-                " {}:weight={:.2},price={:.2},load={load:.2},util={util:.2},queue={queue:.2},\
-                 warm={:.2},speed={:.2},share={:.2},out={},sent={sent},full={full},bad={bad}",
+                " {}:weight={:.2},price={:.2},load={load:.2},utilization={util:.2},\
+                 queue_depth={queue:.2},available_capacity={:.2},speed={:.2},share={:.2},\
+                 in_flight={},attempts={sent},rejected={full},errors={bad}",
                 s.backend, s.weight, s.price, s.available_capacity, s.speed, s.share, s.in_flight
             );
         }
         drop(state);
-        let _ = self.stats.rules.write_to(&mut line);
+        let _ = self.stats.invariants.write_to(&mut line);
         self.log(format_args!("{line}"));
     }
 
@@ -912,7 +918,7 @@
                 entry.reply.is_none(),
             );
             let end = Some((outcome, latency, None));
-            self.stats.count(|c| c.ended(outcome));
+            self.stats.count(|c| c.count_attempt_end(outcome));
             let (task, progress, place) = (None, Rc::default(), BackendIdentity::default());
             let may_have_run = false;
             entry.attempts.push(Attempt {
@@ -987,23 +993,26 @@
     /// has changed since.
     fn may_send(&self, entry: &RequestRecord, backend: &Backend) -> bool {
         if !backend.takes_new() {
-            self.stats.rules.withheld(Invariant::Drain);
+            self.stats.invariants.prevented(Invariant::Drain);
             return false;
         }
         let earlier: Vec<PriorAttempt> = entry
             .attempts
             .iter()
-            .map(|a| PriorAttempt {
-                place: a.place,
-                out: a.task.is_some(),
-                may_have_run: a.may_have_run,
+            .map(|attempt| PriorAttempt {
+                backend: attempt.place,
+                execution: match (&attempt.task, attempt.may_have_run) {
+                    (Some(_), _) => Execution::InFlight,
+                    (None, true) => Execution::Possible,
+                    (None, false) => Execution::Never,
+                },
             })
             .collect();
         let effect = self.effect(entry.class);
         let allowed =
-            send_invariants::may_repeat(effect, self.second_copies, backend.place(), &earlier);
+            send_invariants::may_retry(effect, self.second_copies, backend.place(), &earlier);
         if let Err(rule) = allowed {
-            self.stats.rules.violated(rule);
+            self.stats.invariants.violated(rule);
             debug_assert!(false, "{rule:?}: {}", printable(&entry.id));
         }
         allowed.is_ok()
--- a/crates/proxy/src/send_invariants.rs
+++ b/crates/proxy/src/send_invariants.rs
@@ -1,112 +1,136 @@
-//! What the rules forbid, in one place: whether an attempt may begin, a connection may be closed,
-//! the process may end.
+//! Invariants of the protocol that no decision may break: when an attempt may be sent, a client's
+//! connection closed, the process ended.
 //!
-//! Every path asks right before the act, with what holds at that moment; nothing here decides what
-//! is wise. What a rule has held back is counted by rule, and so is what the balancer asked for
-//! although no rule allows it: a violation, which builds with debug assertions don't survive.
+//! Every path asks immediately before the act, with the state of that moment; nothing here decides
+//! what is sensible. What an invariant has prevented is counted, and so are violations: acts that the
+//! balancer asked for although no invariant allows them. Builds with debug assertions panic on a
+//! violation.
 
-use balancer::{Idempotency, KeyScope};
+use balancer::{CellId, Idempotency, KeyScope, ZoneId};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write as _};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An attempt tells its server how much time is left. What was told longer ago than this is not
-/// true any more: the rules allow 0.15 s in all.
-const TOLD_IN_TIME: Duration = Duration::from_millis(100);
+/// Greatest age of the remaining time that an attempt's `X-Timeout` header states, at its first byte.
+/// The protocol allows 150 ms, transmission included.
+const MAX_STATED_TIMEOUT_AGE: Duration = Duration::from_millis(100);
 
-/// A rule that holds something back.
+/// An invariant that can prevent an act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// The server drains, has left or is left out, or is another process by now.
+    /// The backend is draining, removed or in maintenance, or its process has been replaced since the
+    /// connection was opened.
     Drain,
-    /// The client has its answer, or has left.
-    Answered,
-    /// The request's time is over, or what was to be told of it is not true any more.
+    /// The client has its response, or has disconnected.
+    RequestClosed,
+    /// The deadline has passed, or the stated remaining time is out of date.
     Deadline,
-    /// It may have run, and its class allows no repeat there.
-    Repeat,
-    /// The time is over in which repeats are dropped.
-    Window,
-    /// Another attempt is out, and two may not be.
-    SecondCopy,
-    /// Something unread, or a request in hand, is on the connection.
-    Close,
-    /// Requests are open still.
-    End,
+    /// An earlier attempt may have executed, and the class allows no retry at this backend.
+    Idempotency,
+    /// The time is over in which backends recognize the idempotency key.
+    IdempotencyWindow,
+    /// Another attempt is in flight, and hedging is not allowed.
+    Hedging,
+    /// The connection has unread bytes or a request in progress.
+    ConnectionClose,
+    /// Requests are still open.
+    ProcessExit,
 }
 
-/// Where a server stands, for the groups that drop repeats.
+/// The key scopes that a backend belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendIdentity {
     /// Its zone.
-    pub zone: u8,
+    pub zone: ZoneId,
     /// Its cell.
-    pub cell: u16,
+    pub cell: CellId,
+}
+
+/// Whether an attempt has executed at its backend, as far as the node knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Execution {
+    /// The attempt has not ended; it may execute at any time.
+    InFlight,
+    /// The attempt has ended, and may have executed or may still do so.
+    Possible,
+    /// The attempt has ended, and it is certain that it never executes.
+    Never,
 }
 
 /// An earlier attempt of the same request.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
-    /// Where it went.
-    pub place: BackendIdentity,
-    /// It has not ended.
-    pub out: bool,
-    /// It may have run, or may yet.
-    pub may_have_run: bool,
+    /// The backend it went to.
+    pub backend: BackendIdentity,
+    /// Whether it has executed there.
+    pub execution: Execution,
 }
 
-/// What is known of an attempt right before its first byte goes out.
+/// What is known of an attempt immediately before its first byte is written.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts {
-    /// The server takes new requests, and is the process that was connected to.
-    pub server_takes_new: bool,
-    /// The client waits for its answer still.
-    pub client_waits: bool,
-    /// When the request's time ends. None: it has not begun.
-    pub until: Option<Instant>,
-    /// When it was reckoned what the server is told of that. None: it was not yet.
-    pub told: Option<Instant>,
-    /// Until when it may be repeated, if it is a repeat of one that may have run and is so limited.
-    pub repeat_by: Option<Instant>,
+    /// The backend accepts requests, and its process is the one that was connected to.
+    pub backend_accepts: bool,
+    /// The client is still waiting for a response.
+    pub client_waiting: bool,
+    /// The attempt's deadline; `None` while the request's body is incomplete, as its time starts with
+    /// the last byte.
+    pub deadline: Option<Instant>,
+    /// When the remaining time stated to the backend was computed; `None` before that.
+    pub timeout_computed_at: Option<Instant>,
+    /// End of the idempotency window, for a retry of an attempt that may have executed.
+    pub retry_until: Option<Instant>,
 }
 
-/// Whether an attempt may begin at this moment, by what changes while it waits for a connection.
-pub fn may_begin(now: Instant, facts: &AttemptFacts) -> Result<(), Invariant> {
-    if !facts.server_takes_new {
+/// Checks whether an attempt may be sent at this moment, as to what may have changed while it waited
+/// for a connection.
+///
+/// # Errors
+///
+/// Returns the first invariant that forbids it.
+pub fn may_send(now: Instant, facts: &AttemptFacts) -> Result<(), Invariant> {
+    if !facts.backend_accepts {
         return Err(Invariant::Drain);
     }
-    if !facts.client_waits {
-        return Err(Invariant::Answered);
+    if !facts.client_waiting {
+        return Err(Invariant::RequestClosed);
     }
-    let too_old = facts.told.is_some_and(|told| now > told + TOLD_IN_TIME);
-    if too_old || facts.until.is_some_and(|until| now >= until) {
+    let is_outdated = facts
+        .timeout_computed_at
+        .is_some_and(|computed| now > computed + MAX_STATED_TIMEOUT_AGE);
+    if is_outdated || facts.deadline.is_some_and(|deadline| now >= deadline) {
         return Err(Invariant::Deadline);
     }
-    if facts.repeat_by.is_some_and(|by| now >= by) {
-        return Err(Invariant::Window);
+    if facts.retry_until.is_some_and(|until| now >= until) {
+        return Err(Invariant::IdempotencyWindow);
     }
     Ok(())
 }
 
-/// Whether a class allows one more attempt at a server, after those that were.
-pub fn may_repeat(
-    effect: Idempotency,
-    second_copies: bool,
-    to: BackendIdentity,
-    earlier: &[PriorAttempt],
+/// Checks whether a class allows one more attempt at a backend, after those that were.
+///
+/// # Errors
+///
+/// Returns [`Invariant::Hedging`] or [`Invariant::Idempotency`] if it does not.
+pub fn may_retry(
+    idempotency: Idempotency,
+    hedging_allowed: bool,
+    backend: BackendIdentity,
+    prior_attempts: &[PriorAttempt],
 ) -> Result<(), Invariant> {
-    if !second_copies && earlier.iter().any(|attempt| attempt.out) {
-        return Err(Invariant::SecondCopy);
+    let is_in_flight = |attempt: &PriorAttempt| attempt.execution == Execution::InFlight;
+    if !hedging_allowed && prior_attempts.iter().any(is_in_flight) {
+        return Err(Invariant::Hedging);
     }
-    let Some(risky) = earlier
+    let Some(executed) = prior_attempts
         .iter()
-        .find(|attempt| attempt.out || attempt.may_have_run)
+        .find(|attempt| attempt.execution != Execution::Never)
     else {
         return Ok(());
     };
-    let allowed = match effect {
+    let is_allowed = match idempotency {
         Idempotency::Idempotent
         | Idempotency::Keyed {
             scope: KeyScope::All,
@@ -116,58 +140,70 @@
         Idempotency::Keyed {
             scope: KeyScope::Zone,
             ..
-        } => risky.place.zone == to.zone,
+        } => executed.backend.zone == backend.zone,
         Idempotency::Keyed {
             scope: KeyScope::Cell,
             ..
-        } => risky.place.cell == to.cell,
+        } => executed.backend.cell == backend.cell,
     };
-    allowed.then_some(()).ok_or(Invariant::Repeat)
+    is_allowed.then_some(()).ok_or(Invariant::Idempotency)
 }
 
-/// Whether the node may close a client's connection of its own accord.
-pub fn may_close(request_in_hand: bool, unread: bool) -> Result<(), Invariant> {
-    if request_in_hand || unread {
-        Err(Invariant::Close)
+/// Checks whether the node may close a client's connection of its own accord.
+///
+/// # Errors
+///
+/// Returns [`Invariant::ConnectionClose`] if a request is in progress or bytes are unread.
+pub fn may_close(request_in_progress: bool, has_unread_bytes: bool) -> Result<(), Invariant> {
+    if request_in_progress || has_unread_bytes {
+        Err(Invariant::ConnectionClose)
     } else {
         Ok(())
     }
 }
 
-/// Whether the process may end, with so many requests open.
-pub fn may_end(open_requests: usize) -> Result<(), Invariant> {
+/// Checks whether the process may exit.
+///
+/// # Errors
+///
+/// Returns [`Invariant::ProcessExit`] if requests are open.
+pub fn may_exit(open_requests: usize) -> Result<(), Invariant> {
     match open_requests {
         0 => Ok(()),
-        _ => Err(Invariant::End),
+        _ => Err(Invariant::ProcessExit),
     }
 }
 
-/// Counts by rule, for the log.
+/// Counts by invariant, for the log.
 #[derive(Default)]
 pub struct InvariantCounts {
-    withheld: RefCell<BTreeMap<Invariant, u32>>,
+    prevented: RefCell<BTreeMap<Invariant, u32>>,
     violations: RefCell<BTreeMap<Invariant, u32>>,
 }
 
 impl InvariantCounts {
-    /// Something was held back in time.
-    pub fn withheld(&self, rule: Invariant) {
-        *self.withheld.borrow_mut().entry(rule).or_default() += 1;
+    /// Counts an act that an invariant has prevented.
+    pub fn prevented(&self, invariant: Invariant) {
+        *self.prevented.borrow_mut().entry(invariant).or_default() += 1;
     }
 
-    /// Something was asked for, or done, that no rule allows.
-    pub fn violated(&self, rule: Invariant) {
-        *self.violations.borrow_mut().entry(rule).or_default() += 1;
+    /// Counts an act that was requested, or done, against an invariant.
+    pub fn violated(&self, invariant: Invariant) {
+        *self.violations.borrow_mut().entry(invariant).or_default() += 1;
     }
 
-    /// Appends to a line what was counted since this was last asked; nothing where nothing was.
+    /// Appends the counts to a log line and resets them; counts of zero are left out.
+    ///
+    /// # Errors
+    ///
+    /// Never fails: writing to a `String` does not.
     pub fn write_to(&self, line: &mut String) -> fmt::Result {
-        for (name, counts) in [
-            ("withheld", &self.withheld),
+        for (key, counts) in [
+            ("prevented", &self.prevented),
             ("violations", &self.violations),
         ] {
-            for (rule, count) in std::mem::take(&mut *counts.borrow_mut()) {
-                write!(line, " {name}_{rule:?}={count}")?;
+            for (invariant, count) in std::mem::take(&mut *counts.borrow_mut()) {
+                write!(line, " {key}_{invariant:?}={count}")?;
             }
         }
         Ok(())
--- a/crates/proxy/src/send_invariants_tests.rs
+++ b/crates/proxy/src/send_invariants_tests.rs
@@ -1,159 +1,184 @@
 use super::*;
 
-const HERE: BackendIdentity = BackendIdentity { zone: 0, cell: 1 };
-const SAME_ZONE: BackendIdentity = BackendIdentity { zone: 0, cell: 2 };
-const ELSEWHERE: BackendIdentity = BackendIdentity { zone: 1, cell: 3 };
-const RAN: PriorAttempt = PriorAttempt {
-    place: HERE,
-    out: false,
-    may_have_run: true,
+const HERE: BackendIdentity = BackendIdentity {
+    zone: ZoneId(0),
+    cell: CellId(1),
 };
-const OUT: PriorAttempt = PriorAttempt {
-    place: HERE,
-    out: true,
-    may_have_run: true,
+const SAME_ZONE: BackendIdentity = BackendIdentity {
+    zone: ZoneId(0),
+    cell: CellId(2),
 };
-const NEVER_RAN: PriorAttempt = PriorAttempt {
-    place: HERE,
-    out: false,
-    may_have_run: false,
+const ELSEWHERE: BackendIdentity = BackendIdentity {
+    zone: ZoneId(1),
+    cell: CellId(3),
+};
+const EXECUTED: PriorAttempt = PriorAttempt {
+    backend: HERE,
+    execution: Execution::Possible,
+};
+const IN_FLIGHT: PriorAttempt = PriorAttempt {
+    backend: HERE,
+    execution: Execution::InFlight,
+};
+const NEVER_EXECUTED: PriorAttempt = PriorAttempt {
+    backend: HERE,
+    execution: Execution::Never,
 };
 
-fn keyed(group: KeyScope) -> Idempotency {
+fn keyed(scope: KeyScope) -> Idempotency {
     Idempotency::Keyed {
-        scope: group,
+        scope,
         window: Duration::from_secs(1),
     }
 }
 
 #[test]
-fn each_fact_that_changes_while_connecting_holds_an_attempt_back() {
+fn each_fact_that_changes_while_connecting_prevents_the_attempt() {
     let now = Instant::now();
     let later = now + Duration::from_millis(1);
     let fine = AttemptFacts {
-        server_takes_new: true,
-        client_waits: true,
-        until: Some(later),
-        told: Some(now),
-        repeat_by: Some(later),
+        backend_accepts: true,
+        client_waiting: true,
+        deadline: Some(later),
+        timeout_computed_at: Some(now),
+        retry_until: Some(later),
     };
-    assert_eq!(may_begin(now, &fine), Ok(()));
+    assert_eq!(may_send(now, &fine), Ok(()));
     assert_eq!(
-        may_begin(
+        may_send(
             now,
             &AttemptFacts {
-                server_takes_new: false,
+                backend_accepts: false,
                 ..fine
             }
         ),
         Err(Invariant::Drain)
     );
     assert_eq!(
-        may_begin(
+        may_send(
             now,
             &AttemptFacts {
-                client_waits: false,
+                client_waiting: false,
                 ..fine
             }
         ),
-        Err(Invariant::Answered)
+        Err(Invariant::RequestClosed)
     );
     assert_eq!(
-        may_begin(
+        may_send(
             now,
             &AttemptFacts {
-                until: Some(now),
+                deadline: Some(now),
                 ..fine
             }
         ),
         Err(Invariant::Deadline)
     );
     assert_eq!(
-        may_begin(
+        may_send(
             now,
             &AttemptFacts {
-                repeat_by: Some(now),
+                retry_until: Some(now),
                 ..fine
             }
         ),
-        Err(Invariant::Window)
+        Err(Invariant::IdempotencyWindow)
     );
-    let held_up = now + TOLD_IN_TIME + Duration::from_millis(1);
+    let outdated = now + MAX_STATED_TIMEOUT_AGE + Duration::from_millis(1);
     let long = AttemptFacts {
-        until: None,
-        repeat_by: None,
+        deadline: None,
+        retry_until: None,
         ..fine
     };
-    assert_eq!(may_begin(held_up, &long), Err(Invariant::Deadline));
+    assert_eq!(may_send(outdated, &long), Err(Invariant::Deadline));
     assert_eq!(
-        may_begin(held_up, &AttemptFacts { told: None, ..long }),
+        may_send(
+            outdated,
+            &AttemptFacts {
+                timeout_computed_at: None,
+                ..long
+            }
+        ),
         Ok(())
     );
 }
 
 #[test]
-fn a_repeat_goes_where_the_class_allows() {
-    for effect in [
+fn a_retry_goes_only_where_its_class_allows() {
+    for idempotency in [
         Idempotency::Idempotent,
         keyed(KeyScope::All),
         keyed(KeyScope::Zone),
         keyed(KeyScope::Cell),
         Idempotency::NonIdempotent,
     ] {
-        assert_eq!(may_repeat(effect, false, ELSEWHERE, &[]), Ok(()));
+        assert_eq!(may_retry(idempotency, false, ELSEWHERE, &[]), Ok(()));
         assert_eq!(
-            may_repeat(effect, false, ELSEWHERE, &[NEVER_RAN, NEVER_RAN]),
+            may_retry(
+                idempotency,
+                false,
+                ELSEWHERE,
+                &[NEVER_EXECUTED, NEVER_EXECUTED]
+            ),
             Ok(())
         );
         assert_eq!(
-            may_repeat(effect, false, HERE, &[OUT]),
-            Err(Invariant::SecondCopy)
+            may_retry(idempotency, false, HERE, &[IN_FLIGHT]),
+            Err(Invariant::Hedging)
         );
     }
-    let may = |effect, to| may_repeat(effect, true, to, &[NEVER_RAN, RAN]);
-    assert_eq!(may(Idempotency::Idempotent, ELSEWHERE), Ok(()));
+    let retry_at = |idempotency, to| may_retry(idempotency, true, to, &[NEVER_EXECUTED, EXECUTED]);
+    assert_eq!(retry_at(Idempotency::Idempotent, ELSEWHERE), Ok(()));
     assert_eq!(
-        may(Idempotency::NonIdempotent, HERE),
-        Err(Invariant::Repeat)
+        retry_at(Idempotency::NonIdempotent, HERE),
+        Err(Invariant::Idempotency)
     );
-    assert_eq!(may(keyed(KeyScope::All), ELSEWHERE), Ok(()));
+    assert_eq!(retry_at(keyed(KeyScope::All), ELSEWHERE), Ok(()));
     assert_eq!(
         (
-            may(keyed(KeyScope::Zone), SAME_ZONE),
-            may(keyed(KeyScope::Cell), HERE)
+            retry_at(keyed(KeyScope::Zone), SAME_ZONE),
+            retry_at(keyed(KeyScope::Cell), HERE)
         ),
         (Ok(()), Ok(()))
     );
     assert_eq!(
-        may(keyed(KeyScope::Zone), ELSEWHERE),
-        Err(Invariant::Repeat)
+        retry_at(keyed(KeyScope::Zone), ELSEWHERE),
+        Err(Invariant::Idempotency)
     );
     assert_eq!(
-        may(keyed(KeyScope::Cell), SAME_ZONE),
-        Err(Invariant::Repeat)
+        retry_at(keyed(KeyScope::Cell), SAME_ZONE),
+        Err(Invariant::Idempotency)
     );
     assert_eq!(
-        may_repeat(Idempotency::NonIdempotent, true, HERE, &[OUT]),
-        Err(Invariant::Repeat)
+        may_retry(Idempotency::NonIdempotent, true, HERE, &[IN_FLIGHT]),
+        Err(Invariant::Idempotency)
     );
 }
 
 #[test]
 fn counts_are_written_once() {
     let counts = InvariantCounts::default();
-    counts.withheld(Invariant::Drain);
-    counts.withheld(Invariant::Drain);
-    counts.violated(Invariant::Repeat);
+    counts.prevented(Invariant::Drain);
+    counts.prevented(Invariant::Drain);
+    counts.violated(Invariant::Idempotency);
     let mut line = String::new();
     counts.write_to(&mut line).expect("a line");
     counts.write_to(&mut line).expect("a line");
-    assert_eq!(line, " withheld_Drain=2 violations_Repeat=1");
+    assert_eq!(line, " prevented_Drain=2 violations_Idempotency=1");
+}
+
+#[test]
+fn connections_and_the_process_end_only_with_nothing_open() {
     assert_eq!(
         (may_close(false, false), may_close(true, false)),
-        (Ok(()), Err(Invariant::Close))
+        (Ok(()), Err(Invariant::ConnectionClose))
     );
     assert_eq!(
-        (may_close(false, true), may_end(0), may_end(1)),
-        (Err(Invariant::Close), Ok(()), Err(Invariant::End))
+        (may_close(false, true), may_exit(0), may_exit(1)),
+        (
+            Err(Invariant::ConnectionClose),
+            Ok(()),
+            Err(Invariant::ProcessExit)
+        )
     );
 }
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -76,7 +76,10 @@
     /// Where it stands.
     pub fn place(&self) -> BackendIdentity {
         let (zone, _, cell) = self.place.get();
-        BackendIdentity { zone: zone.0, cell }
+        BackendIdentity {
+            zone,
+            cell: balancer::CellId(cell),
+        }
     }
 
     /// Whether anything new may go there.
@@ -472,7 +475,7 @@
         }
         let permit = self.slot().await.ok_or(AttemptOutcome::NotSent)?;
         let generation = server.generation.get();
-        self.stats.count(|c| c.connects += 1);
+        self.stats.count(|c| c.backend_connects += 1);
         let connect = connect_despite_shortage(server.address.get());
         let stream = match timeout(self.limits.connect_timeout, connect).await {
             Ok(Ok(stream)) => stream,
@@ -485,7 +488,7 @@
         // Word may have come meanwhile that the server moved or restarted: what answers at the
         // address that it had is another's, or gone.
         if generation != server.generation.get() {
-            self.stats.rules.withheld(Invariant::Drain);
+            self.stats.invariants.prevented(Invariant::Drain);
             return Err(AttemptOutcome::NotSent);
         }
         let _ = stream.set_nodelay(true);
@@ -622,14 +625,14 @@
             let (to, stats, asked) = (server.clone(), self.stats.clone(), progress.clone());
             let check = move |told: Option<Instant>| {
                 let facts = AttemptFacts {
-                    server_takes_new: to.takes_new() && to.generation.get() == generation,
-                    client_waits: asked.get() != Progress::Revoked && (terms.client_waits)(),
-                    until: time_runs.then_some(until),
-                    told: told.filter(|_| time_runs),
-                    repeat_by: terms.repeat_by,
+                    backend_accepts: to.takes_new() && to.generation.get() == generation,
+                    client_waiting: asked.get() != Progress::Revoked && (terms.client_waits)(),
+                    deadline: time_runs.then_some(until),
+                    timeout_computed_at: told.filter(|_| time_runs),
+                    retry_until: terms.repeat_by,
                 };
-                send_invariants::may_begin(Instant::now(), &facts)
-                    .inspect_err(|rule| stats.rules.withheld(*rule))
+                send_invariants::may_send(Instant::now(), &facts)
+                    .inspect_err(|rule| stats.invariants.prevented(*rule))
             };
             // Connecting took time, in which anything may have changed; and some more passes before
             // the writing.
--- a/crates/proxy/tests/faults.rs
+++ b/crates/proxy/tests/faults.rs
@@ -233,7 +233,7 @@
     let (_, rest) = line
         .split_once(&format!(" {server}:weight="))
         .expect("the server's figures");
-    let (_, rest) = rest.split_once("warm=").expect("its warmth");
+    let (_, rest) = rest.split_once("available_capacity=").expect("its warmth");
     rest.split(',')
         .next()
         .and_then(|figure| figure.parse().ok())
@@ -367,9 +367,9 @@
             .expect("a connection");
     }
     assert_eq!(client.read().await.expect("an answer").status(), 503);
-    let line = node.logged(" withheld_").await;
+    let line = node.logged(" prevented_").await;
     assert!(
-        line.contains("stats ") && line.contains(" withheld_Drain="),
+        line.contains("stats ") && line.contains(" prevented_Drain="),
         "{line}"
     );
 }
--- a/crates/proxy/tests/left.rs
+++ b/crates/proxy/tests/left.rs
@@ -58,7 +58,7 @@
         };
         tokio::select! {
             () = sent => panic!("{class} was sent on"),
-            line = node.logged("stats ") => assert!(line.contains(" gone=1 ") && line.contains(" in_hand=0 "), "{line}"),
+            line = node.logged("stats ") => assert!(line.contains(" client_disconnected=1 ") && line.contains(" in_flight=0 "), "{line}"),
         }
         let mut client = node.client().await;
         client.send_as("left", class, "20000m").await;
@@ -226,6 +226,6 @@
     drop(client);
     while !within("the leaving to be counted", node.logged("stats "))
         .await
-        .contains(" gone=1 ")
+        .contains(" client_disconnected=1 ")
     {}
 }
--- a/crates/proxy/tests/lists.rs
+++ b/crates/proxy/tests/lists.rs
@@ -610,7 +610,7 @@
         }
         let line = node.logged("stats ").await;
         assert!(
-            line.contains(&format!(" servers={count} ")) && line.len() < 16 << 10,
+            line.contains(&format!(" backends={count} ")) && line.len() < 16 << 10,
             "{line}"
         );
     }
