--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,6 +1,6 @@
 //! The list of servers: its form on the wire, and the watch that follows its changes.
 
-use crate::requests::dispatcher::Dispatcher;
+use super::state::DiscoveryState;
 use crate::socket::Socket;
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -20,24 +20,17 @@
 /// An empty line is due every 2 s, and what a silent watch misses counts as told 6 s after it fell
 /// silent. One that has been silent for this long is taken for dead: that leaves time for one more
 /// that answers and then says nothing, and for the next after it.
-const SILENCE: Duration = Duration::from_millis(2500);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// For the connection to come up and the answer to begin, on request, where a call may have to wait
 /// for its turn; and the most for a whole list.
-const OPENING: Duration = SILENCE;
+pub const OPENING_TIMEOUT: Duration = SILENCE_TIMEOUT;
 /// The same where lists are pushed, for the first try: what is known there counts as told, watch or
 /// no watch. Each failed try doubles it, up to the other.
-const OPENING_PUSHED: Duration = Duration::from_millis(300);
+pub const INITIAL_OPENING_TIMEOUT: Duration = Duration::from_millis(300);
 /// For the connection to come up.
 const CONNECT: Duration = Duration::from_secs(1);
 /// For what came while the whole node was held up.
 const LAST_CHANCE: Duration = Duration::from_millis(5);
-/// Pauses before a broken watch is opened again: the first, and the longest.
-const PAUSE: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(1)];
-// A watch falls silent, the one in its place says nothing either, and the third has most of a
-// second to answer.
-const _: () = assert!(2 * (SILENCE.as_millis() + PAUSE[0].as_millis()) <= 5300);
-/// The part of a pause that is left to chance.
-const JITTER: f64 = 0.5;
 /// Longest list that is taken in.
 const LONGEST_LINE: usize = 4 << 20;
 
@@ -126,7 +119,7 @@
 
 impl WatchError {
     /// Whether nobody is there to answer calls.
-    fn is_refusal(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         matches!(self, WatchError::Connect(_) | WatchError::Http(_))
     }
 }
@@ -232,61 +225,22 @@
     }
 }
 
-/// Keeps a watch open for good, for sites where lists are pushed. Ends once the list is to be had
-/// elsewhere.
-pub async fn follow(engine: Rc<Dispatcher>, address: SocketAddr) {
-    let (mut pause, mut opening) = (PAUSE[0], OPENING_PUSHED);
-    loop {
-        let (before, began) = (engine.watches(), Instant::now());
-        let error = watch(&engine, address, opening).await;
-        if engine.discovery() != address {
-            return;
-        }
-        opening = (opening * 2).min(OPENING);
-        if engine.watches() != before {
-            (pause, opening) = (PAUSE[0], OPENING_PUSHED);
-        }
-        if !matches!(error, WatchError::Silent) {
-            engine.tried();
-        }
-        // A call that was given up for its silence has been a pause already: what it missed counts
-        // as told as if it had been refused at once. Many nodes may have lost theirs at one moment.
-        let wait = pause
-            .saturating_sub(began.elapsed())
-            .max(PAUSE[0])
-            .mul_f64(1.0 - JITTER * engine.random());
-        engine.log(format_args!(
-            "watch: {error}; again in {} ms",
-            wait.as_millis()
-        ));
-        tokio::time::sleep(wait).await;
-        // Of a discovery that is down all counts as told at its return, and being refused costs it
-        // nothing. One that answers but can't serve is crowded.
-        pause = if error.is_refusal() {
-            PAUSE[0]
-        } else {
-            (pause * 2).min(PAUSE[1])
-        };
-    }
-}
-
-/// The same for one watch, where the balancer asks for it.
-pub async fn watch_once(engine: &Rc<Dispatcher>, address: SocketAddr) -> WatchError {
-    watch(engine, address, OPENING).await
-}
-
 /// Opens one watch from the version held on, which may take so long, and hands on what it brings
 /// until it ends.
-async fn watch(engine: &Rc<Dispatcher>, address: SocketAddr, opening: Duration) -> WatchError {
-    if engine.needs_whole_list() {
+pub async fn watch(
+    state: &Rc<DiscoveryState>,
+    address: SocketAddr,
+    opening: Duration,
+) -> WatchError {
+    if state.needs_snapshot() {
         // The version held comes from another address and may mean anything here, also one that is
         // newer.
-        let call = DiscoveryCall::new(engine, address, OPENING);
+        let call = DiscoveryCall::new(state, address, OPENING_TIMEOUT);
         if let Err(error) = call.clone().hear(fetch(call)).await {
             return error;
         }
     }
-    let call = DiscoveryCall::new(engine, address, opening);
+    let call = DiscoveryCall::new(state, address, opening);
     match call.clone().hear(run_watch(call)).await {
         Ok(()) => WatchError::Ended,
         Err(error) => error,
@@ -296,7 +250,7 @@
 /// One call to discovery, and how long it may still be silent.
 #[derive(Clone)]
 struct DiscoveryCall {
-    engine: Rc<Dispatcher>,
+    state: Rc<DiscoveryState>,
     address: SocketAddr,
     /// By when it has to say something.
     silent_until: Rc<Cell<Instant>>,
@@ -305,31 +259,31 @@
 }
 
 impl DiscoveryCall {
-    fn new(engine: &Rc<Dispatcher>, address: SocketAddr, patience: Duration) -> Self {
+    fn new(state: &Rc<DiscoveryState>, address: SocketAddr, patience: Duration) -> Self {
         let silent_until = Rc::new(Cell::new(Instant::now() + patience));
         DiscoveryCall {
-            engine: engine.clone(),
+            state: state.clone(),
             address,
             silent_until,
             given_up: Rc::default(),
         }
     }
 
-    /// It has said something, and has to say more within [`SILENCE`].
+    /// It has said something, and has to say more within [`SILENCE_TIMEOUT`].
     fn has_spoken(&self) {
-        self.silent_until.set(Instant::now() + SILENCE);
+        self.silent_until.set(Instant::now() + SILENCE_TIMEOUT);
     }
 
     /// Hands on a list.
     fn tell(&self, list: &EndpointList) {
         // Of a call that was given up only what is not older than all that was heard since counts.
         // A whole list of the same version may name fewer: it leaves out what drains.
-        let awaited = self.engine.needs_whole_list() && list.complete;
-        if !self.given_up.get() || awaited || list.revision >= self.engine.revision() {
-            self.engine.list(list, self.address);
+        let awaited = self.state.needs_snapshot() && list.complete;
+        if !self.given_up.get() || awaited || list.revision >= self.state.revision() {
+            self.state.publish(list, self.address);
         }
         if !self.given_up.get() {
-            self.engine.forget_silent_call();
+            self.state.drop_unanswered_call();
         }
     }
 
@@ -359,7 +313,7 @@
             }
         }
         self.given_up.set(true);
-        self.engine.hear_beside(self.address, conversation);
+        self.state.keep_unanswered_call(self.address, conversation);
         Err(WatchError::Silent)
     }
 }
@@ -425,14 +379,14 @@
         http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
     // The connection is driven here, so that nothing of it outlives the watch.
     let dialogue = async {
-        let since = call.engine.revision();
+        let since = call.state.revision();
         let request = request(call.address, &format!("?follow=1&since={since}"));
         let response = sender.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(WatchError::Status(response.status()));
         }
         if !call.given_up.get() {
-            call.engine.watching();
+            call.state.watch_opened();
         }
         let mut body = response.into_body();
         let mut held = JsonLineDecoder::default();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,9 +2,11 @@
 //! out.
 
 mod admin;
+mod clock;
 mod config;
 mod discovery;
 mod downstream;
+mod event_log;
 mod http1;
 mod metrics;
 mod node;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -4,7 +4,10 @@
 use crate::admin::server;
 use crate::admin::server::AdminServer;
 use crate::config::{Config, ConfigError, ConfigText};
+use crate::discovery::state::{DiscoveryEvent, DiscoveryMode};
+use crate::discovery::watch_loop::EndpointWatcher;
 use crate::downstream::listener::{Listener, ShutdownPhase};
+use crate::event_log::EventLog;
 use crate::operator_state::store;
 use crate::operator_state::store::OperatorStateStore;
 use crate::requests::dispatcher::Dispatcher;
@@ -146,13 +149,28 @@
         config.site.names,
         config.site.fields,
     ));
-    let engine = Dispatcher::new(
-        config.name,
-        settings,
-        config.seed,
-        backends.clone(),
-        config.discovery,
-    )?;
+    let log = EventLog::new(&config.name);
+    let mode = if settings.polled_discovery {
+        DiscoveryMode::Polled
+    } else {
+        DiscoveryMode::Pushed
+    };
+    let watcher = EndpointWatcher::new(mode, config.discovery, config.seed, log.clone());
+    let refreshed = watcher.clone();
+    let engine = Dispatcher::new(log, settings, config.seed, backends.clone(), move || {
+        refreshed.refresh()
+    })?;
+    let dispatcher = Rc::downgrade(&engine);
+    watcher.set_event_handler(move |event| {
+        let Some(dispatcher) = dispatcher.upgrade() else {
+            return;
+        };
+        match event {
+            DiscoveryEvent::EndpointList(list) => dispatcher.list(list),
+            DiscoveryEvent::WatchOpened => dispatcher.endpoint_list_unchanged(),
+            DiscoveryEvent::WatchFailed => dispatcher.endpoint_list_failed(),
+        }
+    });
     let bound = |address| {
         let listening = retry_at_start(format_args!("the listener at {address}"), || {
             listen(address)
@@ -180,11 +198,11 @@
     let phase = Rc::new(phase);
     let console = AdminServer::new(engine.clone(), phase.clone(), keeper.clone(), warm_up);
     engine.known(config.known.as_ref());
-    engine.follow();
-    let reloading = engine.clone();
+    watcher.start(engine.revision());
+    let (reloading, rewatching) = (engine.clone(), watcher.clone());
     spawn_local(async move {
         while hangup.recv().await.is_some() {
-            reload(&reloading).await;
+            reload(&reloading, &rewatching).await;
         }
     });
     let sharing = backends.clone();
@@ -224,10 +242,11 @@
     }
     let ending = frontend.clone();
     let (serving, beside, ready) = (frontend.clone(), keeper.clone(), engine.clone());
+    let settling = watcher.clone();
     let served = spawn_local(async move {
         // A request that is read now would go by a list that may be old.
         let by = tokio::time::Instant::now() + FIRST_LIST;
-        while !ready.informed() && tokio::time::Instant::now() < by {
+        while !settling.is_settled() && tokio::time::Instant::now() < by {
             tokio::time::sleep(UNREADY).await;
         }
         // While this process has no list, the one beside it can serve what comes.
@@ -272,14 +291,14 @@
 /// Reads the configuration again. The whole file is checked before anything of it is used: one that
 /// is bad changes nothing. What the file says prevails now over what the environment said at the
 /// start.
-async fn reload(engine: &Dispatcher) {
+async fn reload(engine: &Dispatcher, watcher: &EndpointWatcher) {
     match read_again(engine).await.and_then(|text| text.parse()) {
         Ok(config) => {
             engine.log(format_args!("configuration read again"));
             config
                 .discovery_in_file
                 .into_iter()
-                .for_each(|address| engine.rediscover(address));
+                .for_each(|address| watcher.change_address(address));
         }
         Err(error) => engine.log(format_args!("the configuration stays as it is: {error}")),
     }
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -4,7 +4,9 @@
 //! actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
 //! that actions bring about at once.
 
-use crate::discovery::client::{self, EndpointList};
+use crate::clock::Clock;
+use crate::discovery::client::EndpointList;
+use crate::event_log::EventLog;
 use crate::http1::head_filter;
 use crate::http1::streaming::{RequestBody, StreamOutcome};
 use crate::metrics::Metrics;
@@ -16,18 +18,14 @@
 use balancer::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, EndpointState, Event,
     GiveUpReason, Idempotency, ListUpdate, LoadProbeResult, LoadReport, RequestArrival, RequestId,
-    Settings, SettingsError, TenantId, Time,
+    Settings, SettingsError, TenantId,
 };
 use hyper::{Request, Response};
-use rand_core::{RngCore, SeedableRng};
-use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashSet, VecDeque};
 use std::fmt::{self, Write as _};
 use std::future::Future;
-use std::io::Write as _;
-use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -37,37 +35,10 @@
 
 /// Most servers of which a line of counters tells each by itself.
 const SERVERS_WRITTEN: usize = 64;
-/// A call that was given up for its silence is heard for so long beside others.
-const SILENT_CALL: Duration = Duration::from_secs(6);
 /// A choice among probed servers is made within a few milliseconds: what a probe says later serves
 /// none.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What the balancer's clock shows when the process starts: servers may have started before it.
-const PROCESS_START: Time = Time(24 * 3600 * 1_000_000_000);
-
-/// The balancer's clock. The wall clock has no part in it: that one may be stepped.
-#[derive(Clone, Copy)]
-struct Clock {
-    started: Instant,
-}
-
-impl Clock {
-    fn new() -> Self {
-        Clock {
-            started: Instant::now(),
-        }
-    }
-
-    fn now(&self) -> Time {
-        PROCESS_START + self.started.elapsed()
-    }
-
-    fn instant(&self, at: Time) -> Instant {
-        self.started + (at - PROCESS_START)
-    }
-}
-
 /// A client's request in the node's own terms.
 pub struct ForwardRequest {
     /// Its class.
@@ -154,30 +125,18 @@
     /// Attempts at each server since the counters were last written, and how many of them it turned
     /// away or answered with an error, or with nothing of use.
     sent: FxHashMap<BackendId, [u32; 3]>,
-    /// The watch, or the task that keeps one open.
-    watch: Option<AbortHandle>,
-    /// The same at the address before this one. It is heard until this one has told its whole list.
-    watch_before: Option<AbortHandle>,
-    /// A call that was given up for its silence, and may still say something.
-    silent_call: Option<AbortHandle>,
 }
 
 /// See the module's own words.
 pub struct Dispatcher {
     /// Itself, for the tasks it starts.
     me: Weak<Dispatcher>,
-    name: String,
+    log: EventLog,
     clock: Clock,
-    /// For what nodes should not do in step. The balancer's numbers are its own.
-    rng: RefCell<Xoshiro256PlusPlus>,
     backends: Rc<BackendRegistry>,
     stats: Rc<Metrics>,
-    /// Where the list of servers is.
-    discovery: Cell<SocketAddr>,
-    /// Lists come on request of the balancer.
-    asked: bool,
-    /// The list held is not from where the list is now: changes to it are no use.
-    moved: Cell<bool>,
+    /// Asks discovery for the endpoint list. Called with the state borrowed.
+    refresh_endpoint_list: Box<dyn Fn()>,
     /// Two attempts of one request may be out together.
     second_copies: bool,
     /// By class: how far its requests may be repeated.
@@ -187,23 +146,19 @@
     aims: Vec<Duration>,
     state: RefCell<State>,
     revision: Cell<u64>,
-    lists_taken: Cell<u64>,
-    tried: Cell<bool>,
-    watches: Cell<u64>,
     servers_listed: Cell<bool>,
 }
 
 impl Dispatcher {
     /// Starts with no servers and no requests.
     pub fn new(
-        name: String,
+        log: EventLog,
         settings: Settings,
         seed: u64,
         backends: Rc<BackendRegistry>,
-        discovery: SocketAddr,
+        refresh_endpoint_list: impl Fn() + 'static,
     ) -> Result<Rc<Self>, SettingsError> {
-        let clock = Clock::new();
-        let asked = settings.polled_discovery;
+        let clock = Clock::start();
         let second_copies = settings.hedging_allowed;
         let effects = settings.classes.iter().map(|c| c.idempotency).collect();
         let aims = settings
@@ -218,42 +173,26 @@
             ids: HashSet::new(),
             next_request: 0,
             sent: FxHashMap::default(),
-            watch: None,
-            watch_before: None,
-            silent_call: None,
         };
         Ok(Rc::new_cyclic(|me| Dispatcher {
             me: me.clone(),
-            name,
+            log,
             clock,
-            rng: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(!seed)),
             stats: backends.stats(),
             backends,
-            discovery: Cell::new(discovery),
-            asked,
-            moved: Cell::new(false),
+            refresh_endpoint_list: Box::new(refresh_endpoint_list),
             second_copies,
             effects,
             aims,
             state: RefCell::new(state),
             revision: Cell::new(0),
-            lists_taken: Cell::new(0),
-            tried: Cell::new(false),
-            watches: Cell::new(0),
             servers_listed: Cell::new(false),
         }))
     }
 
     /// A line for the node's log.
     pub fn log(&self, line: fmt::Arguments) {
-        // Nobody may be left to read it: that is no reason to stop serving, which `eprintln!` would
-        // make of it.
-        let _ = writeln!(std::io::stderr(), "{}: {line}", self.name);
-    }
-
-    /// Uniform in [0, 1).
-    pub fn random(&self) -> f64 {
-        (self.rng.borrow_mut().next_u64() >> 11) as f64 / (1u64 << 53) as f64
+        self.log.log(line);
     }
 
     /// The names that the settings give to classes, tenants and so on.
@@ -271,97 +210,12 @@
         self.revision.get()
     }
 
-    /// Where lists are pushed they bind from the start: whether one has come, or can't be had.
-    pub fn informed(&self) -> bool {
-        self.asked || self.lists_taken.get() > 0 || self.tried.get()
-    }
-
-    /// A first watch has been turned away: there is nothing to wait for.
-    pub fn tried(&self) {
-        self.tried.set(true);
-    }
-
-    /// A watch is open, though it may bring nothing for long.
-    pub fn watching(&self) {
-        self.watches.set(self.watches.get() + 1);
-        if self.asked {
-            self.handle_event(Event::EndpointList {
-                update: ListUpdate::Delta,
-                endpoints: Vec::new(),
-            });
-        }
-    }
-
-    /// A call that was not given up has told a list: one that was has nothing newer to say. Before
-    /// that it may have, since a watch that is open may end instead of telling.
-    pub fn forget_silent_call(&self) {
-        self.state
-            .borrow_mut()
-            .silent_call
-            .take()
-            .iter()
-            .for_each(AbortHandle::abort);
-    }
-
-    /// How many watches have been opened.
-    pub fn watches(&self) -> u64 {
-        self.watches.get()
-    }
-
     /// Whether a list has named a server that takes requests.
     pub fn ready(&self) -> bool {
         self.servers_listed.get()
     }
 
-    /// Where the list of servers is.
-    pub fn discovery(&self) -> SocketAddr {
-        self.discovery.get()
-    }
-
-    /// Whether a watch has to start from a whole list.
-    pub fn needs_whole_list(&self) -> bool {
-        self.moved.get()
-    }
-
     // ---- what happens ----
-    /// Starts to follow the list of servers, where that is not for the balancer to ask for.
-    pub fn follow(&self) {
-        if !self.asked {
-            self.watch(&mut self.state.borrow_mut());
-        }
-    }
-
-    /// The list of servers is elsewhere from now on. What is on its way from the old address counts
-    /// as told, and is heard until the new one has told its whole list; the servers last known stay
-    /// until then.
-    pub fn rediscover(&self, address: SocketAddr) {
-        if self.discovery.replace(address) != address {
-            self.log(format_args!("discovery is now {address}"));
-            self.moved.set(true);
-            let state = &mut *self.state.borrow_mut();
-            let before = std::mem::replace(&mut state.watch_before, state.watch.take());
-            before.iter().for_each(AbortHandle::abort);
-            self.watch(state);
-        }
-    }
-
-    /// Goes on hearing a call that was given up for its silence, beside the next one. Where there
-    /// is one already that one stays: it is the first in turn.
-    pub fn hear_beside(&self, address: SocketAddr, call: impl Future + 'static) {
-        let state = &mut *self.state.borrow_mut();
-        let held = state
-            .silent_call
-            .as_ref()
-            .is_some_and(|task| !task.is_finished());
-        if held || self.discovery.get() != address {
-            return;
-        }
-        let task = spawn_local(async move {
-            let _ = tokio::time::timeout(SILENT_CALL, call).await;
-        });
-        state.silent_call = Some(task.abort_handle());
-    }
-
     /// Takes in the list as last known before the start. The balancer is owed one, be it empty.
     pub fn known(&self, list: Option<&EndpointList>) {
         let entries = list
@@ -373,23 +227,29 @@
         });
     }
 
-    /// Takes in what discovery says, at the address that it says it from.
-    pub fn list(&self, list: &EndpointList, from: SocketAddr) {
+    /// An endpoint list was asked for, and the answer has begun without one.
+    pub fn endpoint_list_unchanged(&self) {
+        self.handle_event(Event::EndpointList {
+            update: ListUpdate::Delta,
+            endpoints: Vec::new(),
+        });
+    }
+
+    /// An endpoint list was asked for, and the call has failed or ended.
+    pub fn endpoint_list_failed(&self) {
+        self.handle_event(Event::EndpointList {
+            update: ListUpdate::Failed,
+            endpoints: Vec::new(),
+        });
+    }
+
+    /// Takes in an endpoint list, or a change to it, that discovery has sent.
+    pub fn list(&self, list: &EndpointList) {
         let kind = if list.complete {
             ListUpdate::Snapshot
         } else {
             ListUpdate::Delta
         };
-        self.lists_taken.set(self.lists_taken.get() + 1);
-        if list.complete && from == self.discovery.get() {
-            self.moved.set(false);
-            self.state
-                .borrow_mut()
-                .watch_before
-                .take()
-                .iter()
-                .for_each(AbortHandle::abort);
-        }
         let entries = self.apply_endpoint_list(list, Source::Discovery);
         // Logged where it says anything: discovery may send lists of no change.
         if !entries.is_empty() {
@@ -708,7 +568,7 @@
             }
             Action::CancelAttempt { request, attempt } => Self::cancel(state, request, attempt),
             Action::SetTimer { at, timer } => {
-                let (me, at) = (self.me.clone(), self.clock.instant(at));
+                let (me, at) = (self.me.clone(), self.clock.instant_at(at));
                 spawn_local(async move {
                     tokio::time::sleep_until(at).await;
                     me.upgrade()
@@ -717,7 +577,7 @@
                 });
             }
             Action::SendLoadProbe { backend: server } => self.probe(state, server),
-            Action::RefreshEndpointList => self.watch(state),
+            Action::RefreshEndpointList => (self.refresh_endpoint_list)(),
             Action::Log(line) => self.log(format_args!("{line}")),
         }
     }
@@ -1081,30 +941,6 @@
             }
         });
     }
-
-    /// Starts a watch, unless one is being opened or is open already. Where lists come only when
-    /// asked for there is but one, and its end is told as a failed call.
-    fn watch(&self, state: &mut State) {
-        if state.watch.as_ref().is_some_and(|task| !task.is_finished()) {
-            return;
-        }
-        let (me, asked, address) = (self.me.clone(), self.asked, self.discovery.get());
-        let task = spawn_local(async move {
-            let Some(engine) = me.upgrade() else { return };
-            if !asked {
-                return client::follow(engine, address).await;
-            }
-            let error = client::watch_once(&engine, address).await;
-            if engine.discovery() == address {
-                engine.log(format_args!("watch: {error}"));
-                engine.handle_event(Event::EndpointList {
-                    update: ListUpdate::Failed,
-                    endpoints: Vec::new(),
-                });
-            }
-        });
-        state.watch = Some(task.abort_handle());
-    }
 }
 
 /// An attempt's time, which runs from the last byte of its request.
