--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -33,7 +33,7 @@
         /// The file.
         path: String,
         /// What is wrong, and where.
-        source: settings::ConfigError,
+        source: settings::ParseError,
     },
     /// The settings can be read but don't make sense.
     #[error("{path}: {source}")]
@@ -41,7 +41,7 @@
         /// The file.
         path: String,
         /// What makes no sense.
-        source: balancer::SettingsError,
+        source: settings::InvalidSettings,
     },
     /// A value that is given neither as a variable nor in the file.
     #[error("neither {variable} nor the configuration's `{key}` is given")]
@@ -86,7 +86,7 @@
     /// The servers as last known, if they are.
     pub known: Option<ServerList>,
     /// The site's settings.
-    pub site: settings::Config,
+    pub site: settings::InstanceSettings,
 }
 
 #[derive(Deserialize)]
@@ -173,7 +173,7 @@
             .check()
             .map_err(|source| ConfigError::Figures {
                 path: path(),
-                source,
+                source: source.into(),
             })?;
         // Both are checked wherever they are given: what is not used now may be at the next
         // reading.
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -141,7 +141,11 @@
         limits.connections,
         classes.join(" ")
     );
-    let backends = Rc::new(Backends::new(limits, config.site.names, config.site.fields));
+    let backends = Rc::new(Backends::new(
+        limits,
+        config.site.names,
+        config.site.load_report_fields,
+    ));
     let engine = Engine::new(
         config.name,
         settings,
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -257,7 +257,7 @@
     }
 
     /// The names that the settings give to classes, tenants and so on.
-    pub fn names(&self) -> &settings::Names {
+    pub fn names(&self) -> &settings::SettingNames {
         self.backends.names()
     }
 
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -20,7 +20,7 @@
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashMap;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, Visitor};
-use settings::{Field, Names};
+use settings::{LoadReportField, SettingNames};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -267,8 +267,8 @@
 /// All servers and the connections to them.
 pub struct Backends {
     limits: Limits,
-    names: Names,
-    fields: Vec<Field>,
+    names: SettingNames,
+    fields: Vec<LoadReportField>,
     slots: Places,
     by_name: RefCell<FxHashMap<String, Rc<Server>>>,
     by_id: RefCell<FxHashMap<BackendId, Rc<Server>>>,
@@ -287,7 +287,7 @@
 
 impl Backends {
     /// Starts with no servers.
-    pub fn new(limits: Limits, names: Names, fields: Vec<Field>) -> Self {
+    pub fn new(limits: Limits, names: SettingNames, fields: Vec<LoadReportField>) -> Self {
         Backends {
             slots: Places::new(limits.connections),
             limits,
@@ -318,7 +318,7 @@
     }
 
     /// The names that the settings give to classes, tenants and so on.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
@@ -388,7 +388,7 @@
             } else {
                 server.place.set((
                     ZoneId(position(&self.names.zones, &member.locality)),
-                    MachineTypeId(position(&self.names.kinds, &member.flavor)),
+                    MachineTypeId(position(&self.names.machine_types, &member.flavor)),
                     member.cell,
                 ));
                 let moved = member
@@ -801,12 +801,12 @@
             match self
                 .0
                 .names
-                .fields
+                .load_report_fields
                 .iter()
                 .position(|f| *f == name)
                 .and_then(|at| self.0.fields.get(at))
             {
-                Some(field) => field.put(values.next_value()?, &mut report),
+                Some(field) => field.set(&mut report, values.next_value()?),
                 None => drop(values.next_value::<IgnoredAny>()?),
             }
         }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/setting_names.rs
@@ -1,6 +1,6 @@
 //! The names that the settings give, by which messages refer to positions.
 
-use settings::{parse, Field};
+use settings::{parse, LoadReportField};
 
 #[test]
 fn names_are_kept_in_the_order_of_the_settings() {
@@ -17,7 +17,10 @@
     assert_eq!(config.names.classes, ["buy", "top"]);
     assert_eq!(config.names.tenants, ["a", "b"]);
     assert_eq!(config.names.zones, ["x", "y"]);
-    assert_eq!(config.names.kinds, ["k"]);
-    assert_eq!(config.names.fields, ["backlog", "other"]);
-    assert_eq!(config.fields, [Field::Backlog, Field::Other]);
+    assert_eq!(config.names.machine_types, ["k"]);
+    assert_eq!(config.names.load_report_fields, ["backlog", "other"]);
+    assert_eq!(
+        config.load_report_fields,
+        [LoadReportField::QueueDepth, LoadReportField::Unused]
+    );
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,9 +1,9 @@
 //! The table of instances: each event goes to its instance's balancer, its actions into the reply.
 
 use crate::wire::{frame_length, Batch, Record, Reply, WireError, HEADER};
-use balancer::{Action, Balancer, SettingsError};
+use balancer::{Action, Balancer};
 use rustc_hash::FxHashMap;
-use settings::{ConfigError, Field};
+use settings::{InvalidSettings, LoadReportField, ParseError};
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
@@ -19,7 +19,7 @@
         /// Position of the record.
         at: usize,
         /// What is wrong.
-        source: ConfigError,
+        source: ParseError,
     },
     /// Settings that make no sense.
     #[error("record {at}: settings: {source}")]
@@ -27,7 +27,7 @@
         /// Position of the record.
         at: usize,
         /// What is wrong.
-        source: SettingsError,
+        source: InvalidSettings,
     },
     /// An event before any `switch_to`.
     #[error("record {at}: no instance named yet")]
@@ -50,7 +50,7 @@
 
 struct Instance {
     balancer: Balancer,
-    fields: Vec<Field>,
+    fields: Vec<LoadReportField>,
 }
 
 /// All instances of this process.
@@ -79,13 +79,18 @@
                     let id = current.ok_or(HostError::Nobody { at })?;
                     let config = settings::parse(config)
                         .map_err(|source| HostError::Config { at, source })?;
-                    let balancer = Balancer::new(config.settings, seed, batch.now)
-                        .map_err(|source| HostError::Settings { at, source })?;
+                    let balancer =
+                        Balancer::new(config.settings, seed, batch.now).map_err(|source| {
+                            HostError::Settings {
+                                at,
+                                source: source.into(),
+                            }
+                        })?;
                     self.instances.insert(
                         id,
                         Instance {
                             balancer,
-                            fields: config.fields,
+                            fields: config.load_report_fields,
                         },
                     );
                     continue;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -5,7 +5,7 @@
     Event, ListUpdate, LoadProbeResult, LoadReport, MachineTypeId, RequestArrival, RequestId,
     TenantId, Time, TimerId, ZoneId,
 };
-use settings::Field;
+use settings::LoadReportField;
 use std::time::Duration;
 
 /// Bytes of a batch header.
@@ -150,7 +150,7 @@
     }
 
     /// Reads record `at`; `fields` is the order of figures in the current instance's load reports.
-    pub fn record(&self, at: usize, fields: &[Field]) -> Result<Record<'a>, WireError> {
+    pub fn record(&self, at: usize, fields: &[LoadReportField]) -> Result<Record<'a>, WireError> {
         let r = &self.records[at * EVENT..(at + 1) * EVENT];
         let request = || RequestId(int::<8>(r, 1));
         let ns = |offset| Duration::from_nanos(int::<8>(r, offset));
@@ -282,7 +282,11 @@
     })
 }
 
-fn report(at: usize, bytes: &[u8], fields: &[Field]) -> Result<Option<LoadReport>, WireError> {
+fn report(
+    at: usize,
+    bytes: &[u8],
+    fields: &[LoadReportField],
+) -> Result<Option<LoadReport>, WireError> {
     let n = usize::from(bytes[0]);
     if n == 0 {
         return Ok(None);
@@ -296,9 +300,9 @@
     }
     let mut report = LoadReport::default();
     for (i, field) in fields[..n].iter().enumerate() {
-        field.put(
-            f64::from(f32::from_bits(int::<4>(bytes, 1 + 4 * i) as u32)),
+        field.set(
             &mut report,
+            f64::from(f32::from_bits(int::<4>(bytes, 1 + 4 * i) as u32)),
         );
     }
     Ok(Some(report))
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,18 +1,18 @@
 //! The wire page's byte examples, malformed frames, and the table of instances.
 
 use balancer::*;
-use settings::{parse, Field};
+use settings::{parse, LoadReportField};
 use simulator_adapter::host::{Host, HostError};
 use simulator_adapter::wire::{Batch, Record, Reply, WireError, EVENT, HEADER};
 use std::io::Write;
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-const FIELDS: [Field; 4] = [
-    Field::Utilization,
-    Field::Throughput,
-    Field::Backlog,
-    Field::Outstanding,
+const FIELDS: [LoadReportField; 4] = [
+    LoadReportField::Utilization,
+    LoadReportField::Throughput,
+    LoadReportField::QueueDepth,
+    LoadReportField::InFlight,
 ];
 
 const SETTINGS: &str = r#"{"balancers": 4, "unheard_of": {"a": 1},
