--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -144,7 +144,7 @@
     let backends = Rc::new(BackendRegistry::new(
         limits,
         config.site.names,
-        config.site.fields,
+        config.site.load_report_fields,
     ));
     let engine = Dispatcher::new(
         config.name,
