--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -24,7 +24,7 @@
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashMap;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, Visitor};
-use settings::{Field, Names};
+use settings::{LoadReportField, SettingNames};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -271,8 +271,8 @@
 /// All servers and the connections to them.
 pub struct BackendRegistry {
     limits: Limits,
-    names: Names,
-    fields: Vec<Field>,
+    names: SettingNames,
+    fields: Vec<LoadReportField>,
     slots: ResizableSemaphore,
     by_name: RefCell<FxHashMap<String, Rc<Backend>>>,
     by_id: RefCell<FxHashMap<BackendId, Rc<Backend>>>,
@@ -291,7 +291,7 @@
 
 impl BackendRegistry {
     /// Starts with no servers.
-    pub fn new(limits: Limits, names: Names, fields: Vec<Field>) -> Self {
+    pub fn new(limits: Limits, names: SettingNames, fields: Vec<LoadReportField>) -> Self {
         BackendRegistry {
             slots: ResizableSemaphore::new(limits.connections),
             limits,
@@ -322,7 +322,7 @@
     }
 
     /// The names that the settings give to classes, tenants and so on.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
@@ -397,7 +397,7 @@
             } else {
                 server.place.set((
                     ZoneId(position(&self.names.zones, &member.locality)),
-                    MachineTypeId(position(&self.names.kinds, &member.flavor)),
+                    MachineTypeId(position(&self.names.machine_types, &member.flavor)),
                     member.cell,
                 ));
                 let moved = member
@@ -810,12 +810,12 @@
             match self
                 .0
                 .names
-                .fields
+                .load_report_fields
                 .iter()
                 .position(|f| *f == name)
                 .and_then(|at| self.0.fields.get(at))
             {
-                Some(field) => field.put(values.next_value()?, &mut report),
+                Some(field) => field.set(&mut report, values.next_value()?),
                 None => drop(values.next_value::<IgnoredAny>()?),
             }
         }
