--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -17,7 +17,6 @@
     "balancer/src/logic.rs",
     "balancer/src/state.rs",
     "proxy/src/config.rs",
-    "proxy/src/discovery/client.rs",
     "proxy/src/downstream/listener.rs",
     "proxy/src/http1/head_filter.rs",
     "proxy/src/node.rs",
