--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -21,7 +21,6 @@
     "proxy/src/http1/head_filter.rs",
     "proxy/src/node.rs",
     "proxy/src/requests/dispatcher.rs",
-    "proxy/src/upstream/backend_registry.rs",
     "simulator-adapter/src/host.rs",
     "soak-test/src/judge.rs",
     "soak-test/src/play.rs",
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -9,7 +9,8 @@
 use crate::resizable_semaphore::ResizableSemaphore;
 use crate::send_invariants::{self, Invariant};
 use crate::transient_errors;
-use crate::upstream::backend_registry::{ResponseBody, MOST_BUFFERED};
+use crate::upstream::response::ResponseBody;
+use crate::upstream::MAX_WRITE_BUFFER;
 use balancer::{ClassId, Idempotency, TenantId};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body as _, Frame, Incoming as Body, SizeHint};
@@ -522,7 +523,7 @@
         // Times are kept here, by one look at all connections now and then, not by a timer on each.
         let connection = http1::Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(MOST_BUFFERED)
+            .max_buf_size(MAX_WRITE_BUFFER)
             .serve_connection(
                 TokioIo::new(HeadFilter::new(client.socket.clone(), client.clone())),
                 service,
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -8,12 +8,14 @@
 use crate::discovery::watch_loop::EndpointWatcher;
 use crate::downstream::listener::{Listener, ShutdownPhase};
 use crate::event_log::EventLog;
+use crate::metrics::Metrics;
 use crate::operator_state::store;
 use crate::operator_state::store::OperatorStateStore;
 use crate::requests::dispatcher::Dispatcher;
 use crate::transient_errors::retry_at_start;
-use crate::upstream::backend_registry;
 use crate::upstream::backend_registry::BackendRegistry;
+use crate::upstream::exchange::UpstreamClient;
+use crate::upstream::pool::{ConnectionPool, PoolLimits};
 use crate::{metrics, send_invariants, transient_errors};
 use rustix::process::{getrlimit, Resource};
 use std::error::Error;
@@ -114,10 +116,10 @@
     };
     let mut accompanied = keeper.accompanied();
     let (clients, connections) = plan(accompanied);
-    let limits = backend_registry::Limits {
-        connections,
+    let limits = PoolLimits {
+        max_connections: connections,
         connect_timeout: or(settings.connect_timeout, Duration::from_millis(250)),
-        conn_idle: or(settings.idle_timeout, Duration::from_secs(5)),
+        idle_timeout: or(settings.idle_timeout, Duration::from_secs(5)),
     };
     let classes = config.site.names.classes.iter().zip(&settings.classes);
     let classes: Vec<String> = classes
@@ -141,14 +143,18 @@
         ms(settings.protocol_limits.drain_grace),
         ms(settings.idle_timeout),
         ms(settings.max_retry_after.unwrap_or_default()),
-        limits.connections,
+        limits.max_connections,
         classes.join(" ")
     );
-    let backends = Rc::new(BackendRegistry::new(
-        limits,
-        config.site.names,
-        config.site.load_report_fields,
-    ));
+    let metrics = Rc::new(Metrics::new());
+    let pool = Rc::new(ConnectionPool::new(limits, metrics.clone()));
+    let client = UpstreamClient::new(
+        pool.clone(),
+        &config.site.names,
+        &config.site.load_report_fields,
+        metrics,
+    );
+    let backends = BackendRegistry::new(config.site.names, pool.clone());
     let log = EventLog::new(&config.name);
     let mode = if settings.polled_discovery {
         DiscoveryMode::Polled
@@ -157,9 +163,14 @@
     };
     let watcher = EndpointWatcher::new(mode, config.discovery, config.seed, log.clone());
     let refreshed = watcher.clone();
-    let engine = Dispatcher::new(log, settings, config.seed, backends.clone(), move || {
-        refreshed.refresh()
-    })?;
+    let engine = Dispatcher::new(
+        log,
+        settings,
+        config.seed,
+        Rc::new(backends),
+        Rc::new(client),
+        move || refreshed.refresh(),
+    )?;
     let dispatcher = Rc::downgrade(&engine);
     watcher.set_event_handler(move |event| {
         let Some(dispatcher) = dispatcher.upgrade() else {
@@ -205,8 +216,8 @@
             reload(&reloading, &rewatching).await;
         }
     });
-    let sharing = backends.clone();
-    spawn_local(async move { backends.retire_idle().await });
+    let expiring = pool.clone();
+    spawn_local(async move { expiring.close_expired().await });
     let counted = engine.clone();
     spawn_local(async move {
         let mut every = tokio::time::interval_at(
@@ -234,7 +245,7 @@
                 if std::mem::replace(&mut accompanied, now) != now {
                     let (clients, upstream) = plan(now);
                     frontend.resize(clients);
-                    sharing.resize(upstream);
+                    pool.resize(upstream);
                     engine.log(format_args!(
                         "accompanied={now} clients={clients} upstream={upstream}"
                     ));
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -12,9 +12,10 @@
 use crate::metrics::Metrics;
 use crate::operator_state::store::OperatorState;
 use crate::send_invariants::{self, BackendIdentity, Execution, Invariant, PriorAttempt};
-use crate::upstream::backend_registry::{
-    AttemptTerms, Backend, BackendRegistry, Exchange, Progress, ResponseBody, Source,
-};
+use crate::upstream::backend::Backend;
+use crate::upstream::backend_registry::{BackendRegistry, ListSource};
+use crate::upstream::exchange::{AttemptTerms, SendProgress, UpstreamClient};
+use crate::upstream::response::{Exchange, ExchangeError, ExchangeResponse, ResponseBody};
 use balancer::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, EndpointState, Event,
     GiveUpReason, Idempotency, ListUpdate, LoadProbeResult, LoadReport, RequestArrival, RequestId,
@@ -111,7 +112,7 @@
     /// None once it has ended.
     task: Option<AbortHandle>,
     /// Whether it may have reached the server.
-    progress: Rc<Cell<Progress>>,
+    progress: Rc<Cell<SendProgress>>,
 }
 
 struct State {
@@ -134,6 +135,7 @@
     log: EventLog,
     clock: Clock,
     backends: Rc<BackendRegistry>,
+    client: Rc<UpstreamClient>,
     stats: Rc<Metrics>,
     /// Asks discovery for the endpoint list. Called with the state borrowed.
     refresh_endpoint_list: Box<dyn Fn()>,
@@ -156,6 +158,7 @@
         settings: Settings,
         seed: u64,
         backends: Rc<BackendRegistry>,
+        client: Rc<UpstreamClient>,
         refresh_endpoint_list: impl Fn() + 'static,
     ) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
@@ -178,8 +181,9 @@
             me: me.clone(),
             log,
             clock,
-            stats: backends.stats(),
+            stats: client.metrics().clone(),
             backends,
+            client,
             refresh_endpoint_list: Box::new(refresh_endpoint_list),
             second_copies,
             effects,
@@ -219,7 +223,7 @@
     /// Takes in the list as last known before the start. The balancer is owed one, be it empty.
     pub fn known(&self, list: Option<&EndpointList>) {
         let entries = list
-            .map(|l| self.apply_endpoint_list(l, Source::Configuration))
+            .map(|l| self.apply_endpoint_list(l, ListSource::Configuration))
             .unwrap_or_default();
         self.handle_event(Event::EndpointList {
             update: ListUpdate::Cached,
@@ -250,7 +254,7 @@
         } else {
             ListUpdate::Delta
         };
-        let entries = self.apply_endpoint_list(list, Source::Discovery);
+        let entries = self.apply_endpoint_list(list, ListSource::Discovery);
         // Logged where it says anything: discovery may send lists of no change.
         if !entries.is_empty() {
             let count = |state| entries.iter().filter(|e| e.state == state).count();
@@ -283,16 +287,21 @@
 
     /// Whether a list names this backend.
     pub fn knows(&self, backend: &str) -> bool {
-        self.backends.knows(backend)
+        self.backends.is_listed(backend)
     }
 
     /// Whether a backend that operators have put back into use is warm again, as far as this
     /// process knows.
     pub fn warmed_up(&self, backend: &str, warm_up: Duration) -> bool {
-        self.backends.warmed_up(self.clock.now(), backend, warm_up)
+        self.backends
+            .has_warmed_up(self.clock.now(), backend, warm_up)
     }
 
-    fn apply_endpoint_list(&self, list: &EndpointList, source: Source) -> Vec<balancer::Endpoint> {
+    fn apply_endpoint_list(
+        &self,
+        list: &EndpointList,
+        source: ListSource,
+    ) -> Vec<balancer::Endpoint> {
         self.revision.set(list.revision);
         let entries = self
             .backends
@@ -382,11 +391,14 @@
             return;
         };
         for (attempt, a) in (0..).zip(&mut entry.attempts) {
-            let Some(task) = a.task.take_if(|_| a.progress.get() == Progress::Waiting) else {
+            let Some(task) = a
+                .task
+                .take_if(|_| a.progress.get() == SendProgress::NotWritten)
+            else {
                 continue;
             };
             // The task ends in a later turn: nothing of it may be written until then.
-            a.progress.set(Progress::Revoked);
+            a.progress.set(SendProgress::Revoked);
             task.abort();
             let (outcome, latency) = (AttemptOutcome::NotSent, a.began.elapsed());
             (a.may_have_run, a.end) = (false, Some((outcome, latency, None)));
@@ -406,7 +418,12 @@
     }
 
     /// The first bytes of an answer are there, and go to the client. False: nobody wants them.
-    fn attempt_begun(&self, request: RequestId, attempt: u32, exchange: &mut Exchange) -> bool {
+    fn attempt_begun(
+        &self,
+        request: RequestId,
+        attempt: u32,
+        response: Response<ResponseBody>,
+    ) -> bool {
         let mut state = self.state.borrow_mut();
         let Some(entry) = state.ledger.get_mut(&request) else {
             return false;
@@ -419,12 +436,12 @@
             return false;
         };
         let latency = since(&entry.request, a.began);
-        let (Some(answer), Some(reply)) = (exchange.answer.take(), entry.reply.take()) else {
+        let Some(reply) = entry.reply.take() else {
             return false;
         };
         self.stats.count(|c| c.streamed += 1);
         self.count_served(entry);
-        let _ = reply.send(FinalResponse::Served(answer));
+        let _ = reply.send(FinalResponse::Served(response));
         drop(state);
         self.handle_event(Event::ResponseStarted {
             request,
@@ -436,17 +453,20 @@
 
     /// Waits for the end of an answer that is passed on as it comes.
     async fn attempt_passing(&self, request: RequestId, attempt: u32, exchange: &mut Exchange) {
-        let Some(passing) = exchange.passing.take() else {
-            return;
+        let (response, body_end) = match exchange.response.take() {
+            Some(ExchangeResponse::Streaming { response, body_end }) => (response, body_end),
+            complete => {
+                exchange.response = complete;
+                return;
+            }
         };
-        let begun = self.attempt_begun(request, attempt, exchange);
-        exchange.answer = None;
-        let ended = if begun { passing.await.ok() } else { None };
+        let begun = self.attempt_begun(request, attempt, response);
+        let ended = if begun { body_end.await.ok() } else { None };
         match ended {
             Some(StreamOutcome::Whole) => return,
             Some(StreamOutcome::Broken(problem)) => {
-                (exchange.outcome, exchange.problem) =
-                    (AttemptOutcome::ConnectionReset, Some(problem));
+                exchange.outcome = AttemptOutcome::ConnectionReset;
+                exchange.error = Some(ExchangeError::ResponseBody(problem));
             }
             None => exchange.outcome = AttemptOutcome::Cancelled,
         }
@@ -469,7 +489,7 @@
         }
         a.may_have_run = !exchange.outcome.never_executed();
         let (server, latency) = (a.server, since(&entry.request, a.began));
-        a.end = Some((exchange.outcome, latency, exchange.report));
+        a.end = Some((exchange.outcome, latency, exchange.load_report));
         self.stats.count(|c| c.count_attempt_end(exchange.outcome));
         let count = state.sent.entry(server).or_default();
         match exchange.outcome {
@@ -480,18 +500,14 @@
         let Some(entry) = state.ledger.get_mut(&request) else {
             return;
         };
-        if let Some(problem) = exchange
-            .problem
-            .take()
-            .filter(|_| self.stats.may_log_error())
-        {
+        if let Some(problem) = exchange.error.take().filter(|_| self.stats.may_log_error()) {
             let id = printable(&entry.id);
             let ms = latency.as_secs_f64() * 1e3;
             self.log(format_args!(
                 "exchange_failed id={id} backend={server} attempt={attempt} ms={ms:.2} error=\"{problem}\""
             ));
         }
-        if let Some(answer) = exchange.answer.take() {
+        if let Some(ExchangeResponse::Complete(answer)) = exchange.response.take() {
             // The first answer closes the request; a later one is the copy's and is dropped.
             if let Some(reply) = entry.reply.take() {
                 self.count_served(entry);
@@ -504,7 +520,7 @@
             self.stats.count(|c| c.client_disconnected += 1);
         }
         let closed = entry.reply.is_none();
-        let (outcome, report) = (exchange.outcome, exchange.report);
+        let (outcome, report) = (exchange.outcome, exchange.load_report);
         if closed {
             self.withhold(&mut state, request);
         }
@@ -670,7 +686,10 @@
         let mut state = self.state.borrow_mut();
         let sent = std::mem::take(&mut state.sent);
         let view = state.balancer.snapshot(self.clock.now());
-        let (clients, open) = (c.connections_accepted, self.backends.connections());
+        let (clients, open) = (
+            c.connections_accepted,
+            self.client.pool().open_connections(),
+        );
         let mut line = format!(
             "stats seconds={:.1} requests={} served={} rejected={} failed={} client_disconnected={} \
              unlogged={} in_flight={} attempts={} server_errors={} attempts_rejected={} \
@@ -697,7 +716,7 @@
             c.stream_aborted,
             c.connection_close_sent,
             c.backend_connects,
-            self.backends.left_out(),
+            self.backends.in_maintenance(),
             view.shed_fraction,
             view.mean_load,
             view.typical_latency * 1e3,
@@ -808,18 +827,18 @@
         let risky = entry.attempts.iter().find(|a| a.may_have_run);
         let repeat_by = risky.and_then(|a| Some(a.began + self.effect(entry.class).window()?));
         let client = entry.client.clone();
+        let progress: Rc<Cell<SendProgress>> = Rc::default();
         let terms = AttemptTerms {
-            client_waits: Box::new(move || !left(&client)),
-            repeat_by,
+            deadline: until,
+            retry_until: repeat_by,
+            is_client_waiting: Box::new(move || !left(&client)),
+            progress: progress.clone(),
         };
         let outgoing = entry.request.clone();
-        let (me, backends) = (self.me.clone(), self.backends.clone());
-        let progress: Rc<Cell<Progress>> = Rc::default();
-        let (reached, place) = (progress.clone(), backend.place());
+        let (me, upstream) = (self.me.clone(), self.client.clone());
+        let place = backend.identity();
         let task = spawn_local(async move {
-            let mut exchange = backends
-                .attempt(&backend, outgoing, until, terms, reached)
-                .await;
+            let mut exchange = upstream.send_attempt(&backend, outgoing, terms).await;
             if let Some(engine) = me.upgrade() {
                 engine
                     .attempt_passing(request, attempt, &mut exchange)
@@ -830,7 +849,7 @@
                 .iter()
                 .for_each(|e| e.attempt_ended(request, attempt, &mut exchange));
             if let Some(connection) = connection {
-                backends.release(&backend, connection).await;
+                upstream.pool().release(&backend, connection).await;
             }
         });
         self.stats.count(|c| c.attempts += 1);
@@ -852,7 +871,7 @@
     /// by itself: that it asks for what they forbid is a fault of its own, except where the list
     /// has changed since.
     fn may_send(&self, entry: &RequestRecord, backend: &Backend) -> bool {
-        if !backend.takes_new() {
+        if !backend.accepts_requests() {
             self.stats.invariants.prevented(Invariant::Drain);
             return false;
         }
@@ -870,7 +889,7 @@
             .collect();
         let effect = self.effect(entry.class);
         let allowed =
-            send_invariants::may_retry(effect, self.second_copies, backend.place(), &earlier);
+            send_invariants::may_retry(effect, self.second_copies, backend.identity(), &earlier);
         if let Err(rule) = allowed {
             self.stats.invariants.violated(rule);
             debug_assert!(false, "{rule:?}: {}", printable(&entry.id));
@@ -932,10 +951,11 @@
                     load_report: report,
                 }));
         };
-        let (me, backends, began) = (self.me.clone(), self.backends.clone(), Instant::now());
+        let (me, upstream, began) = (self.me.clone(), self.client.clone(), Instant::now());
         spawn_local(async move {
-            let exchange = backends.probe(&backend, PROBE_TIMEOUT).await;
-            let (outcome, latency, report) = (exchange.outcome, began.elapsed(), exchange.report);
+            let exchange = upstream.send_load_probe(&backend, PROBE_TIMEOUT).await;
+            let (outcome, latency, report) =
+                (exchange.outcome, began.elapsed(), exchange.load_report);
             let probed = LoadProbeResult {
                 backend: server,
                 outcome,
@@ -946,7 +966,7 @@
                 .iter()
                 .for_each(|e| e.handle_event(Event::LoadProbeEnded(probed)));
             if let Some(connection) = exchange.connection {
-                backends.release(&backend, connection).await;
+                upstream.pool().release(&backend, connection).await;
             }
         });
     }
--- /dev/null
+++ b/crates/proxy/src/upstream/load_report_header.rs
@@ -0,0 +1,82 @@
+//! Load reports as backends send them: a JSON object of figures, in a response header or in the
+//! response to a load probe.
+
+use balancer::LoadReport;
+use hyper::header::{HeaderMap, HeaderName};
+use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, Visitor};
+use settings::LoadReportField;
+use std::borrow::Cow;
+use std::fmt;
+
+const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
+
+/// Reads load reports by the field names that the settings give.
+pub struct LoadReportReader {
+    fields: Vec<NamedField>,
+}
+
+struct NamedField {
+    name: String,
+    field: LoadReportField,
+}
+
+impl LoadReportReader {
+    /// Creates a reader for fields that have these names, in the same order.
+    pub fn new(names: &[String], fields: &[LoadReportField]) -> Self {
+        let named = names.iter().zip(fields).map(|(name, field)| NamedField {
+            name: name.clone(),
+            field: *field,
+        });
+        LoadReportReader {
+            fields: named.collect(),
+        }
+    }
+
+    /// The report in a response's headers, if there is a valid one.
+    pub fn read_headers(&self, headers: &HeaderMap) -> Option<LoadReport> {
+        self.read_json(headers.get(SERVER_LOAD)?.as_bytes())
+    }
+
+    /// The report in a JSON text. Returns `None` for a text that is malformed or has no known field.
+    pub fn read_json(&self, text: &[u8]) -> Option<LoadReport> {
+        let mut deserializer = serde_json::Deserializer::from_slice(text);
+        let report = ReportSeed(self).deserialize(&mut deserializer).ok()?;
+        deserializer.end().ok()?;
+        (report != LoadReport::default()).then_some(report)
+    }
+
+    fn field(&self, name: &str) -> Option<LoadReportField> {
+        let named = self.fields.iter().find(|field| field.name == name)?;
+        Some(named.field)
+    }
+}
+
+/// Reads a report field by field, without a map in between: one comes with every response.
+struct ReportSeed<'a>(&'a LoadReportReader);
+
+impl<'de> DeserializeSeed<'de> for ReportSeed<'_> {
+    type Value = LoadReport;
+
+    fn deserialize<D: Deserializer<'de>>(self, deserializer: D) -> Result<LoadReport, D::Error> {
+        deserializer.deserialize_map(self)
+    }
+}
+
+impl<'de> Visitor<'de> for ReportSeed<'_> {
+    type Value = LoadReport;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str("a load report")
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, mut entries: A) -> Result<LoadReport, A::Error> {
+        let mut report = LoadReport::default();
+        while let Some(name) = entries.next_key::<Cow<str>>()? {
+            match self.0.field(&name) {
+                Some(field) => field.set(&mut report, entries.next_value()?),
+                None => drop(entries.next_value::<IgnoredAny>()?),
+            }
+        }
+        Ok(report)
+    }
+}
