--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -23,7 +23,6 @@
     "proxy/src/node.rs",
     "proxy/src/requests/dispatcher.rs",
     "proxy/src/upstream/backend_registry.rs",
-    "simulator-adapter/src/host.rs",
     "soak-test/src/judge.rs",
     "soak-test/src/play.rs",
     "soak-test/src/server.rs",
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,9 +1,10 @@
-//! The simulator's side of balancer: frames, JSON settings and a table of instances.
+//! The balancer on the simulator's wire: binary frames, JSON settings and a table of instances.
 //!
-//! Nothing here decides anything; each instance owns a [`balancer::Balancer`] and shares nothing.
+//! Nothing here decides anything. Each instance owns a [`balancer::Balancer`] and shares nothing with
+//! the others.
 
 #![forbid(unsafe_code)]
 
-pub mod host;
-
+pub mod instances;
+pub mod stream;
 pub mod wire;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,12 +2,14 @@
 
 #![forbid(unsafe_code)]
 
-use simulator_adapter::host::Host;
+use simulator_adapter::instances::InstanceTable;
+use simulator_adapter::stream;
 use std::io;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match Host::default().run(io::stdin().lock(), io::stdout().lock()) {
+    let mut instances = InstanceTable::default();
+    match stream::serve(&mut instances, io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -0,0 +1,304 @@
+//! Event frames: what the simulator tells instances.
+
+use super::codes::{event, WORK_GIVEN};
+use super::errors::{WireError, WireField};
+use super::field_reader::FieldReader;
+use super::{
+    InstanceId, ENDPOINT_BYTES, EVENT_HEADER_BYTES, EVENT_RECORD_BYTES, MAX_FRAME_BYTES,
+    MAX_LOAD_REPORT_FIELDS,
+};
+use balancer::{
+    AttemptOutcome, AttemptResult, BackendId, CellId, ClassId, Endpoint, EndpointState, Event,
+    ListUpdate, LoadProbeResult, LoadReport, MachineTypeId, RequestArrival, RequestId, TenantId,
+    Time, TimerId, ZoneId,
+};
+use settings::LoadReportField;
+
+/// Size of a load report in a record: the number of figures and the figures, in bytes.
+const LOAD_REPORT_BYTES: usize = 1 + MAX_LOAD_REPORT_FIELDS * size_of::<f32>();
+
+/// One frame of events, checked for size.
+#[derive(Debug)]
+pub struct EventFrame<'a> {
+    /// The simulator's clock at which all events of the frame happen.
+    pub now: Time,
+    count: usize,
+    records: &'a [u8],
+    tail: &'a [u8],
+}
+
+/// A record of an event frame.
+#[derive(Debug)]
+pub enum EventRecord<'a> {
+    /// The records after it concern this instance.
+    SwitchTo(InstanceId),
+    /// The instance starts, empty.
+    Init {
+        /// Seed of its random numbers.
+        seed: u64,
+        /// JSON settings.
+        settings: &'a [u8],
+    },
+    /// The instance is killed.
+    PowerOff,
+    /// A message from a peer; the balancer sends none and reads none.
+    PeerMessage,
+    /// An event for the balancer.
+    Event(Event),
+}
+
+/// The length announced by an event frame's header, in bytes.
+///
+/// # Errors
+///
+/// [`WireError::ImpossibleLength`] where it is shorter than the header or longer than
+/// [`MAX_FRAME_BYTES`].
+pub fn frame_length(header: &[u8; EVENT_HEADER_BYTES]) -> Result<usize, WireError> {
+    let length = FieldReader(header).u32(0) as usize;
+    if (EVENT_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
+        Ok(length)
+    } else {
+        Err(WireError::ImpossibleLength(length))
+    }
+}
+
+impl<'a> EventFrame<'a> {
+    /// Splits a frame into its records and its tail.
+    ///
+    /// # Errors
+    ///
+    /// A frame that is not as long as its header says, or too short for its records.
+    pub fn parse(frame: &'a [u8]) -> Result<Self, WireError> {
+        let header = FieldReader(frame);
+        if frame.len() < EVENT_HEADER_BYTES || header.u32(0) as usize != frame.len() {
+            return Err(WireError::ImpossibleLength(frame.len()));
+        }
+        let count = header.u32(12) as usize;
+        let body = &frame[EVENT_HEADER_BYTES..];
+        if count > body.len() / EVENT_RECORD_BYTES {
+            return Err(WireError::RecordsExceedFrame {
+                count,
+                frame_bytes: frame.len(),
+            });
+        }
+        let (records, tail) = body.split_at(count * EVENT_RECORD_BYTES);
+        Ok(EventFrame {
+            now: Time(header.u64(4)),
+            count,
+            records,
+            tail,
+        })
+    }
+
+    /// Number of records.
+    pub fn len(&self) -> usize {
+        self.count
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.count == 0
+    }
+
+    /// Decodes the record at position `index`, which has to be below [`len`](Self::len);
+    /// `load_report_fields` is the order of figures in the current instance's load reports.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] names the record and the field that cannot be read.
+    pub fn record(
+        &self,
+        index: usize,
+        load_report_fields: &[LoadReportField],
+    ) -> Result<EventRecord<'a>, WireError> {
+        let start = index * EVENT_RECORD_BYTES;
+        let record = RecordReader {
+            index,
+            fields: FieldReader(&self.records[start..start + EVENT_RECORD_BYTES]),
+            tail: self.tail,
+            load_report_fields,
+        };
+        match record.fields.u8(0) {
+            event::SWITCH_TO => Ok(EventRecord::SwitchTo(InstanceId(record.fields.u32(1)))),
+            event::INIT => record.init(),
+            event::POWER_OFF => Ok(EventRecord::PowerOff),
+            event::PEER_MESSAGE => record.peer_message(),
+            code => record.balancer_event(code).map(EventRecord::Event),
+        }
+    }
+}
+
+/// Decodes one record.
+struct RecordReader<'a, 'b> {
+    index: usize,
+    fields: FieldReader<'a>,
+    tail: &'a [u8],
+    load_report_fields: &'b [LoadReportField],
+}
+
+impl<'a> RecordReader<'a, '_> {
+    fn init(&self) -> Result<EventRecord<'a>, WireError> {
+        Ok(EventRecord::Init {
+            seed: self.fields.u64(1),
+            settings: self.tail_items(WireField::Settings, 9, 1)?,
+        })
+    }
+
+    fn peer_message(&self) -> Result<EventRecord<'a>, WireError> {
+        self.tail_items(WireField::PeerMessage, 5, 1)?;
+        Ok(EventRecord::PeerMessage)
+    }
+
+    fn balancer_event(&self, code: u8) -> Result<Event, WireError> {
+        match code {
+            event::ENDPOINT_LIST => self.endpoint_list(),
+            event::REQUEST_ARRIVED => Ok(Event::RequestArrived(self.request_arrival())),
+            event::RESPONSE_STARTED => Ok(Event::ResponseStarted {
+                request: self.request(),
+                attempt: u32::from(self.fields.u8(9)),
+                latency: self.fields.nanoseconds(14),
+            }),
+            event::ATTEMPT_ENDED => self.attempt_result().map(Event::AttemptEnded),
+            event::CLIENT_DISCONNECTED => Ok(Event::ClientDisconnected {
+                request: self.request(),
+            }),
+            event::TIMER_FIRED => Ok(Event::TimerFired {
+                timer: TimerId(self.fields.u32(1)),
+            }),
+            event::LOAD_PROBE_ENDED => self.load_probe_result().map(Event::LoadProbeEnded),
+            code => Err(WireError::UnknownEvent {
+                record: self.index,
+                code,
+            }),
+        }
+    }
+
+    fn request(&self) -> RequestId {
+        RequestId(self.fields.u64(1))
+    }
+
+    fn request_arrival(&self) -> RequestArrival {
+        let work_given = self.fields.u8(36) & WORK_GIVEN != 0;
+        RequestArrival {
+            request: self.request(),
+            tenant: TenantId(self.fields.u16(9)),
+            class: ClassId(self.fields.u8(11)),
+            remaining: self.fields.nanoseconds(20),
+            work: work_given.then(|| self.fields.nanoseconds(28)),
+            body_pending: false,
+        }
+    }
+
+    fn attempt_result(&self) -> Result<AttemptResult, WireError> {
+        Ok(AttemptResult {
+            request: self.request(),
+            attempt: u32::from(self.fields.u8(9)),
+            backend: BackendId(self.fields.u32(10)),
+            outcome: self.outcome(14)?,
+            latency: self.fields.nanoseconds(16),
+            request_closed: self.fields.u8(24) != 0,
+            load_report: self.load_report(25)?,
+        })
+    }
+
+    fn load_probe_result(&self) -> Result<LoadProbeResult, WireError> {
+        Ok(LoadProbeResult {
+            latency: self.fields.nanoseconds(1),
+            backend: BackendId(self.fields.u32(9)),
+            outcome: self.outcome(13)?,
+            load_report: self.load_report(15)?,
+        })
+    }
+
+    fn outcome(&self, offset: usize) -> Result<AttemptOutcome, WireError> {
+        match self.fields.u16(offset) {
+            200 => Ok(AttemptOutcome::Success),
+            410 => Ok(AttemptOutcome::NotSent),
+            499 => Ok(AttemptOutcome::Cancelled),
+            500 => Ok(AttemptOutcome::ServerError),
+            502 => Ok(AttemptOutcome::ConnectFailed),
+            503 => Ok(AttemptOutcome::Rejected),
+            504 => Ok(AttemptOutcome::TimedOut),
+            598 => Ok(AttemptOutcome::ConnectionReset),
+            unknown => Err(self.unknown_value(WireField::Outcome, unknown)),
+        }
+    }
+
+    fn load_report(&self, offset: usize) -> Result<Option<LoadReport>, WireError> {
+        let report = FieldReader(self.fields.slice(offset, LOAD_REPORT_BYTES));
+        let count = usize::from(report.u8(0));
+        if count == 0 {
+            return Ok(None);
+        }
+        if count > MAX_LOAD_REPORT_FIELDS || count > self.load_report_fields.len() {
+            return Err(self.unknown_value(WireField::LoadReport, report.u8(0)));
+        }
+        let mut load_report = LoadReport::default();
+        for (position, field) in self.load_report_fields[..count].iter().enumerate() {
+            let value = report.f32(1 + position * size_of::<f32>());
+            field.set(&mut load_report, value);
+        }
+        Ok(Some(load_report))
+    }
+
+    fn endpoint_list(&self) -> Result<Event, WireError> {
+        let update = match self.fields.u8(1) {
+            0 => ListUpdate::Cached,
+            1 => ListUpdate::Failed,
+            2 => ListUpdate::Delta,
+            3 => ListUpdate::Snapshot,
+            unknown => return Err(self.unknown_value(WireField::ListUpdate, unknown)),
+        };
+        let endpoints = self
+            .tail_items(WireField::Endpoints, 10, ENDPOINT_BYTES)?
+            .chunks_exact(ENDPOINT_BYTES)
+            .map(|entry| self.endpoint(FieldReader(entry)))
+            .collect::<Result<_, _>>()?;
+        Ok(Event::EndpointList { update, endpoints })
+    }
+
+    fn endpoint(&self, entry: FieldReader<'_>) -> Result<Endpoint, WireError> {
+        let state = match entry.u8(8) {
+            0 => EndpointState::Removed,
+            1 => EndpointState::Active,
+            2 => EndpointState::Draining,
+            unknown => return Err(self.unknown_value(WireField::EndpointState, unknown)),
+        };
+        let started_at = entry.u64(13);
+        Ok(Endpoint {
+            backend: BackendId(entry.u32(0)),
+            zone: ZoneId(entry.u8(4)),
+            machine_type: MachineTypeId(entry.u8(5)),
+            cell: CellId(entry.u16(6)),
+            state,
+            weight: entry.f32(9),
+            started_at: (started_at > 0).then_some(Time(started_at)),
+        })
+    }
+
+    /// The bytes in the tail to which the field at `offset` points: where they start, and how many
+    /// items of `item_bytes` they are.
+    fn tail_items(
+        &self,
+        field: WireField,
+        offset: usize,
+        item_bytes: usize,
+    ) -> Result<&'a [u8], WireError> {
+        let start = self.fields.u32(offset) as usize;
+        let count = self.fields.u32(offset + size_of::<u32>()) as usize;
+        self.tail
+            .get(start..start + count * item_bytes)
+            .ok_or(WireError::OutsideTail {
+                record: self.index,
+                field,
+            })
+    }
+
+    fn unknown_value(&self, field: WireField, value: impl Into<u64>) -> WireError {
+        WireError::UnknownValue {
+            record: self.index,
+            field,
+            value: value.into(),
+        }
+    }
+}
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -2,8 +2,11 @@
 
 use balancer::*;
 use settings::{parse, LoadReportField};
-use simulator_adapter::host::{Host, HostError};
-use simulator_adapter::wire::{Batch, Record, Reply, WireError, EVENT, HEADER};
+use simulator_adapter::instances::{FrameError, InstanceTable};
+use simulator_adapter::wire::{
+    ActionFrame, EventFrame, EventRecord, InstanceId, WireError, WireField, EVENT_HEADER_BYTES,
+    EVENT_RECORD_BYTES,
+};
 use std::io::Write;
 use std::process::{Command, Stdio};
 use std::time::Duration;
@@ -44,7 +47,7 @@
 
 fn frame(now: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
-    let mut f = ((HEADER + body.len() + tail.len()) as u32)
+    let mut f = ((EVENT_HEADER_BYTES + body.len() + tail.len()) as u32)
         .to_be_bytes()
         .to_vec();
     f.extend_from_slice(&now.to_be_bytes());
@@ -55,21 +58,21 @@
 }
 
 fn one(record: &str, tail: &[u8]) -> Result<Event, WireError> {
-    let f = frame(1, &[padded(record, EVENT)], tail);
-    match Batch::parse(&f)?.record(0, &FIELDS)? {
-        Record::Event(event) => Ok(event),
+    let f = frame(1, &[padded(record, EVENT_RECORD_BYTES)], tail);
+    match EventFrame::parse(&f)?.record(0, &FIELDS)? {
+        EventRecord::Event(event) => Ok(event),
         other => panic!("not an event: {other:?}"),
     }
 }
 
 fn switch_to(id: u32) -> Vec<u8> {
-    padded(&format!("1a{id:08x}"), EVENT)
+    padded(&format!("1a{id:08x}"), EVENT_RECORD_BYTES)
 }
 
 fn init(text: &str) -> Vec<u8> {
     padded(
         &format!("18 0000000000000007 00000000 {:08x}", text.len()),
-        EVENT,
+        EVENT_RECORD_BYTES,
     )
 }
 
@@ -77,7 +80,7 @@
 fn empty_batch_as_on_the_wire_page() {
     let f = hex("00000010 00000001f568bf90 00000000");
     assert_eq!(
-        Host::default().answer(&f).unwrap(),
+        InstanceTable::default().handle_frame(&f).unwrap(),
         hex("00000000 00000008")
     );
 }
@@ -167,38 +170,38 @@
     );
     let f = frame(
         1,
-        &[padded("17 00000002 00000000 00000004", EVENT)],
+        &[padded("17 00000002 00000000 00000004", EVENT_RECORD_BYTES)],
         &hex("68692037"),
     );
     assert!(matches!(
-        Batch::parse(&f).unwrap().record(0, &[]).unwrap(),
-        Record::Note
+        EventFrame::parse(&f).unwrap().record(0, &[]).unwrap(),
+        EventRecord::PeerMessage
     ));
-    let f = frame(1, &[padded("12", EVENT)], &[]);
+    let f = frame(1, &[padded("12", EVENT_RECORD_BYTES)], &[]);
     assert!(matches!(
-        Batch::parse(&f).unwrap().record(0, &[]).unwrap(),
-        Record::PowerOff
+        EventFrame::parse(&f).unwrap().record(0, &[]).unwrap(),
+        EventRecord::PowerOff
     ));
 }
 
 #[test]
 fn actions_as_on_the_wire_page() {
-    let mut r = Reply::default();
+    let mut r = ActionFrame::default();
     let request = RequestId(0x0006_8b68_5d3a_91c4);
     let (first, second) = (BackendId(0x0312_4a07), RequestId(0x0005_8cb7_0e6f_2b19));
     let ns = Duration::from_nanos;
-    r.on_behalf(3);
-    r.action(&Action::StartAttempt {
+    r.set_instance(InstanceId(3));
+    r.push_action(&Action::StartAttempt {
         request,
         backend: first,
         timeout: Some(Duration::from_millis(80)),
     });
-    r.action(&Action::SetTimer {
+    r.push_action(&Action::SetTimer {
         at: Time(0x2_1336_2490),
         timer: TimerId(0x4d),
     });
-    r.on_behalf(5);
-    r.action(&Action::Log("two servers known".into()));
+    r.set_instance(InstanceId(5));
+    r.push_action(&Action::Log("two servers known".into()));
     let records = [
         "18 00000003",
         "19 00068b685d3a91c4 03124a07 0000000004c4b400",
@@ -211,7 +214,7 @@
         want.extend(padded(record, 24));
     }
     want.extend(hex("74776f2073657276657273206b6e6f776e"));
-    assert_eq!(r.frame(), want);
+    assert_eq!(r.to_bytes(), want);
     for (action, bytes) in [
         (Action::RefreshEndpointList, "14 01"),
         (Action::SendLoadProbe { backend: first }, "17 03124a07"),
@@ -239,118 +242,136 @@
         ),
     ] {
         r.clear();
-        r.action(&action);
-        assert_eq!(r.frame()[8..], padded(bytes, 24));
+        r.push_action(&action);
+        assert_eq!(r.to_bytes()[8..], padded(bytes, 24));
     }
     r.clear();
-    r.give_in("index out of range");
+    r.push_decision_failure("index out of range");
     let want = [
         hex("00000001 00000032"),
         padded("12 00000000 00000012", 24),
         b"index out of range".to_vec(),
     ]
     .concat();
-    assert_eq!(r.frame(), want);
+    assert_eq!(r.to_bytes(), want);
 }
 
 #[test]
 fn malformed_records_are_named() {
     assert_eq!(
         one("63", &[]).unwrap_err(),
-        WireError::Code { at: 0, code: 0x63 }
+        WireError::UnknownEvent {
+            record: 0,
+            code: 0x63
+        }
     );
     let e = one("15 00 00 00 00 00 00 00 01 00 00000001 03e7", &[]).unwrap_err();
     assert_eq!(
         e,
-        WireError::Value {
-            at: 0,
-            field: "how",
+        WireError::UnknownValue {
+            record: 0,
+            field: WireField::Outcome,
             value: 999
         }
     );
     let e = one("10 09", &[]).unwrap_err();
     assert_eq!(
         e,
-        WireError::Value {
-            at: 0,
-            field: "kind",
+        WireError::UnknownValue {
+            record: 0,
+            field: WireField::ListUpdate,
             value: 9
         }
     );
     let e = one("10 03 0000000000000001 00000000 00000002", &[0; 21]).unwrap_err();
     assert_eq!(
         e,
-        WireError::Tail {
-            at: 0,
-            field: "entries"
+        WireError::OutsideTail {
+            record: 0,
+            field: WireField::Endpoints
         }
     );
     let e = one("14 0000000000155cc0 2c9011f2 00c8 05", &[]).unwrap_err();
     assert_eq!(
         e,
-        WireError::Value {
-            at: 0,
-            field: "server_stats",
+        WireError::UnknownValue {
+            record: 0,
+            field: WireField::LoadReport,
             value: 5
         }
     );
     let short = hex("00000020 0000000000000001 00000001 00000000000000000000000000000000");
     assert_eq!(
-        Batch::parse(&short).unwrap_err(),
-        WireError::Count { count: 1, len: 32 }
+        EventFrame::parse(&short).unwrap_err(),
+        WireError::RecordsExceedFrame {
+            count: 1,
+            frame_bytes: 32
+        }
     );
     assert!(matches!(
-        Batch::parse(&short[..20]),
-        Err(WireError::Length(20))
+        EventFrame::parse(&short[..20]),
+        Err(WireError::ImpossibleLength(20))
     ));
 }
 
 #[test]
 fn instances_start_die_and_share_nothing() {
     let tail = SETTINGS.as_bytes();
-    let mut host = Host::default();
+    let mut host = InstanceTable::default();
     let knock = |id: u64| {
         padded(
             &format!("13 {id:016x} 0000 00 0000000000000000 000000000e4e1c00"),
-            EVENT,
+            EVENT_RECORD_BYTES,
         )
     };
     assert!(matches!(
-        host.answer(&frame(1, &[knock(1)], &[])),
-        Err(HostError::Nobody { at: 0 })
+        host.handle_frame(&frame(1, &[knock(1)], &[])),
+        Err(FrameError::NoInstance { record: 0 })
     ));
     let e = host
-        .answer(&frame(1, &[switch_to(3), knock(1)], &[]))
+        .handle_frame(&frame(1, &[switch_to(3), knock(1)], &[]))
         .unwrap_err();
     assert!(
-        matches!(e, HostError::Unstarted { at: 1, instance: 3 }),
+        matches!(
+            e,
+            FrameError::InstanceNotRunning {
+                record: 1,
+                instance: InstanceId(3)
+            }
+        ),
         "{e}"
     );
     // Started without servers: the request is refused.
     let reply = host
-        .answer(&frame(2, &[switch_to(3), init(SETTINGS), knock(1)], tail))
+        .handle_frame(&frame(2, &[switch_to(3), init(SETTINGS), knock(1)], tail))
         .unwrap();
     assert_eq!((reply[8], reply[8 + 24]), (24, 21));
     // Killed: nothing more for it; started anew in one batch: it is empty again.
     let e = host
-        .answer(&frame(
+        .handle_frame(&frame(
             3,
-            &[switch_to(3), padded("12", EVENT), knock(2)],
+            &[switch_to(3), padded("12", EVENT_RECORD_BYTES), knock(2)],
             &[],
         ))
         .unwrap_err();
     assert!(
-        matches!(e, HostError::Unstarted { at: 2, instance: 3 }),
+        matches!(
+            e,
+            FrameError::InstanceNotRunning {
+                record: 2,
+                instance: InstanceId(3)
+            }
+        ),
         "{e}"
     );
     let batch = [
         switch_to(3),
         init(SETTINGS),
-        padded("12", EVENT),
+        padded("12", EVENT_RECORD_BYTES),
         init(SETTINGS),
         knock(2),
     ];
-    assert!(host.answer(&frame(4, &batch, tail)).is_ok());
+    assert!(host.handle_frame(&frame(4, &batch, tail)).is_ok());
 }
 
 #[test]
@@ -399,7 +420,10 @@
     assert!(bad("\"tenants\"", "tenants").contains("settings at"));
     let text = SETTINGS.replace("\"zone\": 1", "\"zone\": 7");
     let f = frame(1, &[switch_to(1), init(&text)], text.as_bytes());
-    let e = Host::default().answer(&f).unwrap_err().to_string();
+    let e = InstanceTable::default()
+        .handle_frame(&f)
+        .unwrap_err()
+        .to_string();
     assert!(e.contains("zone: 7"), "{e}");
 }
 
