--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -19,7 +19,6 @@
     "proxy/src/config.rs",
     "proxy/src/discovery/client.rs",
     "proxy/src/downstream/listener.rs",
-    "proxy/src/http1/head_filter.rs",
     "proxy/src/node.rs",
     "proxy/src/requests/dispatcher.rs",
     "proxy/src/upstream/backend_registry.rs",
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,7 +1,9 @@
 //! The operators' side: a listener of its own, with places of its own, and the calls that it takes.
 
 use crate::downstream::listener::{accept_failed, discard, ShutdownPhase, MOST_LINGERING};
-use crate::http1::head_filter::{self, Problem};
+use crate::http1::error::MessageError;
+use crate::http1::framing::parse_request_head;
+use crate::http1::limits::MAX_HEAD_BYTES;
 use crate::operator_state::store::{OperatorState, OperatorStateStore};
 use crate::requests::dispatcher::Dispatcher;
 use crate::socket::Socket;
@@ -151,9 +153,10 @@
         let (call, (status, text)) = match call {
             Ok(Some(Ok((method, path)))) => {
                 let reply = self.carry_out(&method, &path).await;
-                (format!("{method} {path}"), reply.unwrap_or_else(|no| no))
+                let (status, text) = reply.unwrap_or_else(|no| no);
+                (format!("{method} {path}"), (status, text.to_owned()))
             }
-            Ok(Some(Err(problem))) => ("unreadable".to_owned(), problem),
+            Ok(Some(Err(error))) => ("unreadable".to_owned(), (error.status(), error.to_string())),
             // It left, or finished no call.
             Ok(None) | Err(_) => return,
         };
@@ -246,19 +249,16 @@
 }
 
 /// Reads a call's method and path, or what is wrong with it. None: nothing came.
-async fn read_call(stream: &mut Socket) -> Option<Result<(String, String), Problem>> {
+async fn read_call(stream: &mut Socket) -> Option<Result<(String, String), MessageError>> {
     let mut held = BytesMut::with_capacity(1 << 10);
     loop {
         let read = stream.read_buf(&mut held).await.ok()?;
-        match head_filter::request_head(&held) {
-            Err(problem) => return Some(Err(problem)),
+        match parse_request_head(&held) {
+            Err(error) => return Some(Err(error)),
             Ok(Some(_)) => break,
             Ok(None) if read == 0 => return None,
-            Ok(None) if held.len() >= head_filter::MOST_HEAD => {
-                return Some(Err((
-                    StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-                    "the head is too long",
-                )));
+            Ok(None) if held.len() >= MAX_HEAD_BYTES => {
+                return Some(Err(MessageError::HeadTooLong));
             }
             Ok(None) => {}
         }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,22 +1,27 @@
 //! The clients' side: takes connections and requests, checks them, and writes the final answers.
 
-use crate::http1::head_filter::{
-    self, Expected, Head, HeadFilter, MessagePolicy, Problem, MOST_BODY,
-};
-use crate::http1::streaming::{buffer_body, BodyError, RequestBody, Upload, STALL};
+use crate::downstream::request_head::{RequestError, RequestHead, MAX_TIMEOUT};
+use crate::http1::body::{buffer_body, BodyError, BufferedPart};
+use crate::http1::error::MessageError;
+use crate::http1::framing::{parse_request_head, Expected, Head};
+use crate::http1::head_filter::{HeadFilter, MessagePolicy};
+use crate::http1::hop_by_hop::end_to_end_headers;
+use crate::http1::limits::{MAX_BODY_BYTES, STALL_TIMEOUT};
+use crate::http1::upload::{RequestBody, Upload};
 use crate::metrics::Metrics;
 use crate::requests::dispatcher::{Dispatcher, FinalResponse, ForwardRequest};
 use crate::resizable_semaphore::ResizableSemaphore;
 use crate::send_invariants::{self, Invariant};
+use crate::socket::{is_closed_by_peer, is_open_and_drained};
 use crate::transient_errors;
 use crate::upstream::backend_registry::{ResponseBody, MOST_BUFFERED};
-use balancer::{ClassId, Idempotency, TenantId};
+use balancer::Idempotency;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body as _, Frame, Incoming as Body, SizeHint};
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode, Uri};
+use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
@@ -74,28 +79,9 @@
 const SPARE_PART: usize = 4;
 /// For what is on its way on a connection that is to end, or to the listener.
 const LAST_CHANCE: Duration = Duration::from_millis(100);
-/// No client waits for longer.
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
 /// `accept` that failed for want of resources is not tried again at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
-const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
-const COST: HeaderName = HeaderName::from_static("x-cost");
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Headers that belong to one connection, not to the message.
-const HOP_BY_HOP: [HeaderName; 8] = [
-    header::CONNECTION,
-    HeaderName::from_static("keep-alive"),
-    HeaderName::from_static("proxy-connection"),
-    header::TE,
-    header::TRAILER,
-    header::TRANSFER_ENCODING,
-    header::UPGRADE,
-    header::EXPECT,
-];
-
 /// How far the node's end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
@@ -131,7 +117,7 @@
     stage: Cell<ConnectionState>,
     since: Cell<Instant>,
     /// Why the head under way is turned down, once it is.
-    problem: Cell<Option<Problem>>,
+    problem: Cell<Option<MessageError>>,
     /// Its last request was malformed: more of it may still come.
     malformed: Cell<bool>,
     /// It has had its answer before its request was read to the end.
@@ -174,9 +160,9 @@
     /// For the counters: what went for others.
     fn evicted(self) -> &'static str {
         match self {
-            ConnectionState::New => "for places: nothing came",
-            ConnectionState::Head | ConnectionState::Late => "for places: a head under way",
-            _ => "for places: idle",
+            ConnectionState::New => "evicted: no request received",
+            ConnectionState::Head | ConnectionState::Late => "evicted: head incomplete",
+            _ => "evicted: idle",
         }
     }
 }
@@ -211,7 +197,7 @@
             self.stage.get(),
             ConnectionState::Busy | ConnectionState::StreamingResponse
         );
-        send_invariants::may_close(in_hand, !head_filter::quiet(&self.socket))
+        send_invariants::may_close(in_hand, !is_open_and_drained(&self.socket))
     }
 
     fn leave(&self) {
@@ -251,18 +237,18 @@
             }
             // Never one on which a request has come that was not read yet.
             ConnectionState::New if age >= FIRST => {
-                stats.turned_down("nothing came");
+                stats.count_rejection("no request received");
                 self.leave();
             }
             // Who has closed waits for nothing. Hyper sees that only where nothing stands before
             // it.
             ConnectionState::Busy | ConnectionState::StreamingResponse
-                if head_filter::left(&self.socket) =>
+                if is_closed_by_peer(&self.socket) =>
             {
                 self.stage.set(ConnectionState::Gone);
                 self.wake.notify_one();
             }
-            ConnectionState::StreamingResponse if age >= STALL => self.leave(),
+            ConnectionState::StreamingResponse if age >= STALL_TIMEOUT => self.leave(),
             ConnectionState::Idle if age >= idle && self.may_close().is_ok() => self.leave(),
             ConnectionState::Head if age >= FIRST => {
                 self.stage.set(ConnectionState::Late);
@@ -275,27 +261,25 @@
 
 /// A request that takes the place of one that was turned down, in the row of answers on its
 /// connection. No client can send one of this method.
-const TURNED_DOWN: &str = "TURNED-DOWN";
+const REJECTED_METHOD: &str = "REJECTED";
 
 impl MessagePolicy for Rc<ClientConnection> {
-    const BETWEEN: Expected = Expected::Head;
+    const BETWEEN_MESSAGES: Expected = Expected::Head;
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        head_filter::request_head(bytes)
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, MessageError> {
+        parse_request_head(bytes)
     }
 
-    fn reject(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
+    fn reject(&self, problem: MessageError) -> std::io::Result<&'static [u8]> {
         self.problem.set(Some(problem));
-        Ok(b"TURNED-DOWN / HTTP/1.1\r\n\r\n")
+        Ok(b"REJECTED / HTTP/1.1\r\n\r\n")
     }
 
-    fn begun(&self) -> Result<(), Problem> {
+    fn head_started(&self) -> Result<(), MessageError> {
         match self.stage.get() {
             ConnectionState::New => self.stage.set(ConnectionState::Head),
             ConnectionState::Idle => self.enter(ConnectionState::Head),
-            ConnectionState::Late => {
-                return Err((StatusCode::REQUEST_TIMEOUT, "the head took too long"))
-            }
+            ConnectionState::Late => return Err(MessageError::HeadTimeout),
             ConnectionState::Head
             | ConnectionState::Busy
             | ConnectionState::StreamingResponse
@@ -305,7 +289,7 @@
         Ok(())
     }
 
-    fn passed(&self, whole_at: Option<Instant>) {
+    fn head_accepted(&self, whole_at: Option<Instant>) {
         self.taken.set(true);
         // What had come before the connection was accepted may have come as long ago as that may
         // have been made.
@@ -314,7 +298,7 @@
             .set(whole_at.map(|at| waiting_since.unwrap_or(at)));
     }
 
-    fn busy(&self) -> bool {
+    fn awaits_response(&self) -> bool {
         self.taken.get()
     }
 }
@@ -410,7 +394,7 @@
     /// From now on it takes at most so many.
     pub fn resize(&self, connections: usize) {
         self.slots.resize(connections);
-        if self.slots.short() {
+        if self.slots.is_over_capacity() {
             self.evict();
         }
     }
@@ -420,12 +404,12 @@
     /// are likely to wait.
     async fn slot(&self) -> OwnedSemaphorePermit {
         loop {
-            if self.slots.free() == 0 {
+            if self.slots.available() == 0 {
                 self.evict();
             }
-            if self.slots.short() {
+            if self.slots.is_over_capacity() {
                 tokio::time::sleep(ROOM).await;
-            } else if let Ok(permit) = timeout(ROOM, self.slots.wait()).await {
+            } else if let Ok(permit) = timeout(ROOM, self.slots.acquire()).await {
                 return permit;
             }
         }
@@ -435,16 +419,19 @@
         let clients = self.clients.borrow();
         let mut going: Vec<_> = clients.values().filter(|c| c.in_the_way()).collect();
         going.sort_unstable_by_key(|c| c.since.get());
-        for client in going.iter().take(self.slots.most().div_ceil(EVICTED_PART)) {
+        for client in going
+            .iter()
+            .take(self.slots.capacity().div_ceil(EVICTED_PART))
+        {
             self.engine
                 .stats()
-                .turned_down(client.stage.get().evicted());
+                .count_rejection(client.stage.get().evicted());
             client.leave();
         }
     }
 
     fn scarce(&self) -> bool {
-        self.slots.free() < self.slots.most() / SPARE_PART
+        self.slots.available() < self.slots.capacity() / SPARE_PART
     }
 
     fn connected(
@@ -454,7 +441,7 @@
         permit: OwnedSemaphorePermit,
     ) {
         let _ = stream.set_nodelay(true);
-        let came_with_it = !head_filter::quiet(&stream);
+        let came_with_it = !is_open_and_drained(&stream);
         self.engine.stats().count(|c| c.accepted += 1);
         let client = Rc::new(ClientConnection {
             socket: Rc::new(stream),
@@ -486,7 +473,7 @@
             let since = client.since.get();
             client.enter(ConnectionState::Busy);
             let mut response = match client.problem.get() {
-                Some((status, why)) if request.method() == TURNED_DOWN => turned_down(status, why),
+                Some(error) if request.method() == REJECTED_METHOD => reject(error.into()),
                 _ => {
                     // Nobody but hyper knows where chunks end: what is behind them is not read.
                     let last = request.headers().contains_key(header::TRANSFER_ENCODING);
@@ -502,7 +489,7 @@
                 .extensions()
                 .get()
                 .iter()
-                .for_each(|why: &&RejectedRequest| self.engine.stats().turned_down(why.0));
+                .for_each(|why: &&RejectedRequest| self.engine.stats().count_rejection(why.0));
             // A client that is told to close goes elsewhere next. Where places run short each is:
             // many ask once and keep their connection, and until those may be closed nobody else
             // would get in.
@@ -560,7 +547,7 @@
             let _ = timeout(LINGER, discard(&client.socket, MOST_LINGERING)).await;
         }
         if client.unread.get() {
-            discard(&client.socket, MOST_BODY as usize).await;
+            discard(&client.socket, MAX_BODY_BYTES as usize).await;
         }
     }
 
@@ -589,49 +576,44 @@
             _ => {}
         }
         let (parts, mut body) = request.into_parts();
-        let order = match self.read_head(&parts.method, &parts.uri, &parts.headers) {
+        let order = match RequestHead::parse(&parts, self.engine.names(), &self.effects) {
             Ok(order) => order,
-            Err((status, why)) => return turned_down(status, why),
+            Err(error) => return reject(error),
         };
-        let margin = MARGIN.min(order.wait / MARGIN_PART);
+        let margin = MARGIN.min(order.timeout / MARGIN_PART);
         let length = body.size_hint().exact();
         let mut held = BytesMut::new();
         let whole = loop {
             let by = since + WHOLE + Duration::from_secs_f64(held.len() as f64 / LEAST_RATE);
             let before = held.len();
             match timeout_at(by, buffer_body(&mut held, &mut body)).await {
-                Ok(Ok(whole)) => break whole,
-                Ok(Err(_)) => return turned_down(StatusCode::BAD_REQUEST, "the body is not whole"),
+                Ok(Ok(part)) => break part == BufferedPart::Complete,
+                Ok(Err(_)) => return reject(MessageError::IncompleteBody.into()),
                 Err(_) if held.len() > before => {}
-                Err(_) => {
-                    return turned_down(StatusCode::REQUEST_TIMEOUT, "the body took too long")
-                }
+                Err(_) => return reject(MessageError::BodyTimeout.into()),
             }
         };
         // The time counts from the last byte, which is here or still to come.
         let whole_at = client.whole_at.take().unwrap_or_else(Instant::now);
         let remaining = order
-            .wait
+            .timeout
             .checked_sub(margin)
             .unwrap()
             .saturating_sub(whole_at.elapsed());
         let (body, due) = if whole {
             (
-                RequestBody::Whole(held.freeze()),
+                RequestBody::Buffered(held.freeze()),
                 Instant::now() + remaining,
             )
         } else {
             let upload = Upload::new(held.freeze(), body, length);
-            (
-                RequestBody::StreamingResponse(upload),
-                Instant::now() + LONGEST_WAIT,
-            )
+            (RequestBody::Streaming(upload), Instant::now() + MAX_TIMEOUT)
         };
         let upload = body.upload().cloned();
         let mut outgoing = Request::new(body);
         *outgoing.method_mut() = parts.method;
         *outgoing.uri_mut() = order.target;
-        *outgoing.headers_mut() = end_to_end(parts.headers);
+        *outgoing.headers_mut() = end_to_end_headers(parts.headers);
         let RequestHead {
             class,
             tenant,
@@ -651,10 +633,7 @@
             client: Rc::downgrade(&client.socket),
         });
         let Some(taken) = taken else {
-            return turned_down(
-                StatusCode::CONFLICT,
-                "a request of this X-Request-ID is open",
-            );
+            return reject(RequestError::DuplicateRequestId);
         };
         let id = taken.id();
         let over = async {
@@ -662,7 +641,7 @@
                 None => tokio::time::sleep_until(due + margin / OVERDUE).await,
                 Some(upload) => {
                     upload.ended().await;
-                    if upload.whole() {
+                    if upload.is_complete() {
                         self.engine.uploaded(id);
                     }
                     tokio::time::sleep(remaining + margin / OVERDUE).await;
@@ -670,17 +649,17 @@
             }
         };
         let answer = taken.answer(over).await;
-        if let Some(upload) = upload.filter(|upload| !upload.whole()) {
+        if let Some(upload) = upload.filter(|upload| !upload.is_complete()) {
             client.unread.set(true);
-            if let Some((status, why)) = upload.problem() {
-                return turned_down(status, why);
+            if let Some(error) = upload.error() {
+                return reject(error.into());
             }
         }
         let mut response = match answer {
             FinalResponse::Served(response) => {
                 let (head, body) = response.into_parts();
                 let mut response = Response::new(ClientBody { body, client: None });
-                *response.headers_mut() = end_to_end(head.headers);
+                *response.headers_mut() = end_to_end_headers(head.headers);
                 response
             }
             FinalResponse::Refused(wait) => {
@@ -705,96 +684,6 @@
         }
         response
     }
-
-    /// Reads what a request's head says of it, or why it is turned down.
-    fn read_head(
-        &self,
-        method: &Method,
-        uri: &Uri,
-        headers: &HeaderMap,
-    ) -> Result<RequestHead, Problem> {
-        let bad = |why| (StatusCode::BAD_REQUEST, why);
-        let names = self.engine.names();
-        let class = uri
-            .path()
-            .trim_start_matches('/')
-            .split('/')
-            .next()
-            .unwrap_or_default();
-        let class = names
-            .classes
-            .iter()
-            .position(|c| c == class && !c.is_empty());
-        let class = class.ok_or((StatusCode::NOT_FOUND, "unknown class of requests"))?;
-        // Of two of a kind it is not known which one counts.
-        let single = [&REQUEST_ID, &TENANT, &TIMEOUT, &COST, &KEY];
-        if single
-            .iter()
-            .any(|name| headers.get_all(*name).iter().nth(1).is_some())
-        {
-            return Err(bad("a header that counts once came twice"));
-        }
-        let text = |name: &HeaderName| {
-            headers
-                .get(name)
-                .and_then(|v| v.to_str().ok())
-                .map(str::trim)
-        };
-        let id = text(&REQUEST_ID)
-            .filter(|id| !id.is_empty())
-            .ok_or(bad("X-Request-ID is missing"))?;
-        let wait = text(&TIMEOUT).and_then(parse_wait);
-        let wait = wait.ok_or(bad("X-Timeout is missing or makes no sense"))?;
-        let effect = self.effects[class];
-        if matches!(effect, Idempotency::Keyed { .. }) && text(&KEY).is_none_or(str::is_empty) {
-            return Err(bad("Idempotency-Key is missing"));
-        }
-        if (*method == Method::GET) != (effect == Idempotency::Idempotent) {
-            return Err((
-                StatusCode::METHOD_NOT_ALLOWED,
-                "another method goes with this class",
-            ));
-        }
-        let tenant = match text(&TENANT) {
-            _ if names.tenants.is_empty() => 0,
-            name => names
-                .tenants
-                .iter()
-                .position(|t| Some(t.as_str()) == name)
-                .ok_or(bad("unknown tenant"))?,
-        };
-        let target = uri
-            .path_and_query()
-            .cloned()
-            .map(Uri::from)
-            .ok_or(bad("the target has no path"))?;
-        let work = match headers
-            .get(COST)
-            .map(|v| v.to_str().unwrap_or_default().trim().parse::<f64>())
-        {
-            None => None,
-            Some(Ok(us)) if (0.0..1e12).contains(&us) => Some(Duration::from_secs_f64(us / 1e6)),
-            Some(_) => return Err(bad("X-Cost makes no sense")),
-        };
-        Ok(RequestHead {
-            class: ClassId(u8::try_from(class).map_err(|_| bad("unknown class of requests"))?),
-            tenant: TenantId(u16::try_from(tenant).map_err(|_| bad("unknown tenant"))?),
-            work,
-            id: id.as_bytes().into(),
-            wait,
-            target,
-        })
-    }
-}
-
-/// What a request's head says.
-struct RequestHead {
-    class: ClassId,
-    tenant: TenantId,
-    work: Option<Duration>,
-    wait: Duration,
-    id: Box<[u8]>,
-    target: Uri,
 }
 
 /// What goes to a client. Once it is gone the connection waits for the next request.
@@ -871,7 +760,9 @@
 /// Logs a failed `accept`, and waits where the next would fail as well.
 pub async fn accept_failed(engine: &Dispatcher, what: &str, error: &std::io::Error) {
     if transient_errors::is_one_connections(error) {
-        return engine.stats().turned_down("ended before it was accepted");
+        return engine
+            .stats()
+            .count_rejection("closed before it was accepted");
     }
     engine.log(format_args!("{what}: {error}"));
     tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -885,13 +776,13 @@
 
 /// What was wrong, for the counters.
 #[derive(Clone, Copy)]
-struct RejectedRequest(&'static str);
+struct RejectedRequest(RequestError);
 
 /// The answer to what is malformed. Nothing more is read on its connection: who sends one such
 /// thing is not trusted to have begun the next where it seems to.
-fn turned_down(status: StatusCode, why: &'static str) -> Response<ClientBody> {
-    let mut response = plain(status, why);
-    response.extensions_mut().insert(RejectedRequest(why));
+fn reject(error: RequestError) -> Response<ClientBody> {
+    let mut response = plain(error.status(), error.to_string());
+    response.extensions_mut().insert(RejectedRequest(error));
     close(&mut response);
     response
 }
@@ -918,41 +809,3 @@
         .insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
 }
-
-/// A number and a unit: `m` for milliseconds, `u` for microseconds.
-fn parse_wait(text: &str) -> Option<Duration> {
-    let digits = text.get(..text.len().checked_sub(1)?)?;
-    if !digits.bytes().all(|b| b.is_ascii_digit()) {
-        return None;
-    }
-    let number = digits.parse().ok()?;
-    let wait = match text.as_bytes().last()? {
-        b'm' => Duration::from_millis(number),
-        b'u' => Duration::from_micros(number),
-        _ => return None,
-    };
-    (wait > Duration::ZERO && wait <= LONGEST_WAIT).then_some(wait)
-}
-
-/// Leaves out the headers that belong to one connection, and the length, which goes with the body.
-fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        .collect();
-    for name in HOP_BY_HOP
-        .iter()
-        .chain(&named)
-        .chain([&header::CONTENT_LENGTH])
-    {
-        headers.remove(name);
-    }
-    headers
-}
-
-#[cfg(test)]
-#[path = "listener_tests.rs"]
-mod tests;
--- /dev/null
+++ b/crates/proxy/src/downstream/request_head.rs
@@ -0,0 +1,227 @@
+//! What the head of a client's request says, and why a request is rejected.
+
+use crate::http1::error::MessageError;
+use balancer::{ClassId, Idempotency, TenantId};
+use hyper::header::{HeaderMap, HeaderName};
+use hyper::http::request::Parts;
+use hyper::{Method, StatusCode, Uri};
+use settings::Names;
+use std::time::Duration;
+use thiserror::Error;
+
+/// Longest timeout that a client may ask for.
+pub const MAX_TIMEOUT: Duration = Duration::from_secs(3600);
+
+/// Upper bound of the expected work that a client may announce, in microseconds.
+const WORK_LIMIT_US: f64 = 1e12;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
+const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
+/// The expected work, in microseconds.
+const COST: HeaderName = HeaderName::from_static("x-cost");
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+
+/// Why a client's request is rejected.
+///
+/// The text goes into the log and into the body of the response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum RequestError {
+    /// The message itself is invalid, or came too slowly.
+    #[error(transparent)]
+    Message(#[from] MessageError),
+    /// The first segment of the path is no class.
+    #[error("unknown class of requests")]
+    UnknownClass,
+    /// The class exists, but has a number that the balancer does not support.
+    #[error("unknown class of requests")]
+    UnsupportedClass,
+    /// It would be ambiguous which of the values counts.
+    #[error("a header that counts once came twice")]
+    RepeatedHeader,
+    /// No `X-Request-ID`.
+    #[error("X-Request-ID is missing")]
+    MissingRequestId,
+    /// No `X-Timeout`, or none that can be parsed.
+    #[error("X-Timeout is missing or makes no sense")]
+    InvalidTimeout,
+    /// No `Idempotency-Key`, though the class needs one.
+    #[error("Idempotency-Key is missing")]
+    MissingIdempotencyKey,
+    /// GET goes with idempotent classes, POST with the others.
+    #[error("another method goes with this class")]
+    WrongMethod,
+    /// `X-Tenant-ID` names no tenant.
+    #[error("unknown tenant")]
+    UnknownTenant,
+    /// The target of the request is not a path.
+    #[error("the target has no path")]
+    TargetWithoutPath,
+    /// `X-Cost` is not a number of microseconds within bounds.
+    #[error("X-Cost makes no sense")]
+    InvalidCost,
+    /// Another request with the same ID is in flight.
+    #[error("a request of this X-Request-ID is open")]
+    DuplicateRequestId,
+}
+
+impl RequestError {
+    /// The status of the response.
+    pub fn status(self) -> StatusCode {
+        match self {
+            RequestError::Message(error) => error.status(),
+            RequestError::UnknownClass => StatusCode::NOT_FOUND,
+            RequestError::WrongMethod => StatusCode::METHOD_NOT_ALLOWED,
+            RequestError::DuplicateRequestId => StatusCode::CONFLICT,
+            RequestError::UnsupportedClass
+            | RequestError::RepeatedHeader
+            | RequestError::MissingRequestId
+            | RequestError::InvalidTimeout
+            | RequestError::MissingIdempotencyKey
+            | RequestError::UnknownTenant
+            | RequestError::TargetWithoutPath
+            | RequestError::InvalidCost => StatusCode::BAD_REQUEST,
+        }
+    }
+}
+
+/// The head of a request, in the proxy's terms.
+pub struct RequestHead {
+    /// Its class.
+    pub class: ClassId,
+    /// Its tenant.
+    pub tenant: TenantId,
+    /// The expected work, if the client told.
+    pub work: Option<Duration>,
+    /// How long the client waits.
+    pub timeout: Duration,
+    /// The client's name for the request.
+    pub id: Box<[u8]>,
+    /// The path and query that are forwarded.
+    pub target: Uri,
+}
+
+impl RequestHead {
+    /// Parses a head by the names of classes and tenants, and the idempotency of each class.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first thing that is wrong with the head.
+    pub fn parse(
+        parts: &Parts,
+        names: &Names,
+        idempotency_by_class: &[Idempotency],
+    ) -> Result<Self, RequestError> {
+        let headers = &parts.headers;
+        let class = class_index(parts.uri.path(), &names.classes)?;
+        check_single_headers(headers)?;
+        let id = header_text(headers, &REQUEST_ID)
+            .filter(|id| !id.is_empty())
+            .ok_or(RequestError::MissingRequestId)?;
+        let timeout = header_text(headers, &TIMEOUT)
+            .and_then(parse_timeout)
+            .ok_or(RequestError::InvalidTimeout)?;
+        check_idempotency(idempotency_by_class[class], &parts.method, headers)?;
+        let tenant = tenant_index(headers, &names.tenants)?;
+        let target = parts.uri.path_and_query().cloned().map(Uri::from);
+        let target = target.ok_or(RequestError::TargetWithoutPath)?;
+        let work = expected_work(headers)?;
+        let class = u8::try_from(class).map_err(|_| RequestError::UnsupportedClass)?;
+        let tenant = u16::try_from(tenant).map_err(|_| RequestError::UnknownTenant)?;
+        Ok(RequestHead {
+            class: ClassId(class),
+            tenant: TenantId(tenant),
+            work,
+            timeout,
+            id: id.as_bytes().into(),
+            target,
+        })
+    }
+}
+
+/// The class that the first segment of a path names.
+fn class_index(path: &str, classes: &[String]) -> Result<usize, RequestError> {
+    let segment = path
+        .trim_start_matches('/')
+        .split('/')
+        .next()
+        .unwrap_or_default();
+    classes
+        .iter()
+        .position(|class| class == segment && !class.is_empty())
+        .ok_or(RequestError::UnknownClass)
+}
+
+fn check_single_headers(headers: &HeaderMap) -> Result<(), RequestError> {
+    let single = [&REQUEST_ID, &TENANT, &TIMEOUT, &COST, &IDEMPOTENCY_KEY];
+    let is_repeated = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
+    if single.into_iter().any(is_repeated) {
+        return Err(RequestError::RepeatedHeader);
+    }
+    Ok(())
+}
+
+fn check_idempotency(
+    idempotency: Idempotency,
+    method: &Method,
+    headers: &HeaderMap,
+) -> Result<(), RequestError> {
+    let has_key = header_text(headers, &IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty());
+    if matches!(idempotency, Idempotency::Keyed { .. }) && !has_key {
+        return Err(RequestError::MissingIdempotencyKey);
+    }
+    if (*method == Method::GET) != (idempotency == Idempotency::Idempotent) {
+        return Err(RequestError::WrongMethod);
+    }
+    Ok(())
+}
+
+/// The tenant that a request names; the first one where the settings have no tenants.
+fn tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<usize, RequestError> {
+    if tenants.is_empty() {
+        return Ok(0);
+    }
+    let name = header_text(headers, &TENANT).ok_or(RequestError::UnknownTenant)?;
+    tenants
+        .iter()
+        .position(|tenant| tenant == name)
+        .ok_or(RequestError::UnknownTenant)
+}
+
+fn expected_work(headers: &HeaderMap) -> Result<Option<Duration>, RequestError> {
+    let Some(cost) = headers.get(COST) else {
+        return Ok(None);
+    };
+    let micros = cost.to_str().unwrap_or_default().trim().parse::<f64>();
+    match micros {
+        Ok(micros) if (0.0..WORK_LIMIT_US).contains(&micros) => {
+            Ok(Some(Duration::from_secs_f64(micros / MICROS_PER_SECOND)))
+        }
+        _ => Err(RequestError::InvalidCost),
+    }
+}
+
+fn header_text<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Option<&'h str> {
+    let value = headers.get(name)?.to_str().ok()?;
+    Some(value.trim())
+}
+
+/// Parses a timeout: digits and a unit, `m` for milliseconds or `u` for microseconds.
+fn parse_timeout(text: &str) -> Option<Duration> {
+    let digits = text.get(..text.len().checked_sub(1)?)?;
+    if !digits.bytes().all(|b| b.is_ascii_digit()) {
+        return None;
+    }
+    let number = digits.parse().ok()?;
+    let timeout = match text.as_bytes().last()? {
+        b'm' => Duration::from_millis(number),
+        b'u' => Duration::from_micros(number),
+        _ => return None,
+    };
+    (timeout > Duration::ZERO && timeout <= MAX_TIMEOUT).then_some(timeout)
+}
+
+#[cfg(test)]
+#[path = "request_head_tests.rs"]
+mod tests;
--- a/crates/proxy/src/http1/head_filter_tests.rs
+++ b/crates/proxy/src/http1/framing_tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn requests_are_framed() {
+fn request_heads_tell_what_follows() {
     let next = |head: &str| {
-        request_head(head.as_bytes())
-            .map(|h| h.map(|h| h.next))
-            .map_err(|p| p.0.as_u16())
+        parse_request_head(head.as_bytes())
+            .map(|head| head.map(|head| head.next))
+            .map_err(|error| error.status().as_u16())
     };
     assert_eq!(next("GET / HTTP/1.1\r\n\r\n"), Ok(Some(Expected::Body(0))));
     assert_eq!(
@@ -58,12 +58,9 @@
 }
 
 #[test]
-fn answers_are_framed() {
-    let next = |head: &str| {
-        answer_head(head.as_bytes())
-            .map(|h| h.map(|h| h.next))
-            .map_err(|p| p.0.as_u16())
-    };
+fn response_heads_tell_what_follows() {
+    let next =
+        |head: &str| parse_response_head(head.as_bytes()).map(|head| head.map(|head| head.next));
     assert_eq!(
         next("HTTP/1.1 200 OK\r\nContent-Length: 7\r\nContent-Length: 7\r\n\r\n"),
         Ok(Some(Expected::Body(7)))
@@ -77,18 +74,37 @@
         next("HTTP/1.1 204 No Content\r\n\r\n"),
         Ok(Some(Expected::Body(0)))
     );
-    for spoilt in [
-        "101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
-        "200 OK\r\nContent-Length: 3000000000\r\n\r\n",
-        "200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-        "200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-        "200 OK\r\nContent-Length: 33554433\r\n\r\n",
-        "what\r\n\r\n",
+    for (invalid, error) in [
+        (
+            "101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
+            MessageError::UnexpectedProtocolSwitch,
+        ),
+        (
+            "200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+            MessageError::BodyTooLarge,
+        ),
+        (
+            "200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+            MessageError::ConflictingLengths,
+        ),
+        (
+            "200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+            MessageError::LengthAndTransferEncoding,
+        ),
+        (
+            "200 OK\r\nContent-Length: 33554433\r\n\r\n",
+            MessageError::BodyTooLarge,
+        ),
+        ("what\r\n\r\n", MessageError::UnreadableHead),
     ] {
-        assert_eq!(next(&format!("HTTP/1.1 {spoilt}")), Err(502), "{spoilt}");
+        assert_eq!(
+            next(&format!("HTTP/1.1 {invalid}")),
+            Err(error),
+            "{invalid}"
+        );
     }
     assert_eq!(
         next("HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
-        Err(502)
+        Err(MessageError::ChunkedHttp10)
     );
 }
--- /dev/null
+++ b/crates/proxy/src/http1/hop_by_hop_tests.rs
@@ -0,0 +1,23 @@
+use super::*;
+use hyper::header::HeaderValue;
+
+#[test]
+fn hop_by_hop_headers_are_removed() {
+    let mut headers = HeaderMap::new();
+    for (name, value) in [
+        ("connection", "X-Mine, close"),
+        ("x-mine", "1"),
+        ("te", "trailers"),
+        ("x-all", "2"),
+    ] {
+        headers.insert(
+            HeaderName::from_static(name),
+            HeaderValue::from_static(value),
+        );
+    }
+    let forwarded = end_to_end_headers(headers);
+    assert_eq!(
+        forwarded.keys().map(HeaderName::as_str).collect::<Vec<_>>(),
+        ["x-all"]
+    );
+}
--- /dev/null
+++ b/crates/proxy/src/http1/upload.rs
@@ -0,0 +1,311 @@
+//! Request bodies: those that are buffered, and those too large for it, which are streamed to a
+//! backend at its pace.
+
+use crate::http1::body::{BodyError, PolledFrame};
+use crate::http1::error::MessageError;
+use crate::http1::limits::{MAX_BODY_BYTES, STALL_TIMEOUT};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+use std::cell::{Cell, RefCell};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+/// A client that sends nothing of its body for this long, while it is waited for, is given up.
+const CLIENT_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// How often both timeouts of a streamed body are checked.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
+/// The body of a client's request.
+#[derive(Clone)]
+pub enum RequestBody {
+    /// All of it was received.
+    Buffered(Bytes),
+    /// The rest of it is still to come.
+    Streaming(Rc<Upload>),
+}
+
+impl RequestBody {
+    /// The body for one more attempt; `None` if a part of it was already consumed by another one.
+    pub fn new_stream(&self) -> Option<RequestBodyStream> {
+        match self {
+            RequestBody::Buffered(body) => {
+                Some(RequestBodyStream::Buffered(Full::new(body.clone())))
+            }
+            RequestBody::Streaming(upload) if upload.is_consumed.get() => None,
+            RequestBody::Streaming(upload) => Some(RequestBodyStream::Streaming {
+                reader: upload.new_reader(),
+                upload: upload.clone(),
+                buffered_part_sent: false,
+            }),
+        }
+    }
+
+    /// The body, if it is streamed.
+    pub fn upload(&self) -> Option<&Rc<Upload>> {
+        match self {
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streaming(upload) => Some(upload),
+        }
+    }
+}
+
+/// A streamed request body, shared by the attempts of its request.
+///
+/// Its first part stays buffered until an attempt reads beyond it: up to then another attempt can
+/// start from the beginning.
+pub struct Upload {
+    buffered: RefCell<Bytes>,
+    rest: RefCell<Incoming>,
+    /// Length in bytes, if it is declared.
+    length: Option<u64>,
+    bytes_read: Cell<u64>,
+    /// Whether an attempt has read beyond the buffered part.
+    is_consumed: Cell<bool>,
+    /// The attempt that may read; earlier ones no longer may, since what one reads is lost to the
+    /// others.
+    current_reader: Cell<ReaderId>,
+    state: Cell<UploadState>,
+    ended: Notify,
+    activity: Cell<Activity>,
+}
+
+/// Identifies the attempt that reads an upload.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ReaderId(u32);
+
+/// How far an upload is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum UploadState {
+    Receiving,
+    Complete { at: Instant },
+    Failed { at: Instant, error: MessageError },
+}
+
+/// The last progress of an upload, by either side.
+#[derive(Clone, Copy, Debug)]
+struct Activity {
+    at: Instant,
+    /// Whether more was requested of the client since then, and has not come.
+    waiting_for_client: bool,
+}
+
+impl Activity {
+    fn now(waiting_for_client: bool) -> Self {
+        Activity {
+            at: Instant::now(),
+            waiting_for_client,
+        }
+    }
+}
+
+impl Upload {
+    /// A body of which `buffered` was received already, and of this length if it is declared.
+    pub fn new(buffered: Bytes, rest: Incoming, length: Option<u64>) -> Rc<Self> {
+        Rc::new(Upload {
+            bytes_read: Cell::new(buffered.len() as u64),
+            buffered: RefCell::new(buffered),
+            rest: RefCell::new(rest),
+            length,
+            is_consumed: Cell::new(false),
+            current_reader: Cell::default(),
+            state: Cell::new(UploadState::Receiving),
+            ended: Notify::new(),
+            activity: Cell::new(Activity::now(false)),
+        })
+    }
+
+    /// Why it failed, if it has.
+    pub fn error(&self) -> Option<MessageError> {
+        match self.state.get() {
+            UploadState::Failed { error, .. } => Some(error),
+            UploadState::Receiving | UploadState::Complete { .. } => None,
+        }
+    }
+
+    /// Whether all of it was received.
+    pub fn is_complete(&self) -> bool {
+        matches!(self.state.get(), UploadState::Complete { .. })
+    }
+
+    /// When it was complete or failed, if it is by now.
+    pub fn ended_at(&self) -> Option<Instant> {
+        match self.state.get() {
+            UploadState::Receiving => None,
+            UploadState::Complete { at } | UploadState::Failed { at, .. } => Some(at),
+        }
+    }
+
+    /// Waits until it is complete or has failed.
+    pub async fn ended(&self) {
+        loop {
+            let ended = self.ended.notified();
+            if self.ended_at().is_some() {
+                return;
+            }
+            ended.await;
+        }
+    }
+
+    /// Waits until neither side has made progress for [`STALL_TIMEOUT`], or the client has been
+    /// silent for so long that the upload fails. Pending for ever once the upload has ended.
+    pub async fn stalled(&self) {
+        loop {
+            tokio::time::sleep(STALL_CHECK_INTERVAL).await;
+            if self.ended_at().is_some() {
+                return std::future::pending().await;
+            }
+            let activity = self.activity.get();
+            let inactive = activity.at.elapsed();
+            if activity.waiting_for_client && inactive >= CLIENT_SILENCE_TIMEOUT {
+                return self.fail(MessageError::BodyTimeout);
+            }
+            if inactive >= STALL_TIMEOUT {
+                return;
+            }
+        }
+    }
+
+    fn new_reader(&self) -> ReaderId {
+        let reader = ReaderId(self.current_reader.get().0 + 1);
+        self.current_reader.set(reader);
+        reader
+    }
+
+    fn complete(&self) {
+        let at = Instant::now();
+        self.end(UploadState::Complete { at });
+    }
+
+    fn fail(&self, error: MessageError) {
+        let at = Instant::now();
+        self.end(UploadState::Failed { at, error });
+    }
+
+    fn end(&self, state: UploadState) {
+        if self.state.get() == UploadState::Receiving {
+            self.state.set(state);
+            self.ended.notify_waiters();
+        }
+    }
+
+    /// Reads beyond the buffered part.
+    fn poll_rest(&self, cx: &mut Context) -> PolledFrame {
+        loop {
+            match self.state.get() {
+                UploadState::Receiving => {}
+                UploadState::Complete { .. } => return Poll::Ready(None),
+                UploadState::Failed { error, .. } => return Poll::Ready(Some(Err(error.into()))),
+            }
+            let polled = Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx);
+            let Poll::Ready(frame) = polled else {
+                if !self.activity.get().waiting_for_client {
+                    self.activity.set(Activity::now(true));
+                }
+                return Poll::Pending;
+            };
+            self.activity.set(Activity::now(false));
+            match frame {
+                None => self.complete(),
+                Some(Err(_)) => self.fail(MessageError::IncompleteBody),
+                Some(Ok(frame)) => {
+                    // Trailers are not forwarded.
+                    if let Some(data) = frame.into_data().ok().and_then(|data| self.accept(data)) {
+                        return Poll::Ready(Some(Ok(Frame::data(data))));
+                    }
+                }
+            }
+        }
+    }
+
+    /// Accounts for received data, which may be the last or, returning `None`, too much.
+    fn accept(&self, data: Bytes) -> Option<Bytes> {
+        self.is_consumed.set(true);
+        *self.buffered.borrow_mut() = Bytes::new();
+        self.bytes_read
+            .set(self.bytes_read.get() + data.len() as u64);
+        if self.bytes_read.get() > MAX_BODY_BYTES {
+            self.fail(MessageError::BodyTooLarge);
+            return None;
+        }
+        if self.rest.borrow().is_end_stream() {
+            self.complete();
+        }
+        Some(data)
+    }
+}
+
+/// A request's body on its way to one backend, for one attempt.
+pub enum RequestBodyStream {
+    /// All of it was received.
+    Buffered(Full<Bytes>),
+    /// The rest of it is still to come.
+    Streaming {
+        /// Where it is read from.
+        upload: Rc<Upload>,
+        /// The attempt that it is for.
+        reader: ReaderId,
+        /// Whether the buffered part was sent.
+        buffered_part_sent: bool,
+    },
+}
+
+impl Default for RequestBodyStream {
+    fn default() -> Self {
+        RequestBodyStream::Buffered(Full::default())
+    }
+}
+
+impl Body for RequestBodyStream {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> PolledFrame {
+        match self.get_mut() {
+            RequestBodyStream::Buffered(body) => Pin::new(body)
+                .poll_frame(cx)
+                .map_err(|never| match never {}),
+            RequestBodyStream::Streaming { upload, reader, .. }
+                if *reader != upload.current_reader.get() =>
+            {
+                Poll::Ready(Some(Err("another attempt has the body".into())))
+            }
+            RequestBodyStream::Streaming {
+                upload,
+                buffered_part_sent,
+                ..
+            } => {
+                let buffered = upload.buffered.borrow().clone();
+                if !std::mem::replace(buffered_part_sent, true) && !buffered.is_empty() {
+                    return Poll::Ready(Some(Ok(Frame::data(buffered))));
+                }
+                upload.poll_rest(cx)
+            }
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            RequestBodyStream::Buffered(body) => body.is_end_stream(),
+            RequestBodyStream::Streaming {
+                upload,
+                buffered_part_sent,
+                ..
+            } => *buffered_part_sent && upload.is_complete(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            RequestBodyStream::Buffered(body) => body.size_hint(),
+            RequestBodyStream::Streaming { upload, .. } => upload
+                .length
+                .map_or_else(SizeHint::new, SizeHint::with_exact),
+        }
+    }
+}
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -5,6 +5,7 @@
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::fmt::Display;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -89,7 +90,7 @@
     classes: RefCell<FxHashMap<ClassId, ClassCounters>>,
     since: Cell<Instant>,
     single: RefCell<FxHashMap<GiveUpReason, u32>>,
-    turned_down: RefCell<FxHashMap<&'static str, u32>>,
+    rejections: RefCell<FxHashMap<String, u32>>,
     broken: Cell<u32>,
     /// What rules have held back, and what was asked for against them.
     pub rules: InvariantCounts,
@@ -103,7 +104,7 @@
             classes: RefCell::default(),
             since: Cell::new(Instant::now()),
             single: RefCell::default(),
-            turned_down: RefCell::default(),
+            rejections: RefCell::default(),
             broken: Cell::new(0),
             rules: InvariantCounts::default(),
         }
@@ -140,14 +141,18 @@
         false
     }
 
-    /// Counts a message of a client that was turned down, for whatever is wrong with it.
-    pub fn turned_down(&self, why: &'static str) {
-        *self.turned_down.borrow_mut().entry(why).or_default() += 1;
+    /// Counts a request or connection of a client that was rejected, by the reason.
+    pub fn count_rejection(&self, reason: impl Display) {
+        *self
+            .rejections
+            .borrow_mut()
+            .entry(reason.to_string())
+            .or_default() += 1;
     }
 
-    /// How many were, by what was wrong, since this was last asked.
-    pub fn take_turned_down(&self) -> Vec<(&'static str, u32)> {
-        let mut counts: Vec<_> = self.turned_down.borrow_mut().drain().collect();
+    /// The number of rejections by reason since the last call, sorted by reason.
+    pub fn take_rejections(&self) -> Vec<(String, u32)> {
+        let mut counts: Vec<_> = self.rejections.borrow_mut().drain().collect();
         counts.sort_unstable();
         counts
     }
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -5,11 +5,12 @@
 //! that actions bring about at once.
 
 use crate::discovery::client::{self, EndpointList};
-use crate::http1::head_filter;
-use crate::http1::streaming::{RequestBody, StreamOutcome};
+use crate::http1::download::StreamOutcome;
+use crate::http1::upload::RequestBody;
 use crate::metrics::Metrics;
 use crate::operator_state::store::OperatorState;
 use crate::send_invariants::{self, BackendIdentity, Invariant, PriorAttempt};
+use crate::socket::is_closed_by_peer;
 use crate::upstream::backend_registry::{
     AttemptTerms, Backend, BackendRegistry, Exchange, Progress, ResponseBody, Source,
 };
@@ -126,7 +127,7 @@
 fn left(client: &Weak<TcpStream>) -> bool {
     client
         .upgrade()
-        .is_none_or(|socket| head_filter::left(&socket))
+        .is_none_or(|socket| is_closed_by_peer(&socket))
 }
 
 struct Attempt {
@@ -583,7 +584,7 @@
         exchange.answer = None;
         let ended = if begun { passing.await.ok() } else { None };
         match ended {
-            Some(StreamOutcome::Whole) => return,
+            Some(StreamOutcome::Complete) => return,
             Some(StreamOutcome::Broken(problem)) => {
                 (exchange.outcome, exchange.problem) =
                     (AttemptOutcome::ConnectionReset, Some(problem));
@@ -796,8 +797,8 @@
 
     /// The counters since they were last written, and what the balancer goes by.
     pub fn log_stats(&self) {
-        for (why, count) in self.stats.take_turned_down() {
-            self.log(format_args!("turned_down count={count} why=\"{why}\""));
+        for (reason, count) in self.stats.take_rejections() {
+            self.log(format_args!("rejected count={count} reason=\"{reason}\""));
         }
         let Some((c, time)) = self.stats.take() else {
             return;
--- a/crates/proxy/src/resizable_semaphore.rs
+++ b/crates/proxy/src/resizable_semaphore.rs
@@ -1,73 +1,83 @@
-//! Places for connections, of which the number may change while they are taken.
+//! A semaphore whose capacity can change while permits are held.
 
 use std::cell::Cell;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// See the module's own words.
+/// Counts permits against a capacity that may grow and shrink.
+///
+/// When it shrinks below the number of permits in use, permits that are returned are withdrawn
+/// until their number fits.
 pub struct ResizableSemaphore {
-    free: Arc<Semaphore>,
-    most: Cell<usize>,
-    /// Places taken beyond `most`: they go as they come free.
-    owed: Cell<usize>,
+    semaphore: Arc<Semaphore>,
+    capacity: Cell<usize>,
+    /// Permits in use beyond the capacity, to be withdrawn as they are returned.
+    excess: Cell<usize>,
 }
 
 impl ResizableSemaphore {
-    /// So many.
-    pub fn new(most: usize) -> Self {
+    /// Creates a semaphore with this many permits.
+    pub fn new(capacity: usize) -> Self {
         ResizableSemaphore {
-            free: Arc::new(Semaphore::new(most)),
-            most: Cell::new(most),
-            owed: Cell::new(0),
+            semaphore: Arc::new(Semaphore::new(capacity)),
+            capacity: Cell::new(capacity),
+            excess: Cell::new(0),
         }
     }
 
-    /// How many there are.
-    pub fn most(&self) -> usize {
-        self.most.get()
+    /// The number of permits that may be in use.
+    pub fn capacity(&self) -> usize {
+        self.capacity.get()
     }
 
-    /// How many can be had.
-    pub fn free(&self) -> usize {
-        self.settle();
-        self.free.available_permits()
+    /// The number of permits that can be acquired at once.
+    pub fn available(&self) -> usize {
+        self.withdraw_excess();
+        self.semaphore.available_permits()
     }
 
-    /// How many are taken.
-    pub fn taken(&self) -> usize {
-        (self.most.get() + self.owed.get()).saturating_sub(self.free.available_permits())
+    /// The number of permits in use.
+    pub fn in_use(&self) -> usize {
+        let issued = self.capacity.get() + self.excess.get();
+        issued.saturating_sub(self.semaphore.available_permits())
     }
 
-    /// Whether more are taken than there are.
-    pub fn short(&self) -> bool {
-        self.settle();
-        self.owed.get() > 0
+    /// Whether more permits are in use than the capacity allows.
+    pub fn is_over_capacity(&self) -> bool {
+        self.withdraw_excess();
+        self.excess.get() > 0
     }
 
-    /// From now on there are so many.
-    pub fn resize(&self, most: usize) {
-        let before = self.most.replace(most);
-        let kept = self.owed.get().min(most.saturating_sub(before));
-        self.owed
-            .set(self.owed.get() - kept + before.saturating_sub(most));
-        self.free.add_permits(most.saturating_sub(before) - kept);
-        self.settle();
+    /// Changes the capacity.
+    pub fn resize(&self, capacity: usize) {
+        let previous = self.capacity.replace(capacity);
+        let growth = capacity.saturating_sub(previous);
+        let shrinkage = previous.saturating_sub(capacity);
+        // Growth first legitimates permits that are in use already.
+        let legitimated = self.excess.get().min(growth);
+        self.excess.set(self.excess.get() - legitimated + shrinkage);
+        self.semaphore.add_permits(growth - legitimated);
+        self.withdraw_excess();
     }
 
-    fn settle(&self) {
-        self.owed
-            .set(self.owed.get() - self.free.forget_permits(self.owed.get()));
+    fn withdraw_excess(&self) {
+        let withdrawn = self.semaphore.forget_permits(self.excess.get());
+        self.excess.set(self.excess.get() - withdrawn);
     }
 
-    /// A place, if one can be had at once.
-    pub fn take(&self) -> Option<OwnedSemaphorePermit> {
-        self.settle();
-        self.free.clone().try_acquire_owned().ok()
+    /// Acquires a permit if one is available at once.
+    pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
+        self.withdraw_excess();
+        self.semaphore.clone().try_acquire_owned().ok()
     }
 
-    /// A place, once one comes free.
-    pub async fn wait(&self) -> OwnedSemaphorePermit {
-        self.free
+    /// Acquires a permit, waiting for one to be returned if need be.
+    ///
+    /// # Cancellation
+    ///
+    /// Cancel safe: a cancelled call holds no permit. It loses its place in the queue.
+    pub async fn acquire(&self) -> OwnedSemaphorePermit {
+        self.semaphore
             .clone()
             .acquire_owned()
             .await
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,19 +1,21 @@
-//! A TCP connection for readers and writers that know nothing of what may go wrong with single
-//! calls.
-//!
-//! The runtime's own stream takes a read that fills only a part of its buffer for a sign that
-//! nothing is left, and waits for more to come. A read may be short for other reasons: what is left
-//! would be found only with the next bytes. Here a socket counts as read out only once the system
-//! says so, and an interrupted call is made again.
-
-use crate::http1::head_filter::passes;
+//! Calls on TCP sockets that state exactly what the system knows, and retry what may be retried.
+
+use rustix::event::{poll, PollFd, PollFlags, Timespec};
+use rustix::io::Errno;
+use socket2::SockRef;
 use std::io;
+use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// See the module's own words.
+/// A TCP connection whose reads never stop before the system has nothing left.
+///
+/// Tokio's own stream takes a read that fills only a part of its buffer for a sign that nothing is
+/// left, and waits for readiness. A read may be short for other reasons, and the remaining bytes
+/// would then be found only when more arrive. Here a socket counts as drained only once the system
+/// says so, and an interrupted call is repeated.
 pub struct Socket(pub TcpStream);
 
 impl AsyncRead for Socket {
@@ -25,7 +27,7 @@
         loop {
             ready!(self.0.poll_read_ready(cx))?;
             match self.0.try_read(buf.initialize_unfilled()) {
-                Err(error) if passes(&error) => {}
+                Err(error) if is_retryable(&error) => {}
                 read => return Poll::Ready(read.map(|length| buf.advance(length))),
             }
         }
@@ -37,17 +39,53 @@
         loop {
             ready!(self.0.poll_write_ready(cx))?;
             match self.0.try_write(bytes) {
-                Err(error) if passes(&error) => {}
+                Err(error) if is_retryable(&error) => {}
                 written => return Poll::Ready(written),
             }
         }
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(())) // Nothing is held back.
+        Poll::Ready(Ok(())) // Nothing is buffered.
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
         Pin::new(&mut self.0).poll_shutdown(cx)
     }
 }
+
+/// Whether a call on a socket is to be repeated, at once or when the socket is ready.
+pub fn is_retryable(error: &io::Error) -> bool {
+    matches!(
+        error.kind(),
+        io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
+    )
+}
+
+/// Whether a socket is open and has no unread bytes.
+///
+/// Asks the system itself: the readiness that the runtime has cached may be out of date.
+pub fn is_open_and_drained(socket: &TcpStream) -> bool {
+    let mut byte = [MaybeUninit::uninit()];
+    loop {
+        match SockRef::from(socket).peek(&mut byte) {
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            peeked => return peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock),
+        }
+    }
+}
+
+/// Whether the peer has closed a socket or reset it, even if unread bytes precede that.
+///
+/// Asks the system itself: the readiness that the runtime has cached may be out of date.
+pub fn is_closed_by_peer(socket: &TcpStream) -> bool {
+    let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let mut polled = [PollFd::new(socket, closed)];
+    let no_wait = Timespec::default();
+    loop {
+        match poll(&mut polled, Some(&no_wait)) {
+            Err(Errno::INTR) => {}
+            result => return matches!(result, Ok(1..)) && polled[0].revents().intersects(closed),
+        }
+    }
+}
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -1,16 +1,18 @@
 //! The servers' side: their addresses and states, connections to them, and what is sent over these.
 
 use crate::discovery::client::{EndpointList, EndpointPhase, ListedEndpoint};
-use crate::http1::head_filter::{
-    self, Expected, Head, HeadFilter, MessagePolicy, Problem, HELD_BODY,
-};
-use crate::http1::streaming::{
-    buffer_body, RequestBody, RequestBodyStream, StreamOutcome, StreamingResponse,
-};
+use crate::http1::body::{buffer_body, BufferedPart};
+use crate::http1::download::{StreamOutcome, StreamingResponse};
+use crate::http1::error::MessageError;
+use crate::http1::framing::{parse_response_head, Expected, Head};
+use crate::http1::head_filter::{HeadFilter, MessagePolicy};
+use crate::http1::limits::MAX_BUFFERED_BODY_BYTES;
+use crate::http1::upload::{RequestBody, RequestBodyStream};
 use crate::metrics::Metrics;
 use crate::operator_state::store::OperatorState;
 use crate::resizable_semaphore::ResizableSemaphore;
 use crate::send_invariants::{self, AttemptFacts, BackendIdentity, Invariant};
+use crate::socket::is_open_and_drained;
 use crate::start_times::StartTimes;
 use crate::transient_errors;
 use balancer::{
@@ -129,7 +131,7 @@
             && self
                 .socket
                 .upgrade()
-                .is_some_and(|s| head_filter::quiet(&s))
+                .is_some_and(|socket| is_open_and_drained(&socket))
     }
 }
 
@@ -156,20 +158,17 @@
 }
 
 impl MessagePolicy for ResponsePolicy {
-    const BETWEEN: Expected = Expected::Nothing;
+    const BETWEEN_MESSAGES: Expected = Expected::Nothing;
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        head_filter::answer_head(bytes)
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, MessageError> {
+        parse_response_head(bytes)
     }
 
-    fn reject(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
-        Err(std::io::Error::new(
-            std::io::ErrorKind::InvalidData,
-            problem.1,
-        ))
+    fn reject(&self, error: MessageError) -> std::io::Result<&'static [u8]> {
+        Err(std::io::Error::new(std::io::ErrorKind::InvalidData, error))
     }
 
-    fn more(&self) {
+    fn bytes_follow_message(&self) {
         self.more.set(true);
     }
 
@@ -318,7 +317,7 @@
 
     /// Connections open, or about to be.
     pub fn connections(&self) -> usize {
-        self.slots.taken()
+        self.slots.in_use()
     }
 
     /// The names that the settings give to classes, tenants and so on.
@@ -532,20 +531,20 @@
     /// Room for one more connection, made if need be by closing the one that has been idle the
     /// longest.
     async fn slot(&self) -> Option<OwnedSemaphorePermit> {
-        if let Some(permit) = self.slots.take() {
+        if let Some(permit) = self.slots.try_acquire() {
             return Some(permit);
         }
         self.close_longest_idle();
         // The slot comes free once the driver of that connection has been dropped, in its next
         // turn.
         tokio::task::yield_now().await;
-        self.slots.take()
+        self.slots.try_acquire()
     }
 
     /// From now on there may be so many connections. Idle ones beyond that are closed at once,
     /// others once they end.
     pub fn resize(&self, connections: usize) {
-        let beyond = self.slots.taken().saturating_sub(connections);
+        let beyond = self.slots.in_use().saturating_sub(connections);
         self.slots.resize(connections);
         (0..beyond).for_each(|_| self.close_longest_idle());
     }
@@ -606,7 +605,7 @@
     ) -> Exchange {
         let (head, body) = request.into_parts();
         // What can't be sent again isn't.
-        let Some(sending) = body.sending() else {
+        let Some(sending) = body.new_stream() else {
             return Exchange::failed(AttemptOutcome::NotSent);
         };
         let limit = until.saturating_duration_since(Instant::now());
@@ -673,11 +672,11 @@
             // Where the last byte was not written, nothing has run; and if that is the client's
             // doing, it says nothing of the server.
             AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
-                if upload.problem().is_some() =>
+                if upload.error().is_some() =>
             {
                 Exchange::failed(AttemptOutcome::NotSent)
             }
-            AttemptOutcome::ConnectionReset if !upload.whole() => Exchange {
+            AttemptOutcome::ConnectionReset if !upload.is_complete() => Exchange {
                 outcome: AttemptOutcome::ConnectFailed,
                 ..exchange
             },
@@ -729,18 +728,20 @@
         let large = body
             .size_hint()
             .exact()
-            .map(|length| length > HELD_BODY as u64);
+            .map(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
         let whole = if let Some(true) = large {
             false
         } else {
             let holding = buffer_body(&mut held, &mut body);
             // Who waits for it to be whole could wait for as long as a trickle lasts.
             let held = match large {
-                None if served => timeout(HELD_FOR, holding).await.unwrap_or(Ok(false)),
+                None if served => timeout(HELD_FOR, holding)
+                    .await
+                    .unwrap_or(Ok(BufferedPart::Incomplete)),
                 _ => holding.await,
             };
             match held {
-                Ok(whole) => whole,
+                Ok(part) => part == BufferedPart::Complete,
                 Err(error) => return Exchange::broken(&error),
             }
         };
