--- a/crates/proxy/src/downstream/request_head.rs
+++ b/crates/proxy/src/downstream/request_head.rs
@@ -5,7 +5,7 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode, Uri};
-use settings::Names;
+use settings::SettingNames;
 use std::time::Duration;
 use thiserror::Error;
 
@@ -110,7 +110,7 @@
     /// Returns the first thing that is wrong with the head.
     pub fn parse(
         parts: &Parts,
-        names: &Names,
+        names: &SettingNames,
         idempotency_by_class: &[Idempotency],
     ) -> Result<Self, RequestError> {
         let headers = &parts.headers;
