--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -237,7 +237,7 @@
             }
             // Never one on which a request has come that was not read yet.
             ConnectionState::New if age >= FIRST => {
-                stats.count_rejection("no request received");
+                stats.count_rejected_message("no request received");
                 self.leave();
             }
             // Who has closed waits for nothing. Hyper sees that only where nothing stands before
@@ -425,7 +425,7 @@
         {
             self.engine
                 .stats()
-                .count_rejection(client.stage.get().evicted());
+                .count_rejected_message(client.stage.get().evicted());
             client.leave();
         }
     }
@@ -442,7 +442,7 @@
     ) {
         let _ = stream.set_nodelay(true);
         let came_with_it = !is_open_and_drained(&stream);
-        self.engine.stats().count(|c| c.accepted += 1);
+        self.engine.stats().count(|c| c.connections_accepted += 1);
         let client = Rc::new(ClientConnection {
             socket: Rc::new(stream),
             stage: Cell::new(ConnectionState::New),
@@ -489,12 +489,14 @@
                 .extensions()
                 .get()
                 .iter()
-                .for_each(|why: &&RejectedRequest| self.engine.stats().count_rejection(why.0));
+                .for_each(|why: &&RejectedRequest| {
+                    self.engine.stats().count_rejected_message(why.0)
+                });
             // A client that is told to close goes elsewhere next. Where places run short each is:
             // many ask once and keep their connection, and until those may be closed nobody else
             // would get in.
             if *self.phase.borrow() > ShutdownPhase::Serving || self.scarce() {
-                self.engine.stats().count(|c| c.told_to_close += 1);
+                self.engine.stats().count(|c| c.connection_close_sent += 1);
                 close(&mut response);
             }
             if let ResponseBody::StreamingResponse(_) = response.body().body {
@@ -524,7 +526,10 @@
             }
             if client.stage.get() == ConnectionState::Leaving {
                 if client.crossed() {
-                    self.engine.stats().rules.withheld(Invariant::Close);
+                    self.engine
+                        .stats()
+                        .invariants
+                        .prevented(Invariant::ConnectionClose);
                     client.stage.set(client.left.get());
                     continue;
                 }
@@ -762,7 +767,7 @@
     if transient_errors::is_one_connections(error) {
         return engine
             .stats()
-            .count_rejection("closed before it was accepted");
+            .count_rejected_message("closed before it was accepted");
     }
     engine.log(format_args!("{what}: {error}"));
     tokio::time::sleep(ACCEPT_PAUSE).await;
