--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -5,6 +5,7 @@
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::fmt::Display;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -93,7 +94,7 @@
     classes: RefCell<FxHashMap<ClassId, ClassCounters>>,
     interval_start: Cell<Instant>,
     logged_by_reason: RefCell<FxHashMap<GiveUpReason, u32>>,
-    rejected_messages: RefCell<FxHashMap<&'static str, u32>>,
+    rejected_messages: RefCell<FxHashMap<String, u32>>,
     logged_errors: Cell<u32>,
     /// What invariants have prevented, and what was requested against them.
     pub invariants: InvariantCounts,
@@ -152,17 +153,17 @@
         logged < MAX_LINES_PER_REASON
     }
 
-    /// Counts a client's message that was rejected for its form.
-    pub fn count_rejected_message(&self, reason: &'static str) {
+    /// Counts a client's message or connection that was rejected.
+    pub fn count_rejected_message(&self, reason: impl Display) {
         *self
             .rejected_messages
             .borrow_mut()
-            .entry(reason)
+            .entry(reason.to_string())
             .or_default() += 1;
     }
 
     /// Reads and resets the counts of rejected messages by reason, sorted.
-    pub fn take_rejected_messages(&self) -> Vec<(&'static str, u32)> {
+    pub fn take_rejected_messages(&self) -> Vec<(String, u32)> {
         let mut counts: Vec<_> = self.rejected_messages.borrow_mut().drain().collect();
         counts.sort_unstable();
         counts
