--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start: the `GW_*` variables and the JSON file that one of them names.
 
-use crate::discovery::client::EndpointList;
+use crate::discovery::wire::EndpointList;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,14 +1,14 @@
 //! The list of servers: its form on the wire, and the watch that follows its changes.
 
+use super::json_lines::{DecodeError, JsonLineDecoder, LONGEST_LINE};
 use super::state::DiscoveryState;
+use super::wire::{EndpointList, InvalidList};
 use crate::socket::Socket;
-use bytes::{Buf, Bytes, BytesMut};
+use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use serde::de::IgnoredAny;
-use serde::Deserialize;
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -31,69 +31,6 @@
 const CONNECT: Duration = Duration::from_secs(1);
 /// For what came while the whole node was held up.
 const LAST_CHANCE: Duration = Duration::from_millis(5);
-/// Longest list that is taken in.
-const LONGEST_LINE: usize = 4 << 20;
-
-/// Servers, all of them or those that have changed.
-#[derive(Debug, Deserialize)]
-pub struct EndpointList {
-    /// Version of the list.
-    pub revision: u64,
-    /// Whether those not named are gone.
-    pub complete: bool,
-    /// The servers.
-    pub members: Vec<ListedEndpoint>,
-}
-
-/// One server, as discovery describes it.
-#[derive(Debug, Deserialize)]
-pub struct ListedEndpoint {
-    /// Its name, the same at every node.
-    pub id: String,
-    /// Where it listens. One that has left needs none.
-    pub host_port: Option<SocketAddr>,
-    /// Its zone.
-    #[serde(default)]
-    pub locality: String,
-    /// Its machine kind.
-    #[serde(default)]
-    pub flavor: String,
-    /// Its cell.
-    #[serde(default)]
-    pub cell: u16,
-    /// What it takes.
-    pub phase: EndpointPhase,
-    /// Its weight.
-    #[serde(default = "one")]
-    pub size: f64,
-    /// Its latest start in Unix time; 0 for long ago.
-    #[serde(default)]
-    pub up_since_ms: u64,
-}
-
-impl ListedEndpoint {
-    /// Its latest start in Unix time; zero for long ago.
-    pub fn stamp(&self) -> Duration {
-        Duration::from_millis(self.up_since_ms)
-    }
-}
-
-fn one() -> f64 {
-    1.0
-}
-
-/// What a server takes.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum EndpointPhase {
-    /// New requests.
-    Active,
-    /// Nothing new.
-    Leaving,
-    /// It is no more.
-    Left,
-}
-
 /// How a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
@@ -112,9 +49,18 @@
     /// Discovery ended it.
     #[error("ended")]
     Ended,
-    /// A line that is no server list.
+    /// What came cannot be split into lists.
+    #[error("unusable line: {0}")]
+    Decode(#[from] DecodeError),
+    /// What came is not an endpoint list.
+    #[error("unusable line: {0}")]
+    List(#[from] InvalidList),
+    /// The response to a request for a snapshot could not be read to its end.
     #[error("unusable line: {0}")]
-    BadLine(String),
+    Body(Box<dyn std::error::Error + Send + Sync>),
+    /// The response to a request for a snapshot is a delta.
+    #[error("unusable line: the list is not complete")]
+    NotSnapshot,
 }
 
 impl WatchError {
@@ -124,107 +70,6 @@
     }
 }
 
-/// Takes a stream of JSON objects apart, however it is cut and indented.
-#[derive(Default)]
-struct JsonLineDecoder {
-    held: BytesMut,
-    /// So much of it was looked at ...
-    searched: usize,
-    /// ... with so many braces and brackets open there, ...
-    depth: usize,
-    /// ... and whether inside a string, and there behind a backslash.
-    string: bool,
-    escaped: bool,
-    /// Of what is not whole so much was found to be good JSON so far.
-    sound: usize,
-}
-
-impl JsonLineDecoder {
-    /// Whether one has begun.
-    fn begun(&self) -> bool {
-        self.depth > 0
-    }
-
-    fn extend(&mut self, data: &[u8]) {
-        self.held.extend_from_slice(data);
-    }
-
-    /// The next whole one. What can't become one is an error at once, as far as that shows.
-    fn next(&mut self) -> Result<Option<BytesMut>, WatchError> {
-        while let Some(&byte) = self.held.get(self.searched) {
-            if self.depth == 0 && byte != b'{' {
-                if !byte.is_ascii_whitespace() {
-                    return Err(WatchError::BadLine("no list begins like this".to_owned()));
-                }
-                self.held.advance(1);
-                continue;
-            }
-            self.searched += 1;
-            match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' => self.escaped = self.string,
-                b'"' => self.string = !self.string,
-                b'{' | b'[' if !self.string => self.depth += 1,
-                b'}' | b']' if !self.string => self.depth -= 1,
-                // An empty line within one: the next line that says something may be another's.
-                b'\n' if self.after_empty_line() => self.check()?,
-                _ => {}
-            }
-            if self.depth == 0 {
-                let whole = self.held.split_to(std::mem::take(&mut self.searched));
-                self.sound = 0;
-                return Ok(Some(whole));
-            }
-        }
-        if self.held.len() > LONGEST_LINE {
-            return Err(WatchError::BadLine(format!("over {LONGEST_LINE} bytes")));
-        }
-        // Not each time: a long list may come a byte at a time.
-        if self.held.len() > 2 * self.sound {
-            self.check()?;
-        }
-        Ok(None)
-    }
-
-    fn after_empty_line(&self) -> bool {
-        let before = &self.held[..self.searched - 1];
-        before.iter().rfind(|b| !matches!(b, b' ' | b'\t' | b'\r')) == Some(&b'\n')
-    }
-
-    /// What has come of one has to be the beginning of some JSON.
-    fn check(&mut self) -> Result<(), WatchError> {
-        let begun = &self.held[..self.searched];
-        // A number that is cut is no good number, and yet the beginning of one.
-        let cut = begun
-            .iter()
-            .rposition(|byte| !b"+-.0123456789eE".contains(byte))
-            .map_or(0, |at| at + 1);
-        match serde_json::from_slice::<IgnoredAny>(&begun[..cut]) {
-            Err(error) if !error.is_eof() => Err(WatchError::BadLine(error.to_string())),
-            _ => {
-                self.sound = begun.len();
-                Ok(())
-            }
-        }
-    }
-}
-
-impl EndpointList {
-    /// Reads one list.
-    pub fn parse(line: &[u8]) -> Result<Self, WatchError> {
-        let list: EndpointList =
-            serde_json::from_slice(line).map_err(|e| WatchError::BadLine(e.to_string()))?;
-        match list
-            .members
-            .iter()
-            .find(|m| m.host_port.is_none() && m.phase != EndpointPhase::Left)
-        {
-            Some(m) => Err(WatchError::BadLine(format!("{} has no host_port", m.id))),
-            None => Ok(list),
-        }
-    }
-}
-
 /// Opens one watch from the version held on, which may take so long, and hands on what it brings
 /// until it ends.
 pub async fn watch(
@@ -360,13 +205,9 @@
         let body = Limited::new(response.into_body(), LONGEST_LINE)
             .collect()
             .await;
-        let list = EndpointList::parse(
-            &body
-                .map_err(|e| WatchError::BadLine(e.to_string()))?
-                .to_bytes(),
-        )?;
+        let list = EndpointList::parse(&body.map_err(WatchError::Body)?.to_bytes())?;
         if !list.complete {
-            return Err(WatchError::BadLine("the list is not complete".to_owned()));
+            return Err(WatchError::NotSnapshot);
         }
         call.tell(&list);
         Ok(())
@@ -412,7 +253,3 @@
     };
     converse(connection, dialogue).await
 }
-
-#[cfg(test)]
-#[path = "client_tests.rs"]
-mod tests;
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,5 +1,7 @@
 //! The discovery client: endpoint lists on the wire, and the watch that follows their changes.
 
-pub mod client;
+mod client;
+mod json_lines;
 pub mod state;
 pub mod watch_loop;
+pub mod wire;
--- a/crates/proxy/src/discovery/state.rs
+++ b/crates/proxy/src/discovery/state.rs
@@ -1,6 +1,6 @@
 //! What discovery calls share: where the endpoint list is, what is known of it, and who is told.
 
-use super::client::EndpointList;
+use super::wire::EndpointList;
 use crate::event_log::EventLog;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::fmt;
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -5,7 +5,7 @@
 //! that actions bring about at once.
 
 use crate::clock::Clock;
-use crate::discovery::client::EndpointList;
+use crate::discovery::wire::EndpointList;
 use crate::event_log::EventLog;
 use crate::http1::head_filter;
 use crate::http1::streaming::{RequestBody, StreamOutcome};
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -1,6 +1,6 @@
 //! The servers' side: their addresses and states, connections to them, and what is sent over these.
 
-use crate::discovery::client::{EndpointList, EndpointPhase, ListedEndpoint};
+use crate::discovery::wire::{EndpointList, EndpointPhase, ListedEndpoint};
 use crate::http1::head_filter::{
     self, Expected, Head, HeadFilter, MessagePolicy, Problem, HELD_BODY,
 };
