--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -123,7 +123,7 @@
     fn tell(&self, list: &EndpointList) {
         // Of a call that was given up only what is not older than all that was heard since counts.
         // A whole list of the same version may name fewer: it leaves out what drains.
-        let awaited = self.state.needs_snapshot() && list.complete;
+        let awaited = self.state.needs_snapshot() && list.is_snapshot;
         if !self.given_up.get() || awaited || list.revision >= self.state.revision() {
             self.state.publish(list, self.address);
         }
@@ -206,7 +206,7 @@
             .collect()
             .await;
         let list = EndpointList::parse(&body.map_err(WatchError::Body)?.to_bytes())?;
-        if !list.complete {
+        if !list.is_snapshot {
             return Err(WatchError::NotSnapshot);
         }
         call.tell(&list);
--- a/crates/proxy/src/discovery/state.rs
+++ b/crates/proxy/src/discovery/state.rs
@@ -151,7 +151,7 @@
     /// Takes a list that discovery has sent from `source`, and hands it on.
     pub fn publish(&self, list: &EndpointList, source: SocketAddr) {
         self.lists_received.set(self.lists_received.get() + 1);
-        if list.complete && source == self.address.get() {
+        if list.is_snapshot && source == self.address.get() {
             self.needs_snapshot.set(false);
             abort(self.superseded_watch.take());
         }
--- a/crates/proxy/src/discovery/wire.rs
+++ b/crates/proxy/src/discovery/wire.rs
@@ -10,81 +10,90 @@
     /// It is not the JSON of an endpoint list.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// An endpoint that is not removed has no address.
+    /// An endpoint that takes requests or finishes some has no address.
     #[error("{0} has no host_port")]
     MissingAddress(String),
 }
 
-/// Servers, all of them or those that have changed.
+/// The endpoints of a service: all of them, or those that have changed.
 #[derive(Debug, Deserialize)]
 pub struct EndpointList {
     /// Version of the list.
     pub revision: u64,
-    /// Whether those not named are gone.
-    pub complete: bool,
-    /// The servers.
-    pub members: Vec<ListedEndpoint>,
+    /// Whether endpoints that are not named are removed. Otherwise the list is a delta.
+    #[serde(rename = "complete")]
+    pub is_snapshot: bool,
+    /// The endpoints.
+    #[serde(rename = "members")]
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// One server, as discovery describes it.
+/// One endpoint, as discovery describes it.
 #[derive(Debug, Deserialize)]
 pub struct ListedEndpoint {
     /// Its name, the same at every node.
-    pub id: String,
-    /// Where it listens. One that has left needs none.
-    pub host_port: Option<SocketAddr>,
-    /// Its zone.
-    #[serde(default)]
-    pub locality: String,
-    /// Its machine kind.
-    #[serde(default)]
-    pub flavor: String,
-    /// Its cell.
+    #[serde(rename = "id")]
+    pub name: String,
+    /// Where it listens. One that is removed needs none.
+    #[serde(rename = "host_port")]
+    pub address: Option<SocketAddr>,
+    /// Name of its zone.
+    #[serde(rename = "locality", default)]
+    pub zone: String,
+    /// Name of its machine type.
+    #[serde(rename = "flavor", default)]
+    pub machine_type: String,
+    /// Number of its cell.
     #[serde(default)]
     pub cell: u16,
     /// What it takes.
     pub phase: EndpointPhase,
     /// Its weight.
-    #[serde(default = "one")]
-    pub size: f64,
-    /// Its latest start in Unix time; 0 for long ago.
-    #[serde(default)]
-    pub up_since_ms: u64,
+    #[serde(rename = "size", default = "default_weight")]
+    pub weight: f64,
+    /// Unix time of its latest start, in milliseconds; 0 for long ago.
+    #[serde(rename = "up_since_ms", default)]
+    pub started_at_unix_ms: u64,
 }
 
 impl ListedEndpoint {
-    /// Its latest start in Unix time; zero for long ago.
-    pub fn stamp(&self) -> Duration {
-        Duration::from_millis(self.up_since_ms)
+    /// Unix time of its latest start; zero for long ago.
+    pub fn start_timestamp(&self) -> Duration {
+        Duration::from_millis(self.started_at_unix_ms)
     }
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// What a server takes.
+/// What an endpoint takes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointPhase {
     /// New requests.
     Active,
-    /// Nothing new.
-    Leaving,
-    /// It is no more.
-    Left,
+    /// No new requests; those in flight are finished.
+    #[serde(rename = "leaving")]
+    Draining,
+    /// Nothing: it is no more.
+    #[serde(rename = "left")]
+    Removed,
 }
 
 impl EndpointList {
-    /// Reads one list.
-    pub fn parse(line: &[u8]) -> Result<Self, InvalidList> {
-        let list: EndpointList = serde_json::from_slice(line)?;
-        match list
-            .members
-            .iter()
-            .find(|m| m.host_port.is_none() && m.phase != EndpointPhase::Left)
-        {
-            Some(m) => Err(InvalidList::MissingAddress(m.id.clone())),
+    /// Parses one list.
+    ///
+    /// # Errors
+    ///
+    /// Returns why `json` is not an endpoint list that can be used.
+    pub fn parse(json: &[u8]) -> Result<Self, InvalidList> {
+        let list: EndpointList = serde_json::from_slice(json)?;
+        let without_address = list.endpoints.iter().find(|endpoint| {
+            endpoint.address.is_none() && endpoint.phase != EndpointPhase::Removed
+        });
+        match without_address {
+            Some(endpoint) => Err(InvalidList::MissingAddress(endpoint.name.clone())),
             None => Ok(list),
         }
     }
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -245,7 +245,7 @@
 
     /// Takes in an endpoint list, or a change to it, that discovery has sent.
     pub fn list(&self, list: &EndpointList) {
-        let kind = if list.complete {
+        let kind = if list.is_snapshot {
             ListUpdate::Snapshot
         } else {
             ListUpdate::Delta
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -1,136 +1,165 @@
-//! When servers started, on the process's own clock.
+//! When backends started, on the process's own clock.
 //!
-//! Lists tell it by wall-clock stamps, and a wall clock may be stepped, here or elsewhere, by
-//! seconds or by hours. What the process knows for sure is when it first heard of a start. So a
-//! stamp that is new or has changed, whichever way, is a start at that moment. Only of servers that
-//! the process finds already there when it begins do the stamps have to tell the age, and then the
-//! least that they allow: a server that is taken for younger than it is gets less for a while, one
-//! that is taken for older is pushed over.
+//! Endpoint lists give starts as wall-clock timestamps, and a wall clock may be stepped, here or
+//! elsewhere, by seconds or by hours. What the process knows for certain is when it first learnt of a
+//! start. So a timestamp that is new or has changed, whichever way, is a start at that moment. Only
+//! for backends that are listed when the process begins do the timestamps have to give the age, and
+//! then the least that they allow: a backend that is taken for younger than it is gets less load for
+//! a while, one that is taken for older is overloaded.
 
 use balancer::Time;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// A start longer ago than this is not worth remembering.
-const LONG_AGO: Duration = Duration::from_secs(12 * 3600);
-/// So many servers that no list names any more are remembered, beside as many as are listed.
-const MOST_UNLISTED: usize = 64;
+/// A start longer ago than this makes no difference.
+const MAX_AGE: Duration = Duration::from_secs(12 * 3600);
+/// Backends that no list names any more and that are remembered all the same, beyond as many as are
+/// listed.
+const MAX_UNLISTED: usize = 64;
 
-/// A moment at which the clock of the stamps had come so far, at least.
+/// A moment at which the clock of the timestamps showed at least a given time.
 #[derive(Clone, Copy)]
-struct Reference {
+struct ClockReading {
     at: Time,
-    stamp: Duration,
+    timestamp: Duration,
 }
 
-struct Known {
-    /// As listed; zero for long ago.
-    stamp: Duration,
-    started: Option<Time>,
+/// The start of a listed backend.
+struct ListedStart {
+    /// As listed, in Unix time; zero for long ago.
+    timestamp: Duration,
+    /// None for long ago.
+    started_at: Option<Time>,
 }
 
-/// When an operator's call put a server back into use.
-struct Returned {
-    /// Tells one call from the next.
+/// The end of a backend's maintenance.
+struct MaintenanceEnd {
+    /// Tells one end of maintenance from the next.
     marker: u64,
-    heard: Time,
+    observed_at: Time,
 }
 
-/// See the module's own words.
+/// Start times of backends, by name. Owned by the backend registry.
 #[derive(Default)]
 pub struct StartTimes {
-    known: FxHashMap<String, Known>,
-    returned: FxHashMap<String, Returned>,
-    reference: Option<Reference>,
+    listed: FxHashMap<String, ListedStart>,
+    maintenance_ends: FxHashMap<String, MaintenanceEnd>,
+    latest_reading: Option<ClockReading>,
     /// A list has come from discovery itself: whatever is new from now on has started since.
-    following: bool,
+    discovery_list_applied: bool,
 }
 
 impl StartTimes {
-    /// Takes in the stamps of a list before its servers are asked for. They tell how far the clock
-    /// has come by which servers are stamped.
-    pub fn hear(&mut self, now: Time, stamps: impl Iterator<Item = Duration>) {
-        let Some(latest) = stamps.max().filter(|stamp| !stamp.is_zero()) else {
+    /// Takes in a list's timestamps, before the starts of its backends are asked for. They show how
+    /// far the clock has come that they were taken from.
+    pub fn observe_timestamps(&mut self, now: Time, timestamps: impl Iterator<Item = Duration>) {
+        let Some(latest) = timestamps.max().filter(|timestamp| !timestamp.is_zero()) else {
             return;
         };
-        if self.stamp_clock(now).is_none_or(|least| latest > least) {
-            self.reference = Some(Reference {
+        if self
+            .least_timestamp_clock(now)
+            .is_none_or(|least| latest > least)
+        {
+            self.latest_reading = Some(ClockReading {
                 at: now,
-                stamp: latest,
+                timestamp: latest,
             });
         }
     }
 
-    /// When a listed server started; None for long ago. `wall` is this machine's own wall clock.
-    pub fn started(
+    /// When a listed backend started; None for long ago. `wall_clock` is this machine's own, in Unix
+    /// time.
+    pub fn start_of(
         &mut self,
         now: Time,
-        wall: Duration,
+        wall_clock: Duration,
         name: &str,
-        stamp: Duration,
+        timestamp: Duration,
     ) -> Option<Time> {
-        let by_stamp = match self.known.get(name) {
-            // A stamp that is left out from some time on tells of no start.
-            Some(known) if known.stamp == stamp || stamp.is_zero() => known.started,
+        let by_timestamp = match self.listed.get(name) {
+            // A timestamp that is left out from some list on does not mean a start.
+            Some(listed) if listed.timestamp == timestamp || timestamp.is_zero() => {
+                listed.started_at
+            }
             _ => {
-                let started = match (stamp.is_zero(), self.following) {
-                    (true, _) => None,
-                    (false, true) => Some(now),
-                    (false, false) => self.least_age(now, wall, stamp),
+                let started_at = if timestamp.is_zero() {
+                    None
+                } else if self.discovery_list_applied {
+                    Some(now)
+                } else {
+                    self.latest_possible_start(now, wall_clock, timestamp)
                 };
-                self.known.insert(name.to_owned(), Known { stamp, started });
-                started
+                self.listed.insert(
+                    name.to_owned(),
+                    ListedStart {
+                        timestamp,
+                        started_at,
+                    },
+                );
+                started_at
             }
         };
-        by_stamp.max(self.returned.get(name).map(|returned| returned.heard))
+        by_timestamp.max(self.returned_at(name))
     }
 
-    /// A list has been taken in that came from discovery itself, with so many servers now listed.
-    pub fn followed(&mut self, listed: usize, is_listed: impl Fn(&str) -> bool) {
-        self.following = true;
-        if self.known.len() > 2 * listed + MOST_UNLISTED {
-            self.known.retain(|name, _| is_listed(name));
+    /// Notes that a list from discovery has been applied. `listed_count` backends are listed now.
+    pub fn list_applied(&mut self, listed_count: usize, is_listed: impl Fn(&str) -> bool) {
+        self.discovery_list_applied = true;
+        if self.listed.len() > 2 * listed_count + MAX_UNLISTED {
+            self.listed.retain(|name, _| is_listed(name));
         }
     }
 
-    /// Takes in which servers operators have put back into use. A marker not heard before is a
+    /// Takes in which backends operators have put back into use. A marker that is new counts as a
     /// start at this moment.
-    pub fn hear_returned<'a>(
+    pub fn observe_returned<'a>(
         &mut self,
         now: Time,
         markers: impl Iterator<Item = (&'a String, &'a u64)>,
     ) {
         for (name, &marker) in markers {
-            if self
-                .returned
+            let is_new = self
+                .maintenance_ends
                 .get(name)
-                .is_none_or(|returned| returned.marker != marker)
-            {
-                self.returned
-                    .insert(name.clone(), Returned { marker, heard: now });
+                .is_none_or(|end| end.marker != marker);
+            if is_new {
+                let end = MaintenanceEnd {
+                    marker,
+                    observed_at: now,
+                };
+                self.maintenance_ends.insert(name.clone(), end);
             }
         }
     }
 
-    /// When this process heard that a server was put back into use.
-    pub fn returned(&self, name: &str) -> Option<Time> {
-        self.returned.get(name).map(|returned| returned.heard)
+    /// When this process learnt that operators had put a backend back into use.
+    pub fn returned_at(&self, name: &str) -> Option<Time> {
+        self.maintenance_ends.get(name).map(|end| end.observed_at)
     }
 
-    /// The least that the clock of the stamps shows now.
-    fn stamp_clock(&self, now: Time) -> Option<Duration> {
-        self.reference
-            .map(|reference| reference.stamp + (now - reference.at))
+    /// The least that the clock of the timestamps shows now, in Unix time.
+    fn least_timestamp_clock(&self, now: Time) -> Option<Duration> {
+        self.latest_reading
+            .map(|reading| reading.timestamp + (now - reading.at))
     }
 
-    /// A start by a stamp that was there before this process followed the list: as late as any
-    /// clock allows. A stamp that this machine's clock has not reached says that this clock can't
-    /// be believed.
-    fn least_age(&self, now: Time, wall: Duration, stamp: Duration) -> Option<Time> {
-        let by_stamps = self.stamp_clock(now).unwrap_or(stamp).saturating_sub(stamp);
-        let by_wall = wall.checked_sub(stamp).unwrap_or(by_stamps);
-        let age = by_stamps.min(by_wall);
-        (age < LONG_AGO).then(|| Time(now.0.saturating_sub(age.as_nanos() as u64)))
+    /// The latest start that any clock allows, for a timestamp from before this process received
+    /// lists. A timestamp that this machine's clock has not reached shows that this clock is wrong.
+    fn latest_possible_start(
+        &self,
+        now: Time,
+        wall_clock: Duration,
+        timestamp: Duration,
+    ) -> Option<Time> {
+        let age_by_timestamps = self
+            .least_timestamp_clock(now)
+            .unwrap_or(timestamp)
+            .saturating_sub(timestamp);
+        let age_by_wall_clock = wall_clock
+            .checked_sub(timestamp)
+            .unwrap_or(age_by_timestamps);
+        let age = age_by_timestamps.min(age_by_wall_clock);
+        (age < MAX_AGE).then(|| Time(now.0.saturating_sub(age.as_nanos() as u64)))
     }
 }
 
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -341,13 +341,16 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let mut starts = self.starts.borrow_mut();
-        starts.hear(now, list.members.iter().map(ListedEndpoint::stamp));
+        starts.observe_timestamps(
+            now,
+            list.endpoints.iter().map(ListedEndpoint::start_timestamp),
+        );
         let mut by_name = self.by_name.borrow_mut();
         let mut by_id = self.by_id.borrow_mut();
         let word = self.word.borrow();
-        if list.complete {
+        if list.is_snapshot {
             let named: rustc_hash::FxHashSet<&str> =
-                list.members.iter().map(|m| m.id.as_str()).collect();
+                list.endpoints.iter().map(|m| m.name.as_str()).collect();
             by_name.retain(|name, server| {
                 let stays = named.contains(name.as_str());
                 if !stays {
@@ -358,28 +361,28 @@
                 stays
             });
         }
-        let mut entries = Vec::with_capacity(list.members.len());
-        for member in &list.members {
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for member in &list.endpoints {
             let listed = match member.phase {
                 EndpointPhase::Active => EndpointState::Active,
-                EndpointPhase::Leaving => EndpointState::Draining,
-                EndpointPhase::Left => EndpointState::Removed,
+                EndpointPhase::Draining => EndpointState::Draining,
+                EndpointPhase::Removed => EndpointState::Removed,
             };
-            let started = starts.started(now, wall, &member.id, member.stamp());
-            let state = state(&word, &member.id, listed);
-            let server = match (by_name.get(&member.id), member.host_port) {
+            let started = starts.start_of(now, wall, &member.name, member.start_timestamp());
+            let state = state(&word, &member.name, listed);
+            let server = match (by_name.get(&member.name), member.address) {
                 (Some(server), _) => server.clone(),
                 (None, Some(address)) if state != EndpointState::Removed => {
                     let id = BackendId(self.next_id.get());
                     self.next_id.set(id.0.wrapping_add(1));
                     let server = Rc::new(Backend {
                         id,
-                        name: member.id.clone(),
+                        name: member.name.clone(),
                         address: Cell::new(address),
                         listed: Cell::new(listed),
                         state: Cell::new(state),
                         started: Cell::new(started),
-                        weight: Cell::new(member.size),
+                        weight: Cell::new(member.weight),
                         generation: Cell::new(0),
                         idle: RefCell::default(),
                         place: Cell::default(),
@@ -392,19 +395,19 @@
             };
             server.listed.set(listed);
             server.state.set(state);
-            server.weight.set(member.size);
+            server.weight.set(member.weight);
             if state == EndpointState::Removed {
                 server.abandon_connections();
-                by_name.remove(&member.id);
+                by_name.remove(&member.name);
                 by_id.remove(&server.id);
             } else {
                 server.place.set((
-                    ZoneId(position(&self.names.zones, &member.locality)),
-                    MachineTypeId(position(&self.names.machine_types, &member.flavor)),
+                    ZoneId(position(&self.names.zones, &member.zone)),
+                    MachineTypeId(position(&self.names.machine_types, &member.machine_type)),
                     member.cell,
                 ));
                 let moved = member
-                    .host_port
+                    .address
                     .is_some_and(|a| server.address.replace(a) != a);
                 // What was connected to the process before this one is dead, whether or not it says
                 // so.
@@ -417,7 +420,7 @@
             entries.push(server.entry());
         }
         if source == Source::Discovery {
-            starts.followed(by_name.len(), |name| by_name.contains_key(name));
+            starts.list_applied(by_name.len(), |name| by_name.contains_key(name));
         }
         entries
     }
@@ -428,12 +431,12 @@
     pub fn apply_operator_state(&self, now: Time, word: &OperatorState) -> Vec<Endpoint> {
         *self.word.borrow_mut() = word.clone();
         let mut starts = self.starts.borrow_mut();
-        starts.hear_returned(now, word.returned.iter());
+        starts.observe_returned(now, word.returned.iter());
         let mut changed = Vec::new();
         for server in self.by_id.borrow().values() {
             let (before, since) = (server.state.get(), server.started.get());
             let state = state(word, &server.name, server.listed.get());
-            let started = since.max(starts.returned(&server.name));
+            let started = since.max(starts.returned_at(&server.name));
             if (state, started) == (before, since) {
                 continue;
             }
@@ -456,7 +459,7 @@
     pub fn warmed_up(&self, now: Time, name: &str, warm_up: Duration) -> bool {
         self.starts
             .borrow()
-            .returned(name)
+            .returned_at(name)
             .is_some_and(|heard| now - heard >= warm_up)
     }
 
