--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -68,24 +68,31 @@
     /// been.
     pub async fn look(&self) {
         let warm = |name: &String| self.engine.warmed_up(name, self.warm_up);
-        let settled = self.keeper.word().returned.keys().any(warm);
+        let settled = self
+            .keeper
+            .state()
+            .returned_from_maintenance
+            .keys()
+            .any(warm);
         if settled && self.keeper.may_write() {
-            let forget = |word: &mut OperatorState| word.returned.retain(|name, _| !warm(name));
+            let forget = |word: &mut OperatorState| {
+                word.returned_from_maintenance.retain(|name, _| !warm(name))
+            };
             if let Err(error) = self.keeper.change(forget).await {
                 self.engine.log(format_args!("{error}"));
             }
         }
-        let looked = self.keeper.look();
+        let looked = self.keeper.refresh();
         let failed_before = self.look_failed.replace(looked.is_err());
         match looked {
             Ok(false) => {}
             Ok(true) => {
                 self.apply();
-                let word = self.keeper.word();
+                let word = self.keeper.state();
                 self.engine.log(format_args!(
                     "told beside draining={} left_out={}",
                     word.draining,
-                    word.out.len()
+                    word.in_maintenance.len()
                 ));
             }
             Err(_) if failed_before => {} // It is logged once for a row of failures.
@@ -95,7 +102,7 @@
 
     /// Puts the operators' word in force.
     fn apply(&self) {
-        let word = self.keeper.word();
+        let word = self.keeper.state();
         self.engine.apply_operator_state(&word);
         self.phase.send_if_modified(|phase| {
             let drained = if word.draining {
@@ -211,15 +218,17 @@
             ("POST", _, Some((id, "maint"))) => {
                 let known = self.engine.knows(id);
                 let out = |word: &mut OperatorState| {
-                    let known = known || word.out.contains(id);
-                    known.then(|| word.out.insert(id.to_owned())).is_some()
+                    let known = known || word.in_maintenance.contains(id);
+                    known
+                        .then(|| word.in_maintenance.insert(id.to_owned()))
+                        .is_some()
                 };
                 known_backend(self.say(out).await?, "left out")
             }
             ("POST", _, Some((id, "ready"))) => {
                 let known = self.engine.knows(id);
                 let back = |word: &mut OperatorState| {
-                    if word.out.remove(id) {
+                    if word.in_maintenance.remove(id) {
                         word.mark_returned(id, SystemTime::now());
                         true
                     } else {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -8,6 +8,7 @@
 mod downstream;
 mod event_log;
 mod http1;
+mod listener_inheritance;
 mod metrics;
 mod node;
 mod operator_state;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -8,7 +8,7 @@
 use crate::discovery::watch_loop::EndpointWatcher;
 use crate::downstream::listener::{Listener, ShutdownPhase};
 use crate::event_log::EventLog;
-use crate::operator_state::store;
+use crate::listener_inheritance::inherit_listener;
 use crate::operator_state::store::OperatorStateStore;
 use crate::requests::dispatcher::Dispatcher;
 use crate::transient_errors::retry_at_start;
@@ -112,7 +112,7 @@
             .max(1);
         (clients, sockets - clients)
     };
-    let mut accompanied = keeper.accompanied();
+    let mut accompanied = keeper.peer_process_running();
     let (clients, connections) = plan(accompanied);
     let limits = backend_registry::Limits {
         connections,
@@ -179,7 +179,7 @@
     };
     let inherited = config.inherited.is_some();
     let listener = match &config.inherited {
-        Some(number) => TcpListener::from_std(store::adopt(number, config.listen)?)?,
+        Some(number) => TcpListener::from_std(inherit_listener(number, config.listen)?)?,
         None => bound(config.listen)?,
     };
     let listening_since = tokio::time::Instant::now();
@@ -230,7 +230,7 @@
             loop {
                 every.tick().await;
                 console.look().await;
-                let now = keeper.accompanied();
+                let now = keeper.peer_process_running();
                 if std::mem::replace(&mut accompanied, now) != now {
                     let (clients, upstream) = plan(now);
                     frontend.resize(clients);
@@ -252,7 +252,7 @@
             tokio::time::sleep(UNREADY).await;
         }
         // While this process has no list, the one beside it can serve what comes.
-        while inherited && !ready.ready() && beside.accompanied() {
+        while inherited && !ready.ready() && beside.peer_process_running() {
             tokio::time::sleep(UNREADY).await;
         }
         serving.serve(listener).await;
@@ -261,7 +261,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    let handing_over = inherited && keeper.accompanied();
+    let handing_over = inherited && keeper.peer_process_running();
     engine.log(format_args!("leaving handing_over={handing_over}"));
     phase.send_replace(if handing_over {
         ShutdownPhase::HandingOver
--- a/crates/proxy/src/operator_state/store.rs
+++ b/crates/proxy/src/operator_state/store.rs
@@ -1,354 +1,312 @@
-//! What outlives a process: the listener that the platform holds for it, and the operators' word,
-//! kept in one file for the process that comes next. While two processes of a node live, both go by
-//! that file.
+//! What operators have asked for, kept in one file for the next process of the node. While two
+//! processes of a node run, both go by that file.
 
+use super::file_lock::{lock, LockError, Presence};
 use crate::transient_errors::retry_at_start;
 use serde::{Deserialize, Serialize};
-use socket2::Socket;
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
-use std::fs::{self, File, TryLockError};
+use std::fs::{self, File};
 use std::io::{self, Read, Write as _};
-use std::net::{SocketAddr, TcpListener};
-use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime};
 
-/// The form of the file.
-const VERSION: u32 = 1;
-const KEPT: &str = "birchswitch.json";
-const NEXT: &str = "birchswitch.json.next";
-const LOCK: &str = "birchswitch.lock";
-/// Held, one each, by the processes of a node that live.
-const PRESENCE: [&str; 2] = ["birchswitch.0", "birchswitch.1"];
-/// Most that is read of the file: far more than any fleet's names take.
-const MOST_KEPT: u64 = 1 << 20;
-/// A change that nobody waits for is not tried again sooner than this after one that failed.
-const WRITE_AGAIN: Duration = Duration::from_secs(1);
-/// The lock is held for an instant at a time. It is asked for again after this ...
-const LOCK_AGAIN: Duration = Duration::from_millis(2);
-/// ... and so often: a caller waits for longer.
-const LOCK_TRIES: usize = 200;
+/// Version of the file's form.
+const FORMAT_VERSION: u32 = 1;
+/// The file that holds the state.
+///
+/// Its name and JSON keys stay as they are: during an upgrade the old version and the new one read
+/// and write it together.
+const STATE_FILE: &str = "birchswitch.json";
+/// The new file, until it is complete and replaces the other. Its name stays, as above.
+const NEW_STATE_FILE: &str = "birchswitch.json.next";
+/// Locked while a process changes the state. Its name stays, as above.
+const LOCK_FILE: &str = "birchswitch.lock";
+/// Bytes read of the state file at most, far more than the names of any fleet take.
+const MAX_STATE_BYTES: u64 = 1 << 20;
+/// Pause after a change that could not be written, before one that no operator waits for is tried.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why an inherited descriptor is of no use.
-#[derive(Debug, thiserror::Error)]
-pub enum AdoptError {
-    /// It is no number of a descriptor that may be handed over.
-    #[error("GW_LISTEN_FD {0:?} is not a descriptor's number above 2")]
-    Number(String),
-    /// There is no open socket of that number.
-    #[error("descriptor {0} of GW_LISTEN_FD is no socket: {1}")]
-    NoSocket(RawFd, io::Error),
-    /// Clients could not connect there.
-    #[error("descriptor {0} of GW_LISTEN_FD does not listen")]
-    Deaf(RawFd),
-    /// It is another listener.
-    #[error("descriptor {0} of GW_LISTEN_FD does not listen on {1}")]
-    Elsewhere(RawFd, SocketAddr),
-}
-
-/// Takes over the listening socket that `number` names, if it listens on `address`.
-pub fn adopt(number: &str, address: SocketAddr) -> Result<TcpListener, AdoptError> {
-    let fd: RawFd = number
-        .parse()
-        .ok()
-        .filter(|fd| *fd > 2)
-        .ok_or(AdoptError::Number(number.to_owned()))?;
-    // SAFETY: The platform opened this descriptor for the process, says so by the variable, and
-    // nothing else here uses or closes it. Whether it is open is asked next; one that is not is
-    // given back below, never closed.
-    #[allow(unsafe_code)]
-    let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
-    let listens = socket
-        .is_listener()
-        .map_err(|error| AdoptError::NoSocket(fd, error));
-    let checked = listens.and_then(|listens| {
-        let at = socket.local_addr().ok().and_then(|a| a.as_socket());
-        match at {
-            _ if !listens => Err(AdoptError::Deaf(fd)),
-            Some(at) if at == address => Ok(()),
-            _ => Err(AdoptError::Elsewhere(fd, address)),
-        }
-    });
-    match checked.and_then(|()| {
-        socket
-            .set_nonblocking(true)
-            .map_err(|e| AdoptError::NoSocket(fd, e))
-    }) {
-        Ok(()) => Ok(socket.into()),
-        Err(error) => {
-            std::mem::forget(socket);
-            Err(error)
-        }
-    }
-}
-
-/// What operators have said and not taken back.
+/// What operators have asked for and not taken back.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorState {
-    /// The node is drained.
+    /// Whether the node is drained.
     pub draining: bool,
-    /// Backends that are left out, by name.
-    pub out: BTreeSet<String>,
-    /// Others that were put back into use and may be cold still, with a marker of the call: for the
-    /// rules they have started then. By the marker a process sees a call that it has not heard of;
-    /// it tells no time, since clocks may be stepped.
-    pub returned: BTreeMap<String, u64>,
+    /// Names of the backends in maintenance, which get no new requests.
+    #[serde(rename = "out")]
+    pub in_maintenance: BTreeSet<String>,
+    /// Names of backends that were put back into use and may still be warming up, each with a marker
+    /// of the call that did so. A marker that a process has not seen before is a start of the
+    /// backend. It does not tell the time, since clocks may be stepped.
+    #[serde(rename = "returned")]
+    pub returned_from_maintenance: BTreeMap<String, u64>,
 }
 
 impl OperatorState {
-    /// A backend is put back into use, by a call that differs from those before.
-    pub fn mark_returned(&mut self, name: &str, wall: SystemTime) {
-        let unix = wall
+    /// Notes that a backend is put back into use, with a marker that differs from those before.
+    /// `wall_clock` is this machine's time.
+    pub fn mark_returned(&mut self, name: &str, wall_clock: SystemTime) {
+        let unix_time = wall_clock
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
-        let marker = u64::try_from(unix.as_millis()).unwrap_or(u64::MAX);
-        let before = self
-            .returned
+        let marker = u64::try_from(unix_time.as_millis()).unwrap_or(u64::MAX);
+        let least_marker = self
+            .returned_from_maintenance
             .get(name)
-            .map_or(0, |before| before.wrapping_add(1));
-        self.returned.insert(name.to_owned(), marker.max(before));
+            .map_or(0, |previous| previous.wrapping_add(1));
+        self.returned_from_maintenance
+            .insert(name.to_owned(), marker.max(least_marker));
     }
 }
 
+/// The state file's content.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct StoredState {
     version: u32,
+    /// Name of the node that the state belongs to.
     node: String,
-    word: OperatorState,
+    #[serde(rename = "word")]
+    state: OperatorState,
 }
 
-/// Why the operators' word can't be read or kept.
+/// Why the operators' state cannot be read or stored.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The system's word.
-    #[error("{0}: {1}")]
-    Io(&'static str, io::Error),
+    /// A file cannot be read or written.
+    #[error("{file}: {source}")]
+    Io {
+        /// Its name.
+        file: &'static str,
+        /// What the system says.
+        source: io::Error,
+    },
     /// Another process holds the lock.
-    #[error("{LOCK} is held")]
-    Held,
-    /// No file of this program's, or not whole.
-    #[error("{KEPT} can't be read: {0}")]
-    Unreadable(#[from] serde_json::Error),
-    /// Another version's or another node's.
-    #[error("{KEPT} is of version {0} and node {1:?}")]
-    Foreign(u32, String),
+    #[error("{LOCK_FILE} is held")]
+    Locked,
+    /// The file is damaged, or not of this program.
+    #[error("{STATE_FILE} can't be read: {0}")]
+    Invalid(#[from] serde_json::Error),
+    /// The file is of another version or another node.
+    #[error("{STATE_FILE} is of version {version} and node {node:?}")]
+    Foreign {
+        /// The file's version.
+        version: u32,
+        /// The file's node.
+        node: String,
+    },
+}
+
+impl StoreError {
+    fn io(file: &'static str) -> impl Fn(io::Error) -> StoreError {
+        move |source| StoreError::Io { file, source }
+    }
 }
 
-/// Tells one state of the file from the next.
-type Stamp = (u64, u64, Option<SystemTime>);
+/// Tells one content of the state file from the next without reading it.
+#[derive(Clone, Copy, PartialEq)]
+struct FileIdentity {
+    inode: u64,
+    bytes: u64,
+    modified: Option<SystemTime>,
+}
 
-/// Keeps the operators' word, in a file if there is a place for one.
+/// Owner of the operators' state, which it keeps in a file if there is a folder for one.
 pub struct OperatorStateStore {
-    place: Option<PathBuf>,
+    folder: Option<PathBuf>,
     node: String,
-    word: RefCell<OperatorState>,
-    seen: Cell<Option<Stamp>>,
-    /// When a change could not be written last, unless one was since.
-    failed: Cell<Option<Instant>>,
-    presence: RefCell<Option<(usize, File)>>,
+    state: RefCell<OperatorState>,
+    /// The file that was read last.
+    last_read: Cell<Option<FileIdentity>>,
+    /// When the latest change was tried, if it could not be written.
+    write_failed_at: Cell<Option<Instant>>,
+    presence: RefCell<Presence>,
 }
 
 impl OperatorStateStore {
-    /// With what the process before has left in `place`; also says what of that is no good.
-    pub fn open(place: Option<PathBuf>, node: &str) -> (Self, Option<StoreError>) {
-        let (word, presence) = (RefCell::default(), RefCell::default());
-        let (seen, failed) = (Cell::new(None), Cell::new(None));
-        let keeper = OperatorStateStore {
-            place,
+    /// Opens the store with what the previous process of the node has left in `folder`, and returns
+    /// the reason why that is unusable, if it is. Without a folder the state ends with the process.
+    ///
+    /// Blocks while reading fails for reasons that may pass, for as long as [`retry_at_start`] does.
+    pub fn open(folder: Option<PathBuf>, node: &str) -> (Self, Option<StoreError>) {
+        let store = OperatorStateStore {
+            folder,
             node: node.to_owned(),
-            word,
-            seen,
-            failed,
-            presence,
+            state: RefCell::default(),
+            last_read: Cell::new(None),
+            write_failed_at: Cell::new(None),
+            presence: RefCell::default(),
         };
-        // What was taken on is owed still, so that a failure that may pass is waited for.
-        let looked = retry_at_start(KEPT, || match keeper.look() {
-            Err(StoreError::Io(_, error)) => Err(error),
-            looked => Ok(looked),
+        let refreshed = retry_at_start(STATE_FILE, || match store.refresh() {
+            Err(StoreError::Io { source, .. }) => Err(source),
+            refreshed => Ok(refreshed),
         });
-        let problem = match looked {
-            Ok(looked) => looked.err(),
-            Err(error) => Some(StoreError::Io(KEPT, error)),
+        let problem = match refreshed {
+            Ok(refreshed) => refreshed.err(),
+            Err(error) => Some(StoreError::io(STATE_FILE)(error)),
         };
-        (keeper, problem)
+        (store, problem)
     }
 
-    /// What holds at present.
-    pub fn word(&self) -> Ref<'_, OperatorState> {
-        self.word.borrow()
+    /// The present state.
+    pub fn state(&self) -> Ref<'_, OperatorState> {
+        self.state.borrow()
     }
 
-    /// Takes in what another process has written since. A file that is no good or gone leaves
-    /// things as they are; one that can't be read for a moment is read at the next look.
-    pub fn look(&self) -> Result<bool, StoreError> {
-        let Some(place) = &self.place else {
+    /// Takes in what another process has written since, and returns whether that changes the state.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the file cannot be used; the state stays as it is then. One that cannot be read
+    /// at the moment is read at the next call, one with invalid content is not.
+    pub fn refresh(&self) -> Result<bool, StoreError> {
+        let Some(folder) = &self.folder else {
             return Ok(false);
         };
-        let found = match fs::metadata(place.join(KEPT)) {
+        let metadata = match fs::metadata(folder.join(STATE_FILE)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(false),
-            found => found.map_err(|error| StoreError::Io(KEPT, error))?,
+            metadata => metadata.map_err(StoreError::io(STATE_FILE))?,
         };
-        let stamp = Some((found.ino(), found.len(), found.modified().ok()));
-        if self.seen.get() == stamp {
+        let identity = Some(FileIdentity {
+            inode: metadata.ino(),
+            bytes: metadata.len(),
+            modified: metadata.modified().ok(),
+        });
+        if self.last_read.get() == identity {
             return Ok(false);
         }
-        let word = read(place, &self.node);
-        if !matches!(word, Err(StoreError::Io(..))) {
-            self.seen.set(stamp);
+        let read = read_state(folder, &self.node);
+        if !matches!(read, Err(StoreError::Io { .. })) {
+            self.last_read.set(identity);
         }
-        let word = word?;
-        let changed = word.as_ref().is_some_and(|w| *w != *self.word.borrow());
-        word.into_iter().for_each(|w| *self.word.borrow_mut() = w);
-        Ok(changed)
+        let Some(state) = read? else {
+            return Ok(false);
+        };
+        let is_changed = state != *self.state.borrow();
+        *self.state.borrow_mut() = state;
+        Ok(is_changed)
     }
 
-    /// Changes it, from what any process has written last, for all of them. Once this succeeds it
-    /// lasts; where it fails nothing has changed, not even what this process goes by.
+    /// Changes the state for all processes of the node, starting from what any of them has written
+    /// last, and returns the result of `change`. The change lasts once this returns.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the change cannot be stored. Nothing has changed then, not even the state of this
+    /// process.
     pub async fn change<T>(
         &self,
         change: impl FnOnce(&mut OperatorState) -> T,
     ) -> Result<T, StoreError> {
-        let Some(place) = &self.place else {
-            return Ok(change(&mut self.word.borrow_mut()));
+        let Some(folder) = &self.folder else {
+            return Ok(change(&mut self.state.borrow_mut()));
         };
-        let _lock = lock(place).await?;
-        let latest = match read(place, &self.node) {
-            Ok(word) => word,
-            // It may hold what another process was told: writing over it would take that back.
-            Err(error @ StoreError::Io(..)) => return Err(error),
-            // What is no good is replaced: it was logged when it was seen first.
+        let _lock = lock(&folder.join(LOCK_FILE))
+            .await
+            .map_err(|error| match error {
+                LockError::Held => StoreError::Locked,
+                LockError::Io(source) => StoreError::io(LOCK_FILE)(source),
+            })?;
+        let latest = match read_state(folder, &self.node) {
+            Ok(latest) => latest,
+            // The file may hold another process's change, which writing would take back.
+            Err(error @ StoreError::Io { .. }) => return Err(error),
+            // Invalid content is replaced: it was logged when it was first read.
             Err(_) => None,
         };
-        let mut word = latest.unwrap_or_else(|| self.word.borrow().clone());
-        let before = word.clone();
-        let said = change(&mut word);
-        if word != before {
-            self.replace(place, &before, &word).await?;
+        let previous = latest.unwrap_or_else(|| self.state.borrow().clone());
+        let mut state = previous.clone();
+        let result = change(&mut state);
+        if state != previous {
+            self.replace(folder, &previous, &state).await?;
         }
-        *self.word.borrow_mut() = word;
-        Ok(said)
+        *self.state.borrow_mut() = state;
+        Ok(result)
     }
 
-    /// Whether a change may be written, or a failed one is too recent. For changes that nobody
-    /// waits for.
+    /// Whether a change may be tried that no operator waits for. It may not shortly after one that
+    /// could not be written.
     pub fn may_write(&self) -> bool {
-        self.failed
+        self.write_failed_at
             .get()
-            .is_none_or(|at| at.elapsed() >= WRITE_AGAIN)
+            .is_none_or(|failed_at| failed_at.elapsed() >= WRITE_RETRY_INTERVAL)
     }
 
-    /// Replaces the file. Syncing may take long, so that it is done beside the loop.
+    /// Replaces the file. Syncing may take long and is done on a thread of its own.
     async fn replace(
         &self,
-        place: &Path,
-        before: &OperatorState,
-        word: &OperatorState,
+        folder: &Path,
+        previous: &OperatorState,
+        state: &OperatorState,
     ) -> Result<(), StoreError> {
-        let text = |word: &OperatorState| {
-            serde_json::to_vec(&StoredState {
-                version: VERSION,
-                node: self.node.clone(),
-                word: word.clone(),
-            })
-        };
-        let (old, new, place) = (text(before)?, text(word)?, place.to_owned());
+        let previous_json = self.to_json(previous)?;
+        let json = self.to_json(state)?;
+        let folder = folder.to_owned();
         let replacing = tokio::task::spawn_blocking(move || {
-            let written = write(&place, &new);
+            let written = write_file(&folder, &json);
             if written.is_err() {
-                // The file may be the new one already, and then not last: a no has to leave what
-                // was there.
-                let _ = write(&place, &old);
+                // The new file may be in place and not yet synced. A change that fails has to leave
+                // what was there before.
+                let _ = write_file(&folder, &previous_json);
             }
             written
         });
         let written = replacing
             .await
             .unwrap_or_else(|panicked| Err(io::Error::other(panicked)));
-        self.failed.set(written.is_err().then(Instant::now));
-        written.map_err(|error| StoreError::Io(KEPT, error))
+        self.write_failed_at
+            .set(written.is_err().then(Instant::now));
+        written.map_err(StoreError::io(STATE_FILE))
     }
 
-    /// Whether another process of this node lives. Holds this one's presence, which ends with the
-    /// process.
-    pub fn accompanied(&self) -> bool {
-        let Some(place) = &self.place else {
-            return false;
-        };
-        let mut presence = self.presence.borrow_mut();
-        let free = |at: &usize| hold(&place.join(PRESENCE[*at])).map(|file| (*at, file));
-        if presence.is_none() {
-            *presence = (0..PRESENCE.len()).find_map(|at| free(&at));
-        }
-        // One that can be held is let go at once.
-        presence.as_ref().is_none_or(|own| {
-            (0..PRESENCE.len())
-                .filter(|at| *at != own.0)
-                .any(|at| free(&at).is_none())
+    fn to_json(&self, state: &OperatorState) -> Result<Vec<u8>, serde_json::Error> {
+        serde_json::to_vec(&StoredState {
+            version: FORMAT_VERSION,
+            node: self.node.clone(),
+            state: state.clone(),
         })
     }
-}
-
-/// Locks a file that this process is to hold. None: it can't be had.
-fn hold(path: &Path) -> Option<File> {
-    let file = File::options()
-        .create(true)
-        .truncate(false)
-        .write(true)
-        .open(path)
-        .ok()?;
-    file.try_lock().ok().map(|()| file)
-}
 
-async fn lock(place: &Path) -> Result<File, StoreError> {
-    let failed = |error| StoreError::Io(LOCK, error);
-    let file = File::options()
-        .create(true)
-        .truncate(false)
-        .write(true)
-        .open(place.join(LOCK));
-    let file = file.map_err(failed)?;
-    for _ in 0..LOCK_TRIES {
-        match file.try_lock() {
-            Ok(()) => return Ok(file),
-            Err(TryLockError::Error(error)) => return Err(failed(error)),
-            Err(TryLockError::WouldBlock) => tokio::time::sleep(LOCK_AGAIN).await,
-        }
+    /// Whether another process of this node runs. Shows this process to the other for as long as it
+    /// runs.
+    pub fn peer_process_running(&self) -> bool {
+        self.folder
+            .as_ref()
+            .is_some_and(|folder| self.presence.borrow_mut().peer_process_running(folder))
     }
-    Err(StoreError::Held)
 }
 
-/// What the file says, if there is one.
-fn read(place: &Path, node: &str) -> Result<Option<OperatorState>, StoreError> {
-    let failed = |error| StoreError::Io(KEPT, error);
-    let file = match File::open(place.join(KEPT)) {
+/// Reads the state file, if there is one.
+fn read_state(folder: &Path, node: &str) -> Result<Option<OperatorState>, StoreError> {
+    let file = match File::open(folder.join(STATE_FILE)) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-        file => file.map_err(failed)?,
+        file => file.map_err(StoreError::io(STATE_FILE))?,
     };
-    let mut text = Vec::new();
-    file.take(MOST_KEPT)
-        .read_to_end(&mut text)
-        .map_err(failed)?;
-    let kept: StoredState = serde_json::from_slice(&text)?;
-    if kept.version == VERSION && kept.node == node {
-        Ok(Some(kept.word))
+    let mut json = Vec::new();
+    file.take(MAX_STATE_BYTES)
+        .read_to_end(&mut json)
+        .map_err(StoreError::io(STATE_FILE))?;
+    let stored: StoredState = serde_json::from_slice(&json)?;
+    if stored.version == FORMAT_VERSION && stored.node == node {
+        Ok(Some(stored.state))
     } else {
-        Err(StoreError::Foreign(kept.version, kept.node))
+        Err(StoreError::Foreign {
+            version: stored.version,
+            node: stored.node,
+        })
     }
 }
 
-/// Replaces the file at one blow, so that nobody reads half of it, and for good: a machine that
-/// goes down right after has the new one.
-fn write(place: &Path, text: &[u8]) -> io::Result<()> {
-    let mut next = File::create(place.join(NEXT))?;
-    next.write_all(text)?;
-    next.sync_all()?;
-    drop(next);
-    fs::rename(place.join(NEXT), place.join(KEPT))?;
-    File::open(place)?.sync_all()
+/// Replaces the state file atomically, so that nobody reads half of it, and durably.
+fn write_file(folder: &Path, json: &[u8]) -> io::Result<()> {
+    let mut file = File::create(folder.join(NEW_STATE_FILE))?;
+    file.write_all(json)?;
+    file.sync_all()?;
+    drop(file);
+    fs::rename(folder.join(NEW_STATE_FILE), folder.join(STATE_FILE))?;
+    File::open(folder)?.sync_all()
 }
 
 #[cfg(test)]
--- a/crates/proxy/src/operator_state/store_tests.rs
+++ b/crates/proxy/src/operator_state/store_tests.rs
@@ -1,7 +1,7 @@
+use super::super::file_lock::try_lock;
 use super::*;
-use std::os::fd::{AsRawFd, IntoRawFd};
 
-/// An empty folder of a test's own.
+/// An empty folder for one test.
 struct TestFolder(PathBuf);
 
 impl std::ops::Deref for TestFolder {
@@ -17,127 +17,134 @@
     }
 }
 
-fn place(name: &str) -> TestFolder {
-    let place = std::env::temp_dir().join(format!("balancer-proxy-{}-{name}", std::process::id()));
-    fs::create_dir_all(&place).expect("a folder");
-    TestFolder(place)
+fn test_folder(name: &str) -> TestFolder {
+    let path = std::env::temp_dir().join(format!("balancer-proxy-{}-{name}", std::process::id()));
+    fs::create_dir_all(&path).expect("a folder");
+    TestFolder(path)
 }
 
-fn open(place: &Path) -> OperatorStateStore {
-    let (keeper, problem) = OperatorStateStore::open(Some(place.to_owned()), "n");
+fn open(folder: &Path) -> OperatorStateStore {
+    let (store, problem) = OperatorStateStore::open(Some(folder.to_owned()), "n");
     assert!(problem.is_none(), "{problem:?}");
-    keeper
+    store
 }
 
 #[tokio::test]
-async fn a_word_binds_the_process_beside_and_the_one_after() {
-    let place = place("word");
-    let (old, new) = (open(&place), open(&place));
-    old.change(|w| w.out.insert("a".into()))
+async fn change_is_seen_by_the_peer_process_and_the_next_one() {
+    let folder = test_folder("peer");
+    let (old, new) = (open(&folder), open(&folder));
+    old.change(|state| state.in_maintenance.insert("a".into()))
         .await
         .expect("a change");
-    assert!(new.look().expect("a look"));
-    assert!(!new.look().expect("a look"), "nothing has changed since");
-    // The other has not looked since: what it changes builds on what was written all the same.
-    new.change(|w| w.draining = true).await.expect("a change");
-    old.change(|w| w.out.insert("b".into()))
+    assert!(new.refresh().expect("a refresh"));
+    assert!(
+        !new.refresh().expect("a refresh"),
+        "nothing has changed since"
+    );
+    // The other process has not read the file since: its change builds on it all the same.
+    new.change(|state| state.draining = true)
+        .await
+        .expect("a change");
+    old.change(|state| state.in_maintenance.insert("b".into()))
         .await
         .expect("a change");
-    let third = open(&place);
-    assert!(third.word().draining);
-    assert_eq!(third.word().out.iter().collect::<Vec<_>>(), ["a", "b"]);
-    assert!(!place.join(NEXT).exists());
+    let third = open(&folder);
+    assert!(third.state().draining);
+    assert_eq!(
+        third.state().in_maintenance.iter().collect::<Vec<_>>(),
+        ["a", "b"]
+    );
+    assert!(!folder.join(NEW_STATE_FILE).exists());
 }
 
 #[tokio::test]
-async fn a_file_that_is_no_good_is_empty_and_is_replaced() {
-    let place = place("spoilt");
-    let whole = r#"{"version":1,"node":"n","word":{"draining":true,"out":["a"],"returned":{}}}"#;
-    let spoilt = [
+async fn unusable_file_counts_as_empty_and_is_replaced() {
+    let folder = test_folder("unusable");
+    let valid = r#"{"version":1,"node":"n","word":{"draining":true,"out":["a"],"returned":{}}}"#;
+    let unusable = [
         "",
-        &whole[..30],
+        &valid[..30],
         "[]",
-        &whole.replace("\"version\":1", "\"version\":2"),
-        &whole.replace("\"n\"", "\"m\""),
-        &whole.replace("true", "1"),
-        &whole.replace("\"out\"", "\"in\""),
+        &valid.replace("\"version\":1", "\"version\":2"),
+        &valid.replace("\"n\"", "\"m\""),
+        &valid.replace("true", "1"),
+        &valid.replace("\"out\"", "\"in\""),
     ];
-    for text in spoilt {
-        fs::write(place.join(KEPT), text).expect("a file");
-        let (keeper, problem) = OperatorStateStore::open(Some(place.to_owned()), "n");
+    for text in unusable {
+        fs::write(folder.join(STATE_FILE), text).expect("a file");
+        let (store, problem) = OperatorStateStore::open(Some(folder.to_owned()), "n");
         assert!(problem.is_some(), "{text}");
-        assert_eq!(*keeper.word(), OperatorState::default(), "{text}");
-        keeper
-            .change(|w| w.out.insert("b".into()))
+        assert_eq!(*store.state(), OperatorState::default(), "{text}");
+        store
+            .change(|state| state.in_maintenance.insert("b".into()))
             .await
             .expect("a change");
-        assert_eq!(open(&place).word().out.iter().collect::<Vec<_>>(), ["b"]);
+        assert_eq!(
+            open(&folder)
+                .state()
+                .in_maintenance
+                .iter()
+                .collect::<Vec<_>>(),
+            ["b"]
+        );
     }
-    fs::write(place.join(KEPT), whole).expect("a file");
-    assert!(open(&place).word().draining);
+    fs::write(folder.join(STATE_FILE), valid).expect("a file");
+    assert!(open(&folder).state().draining);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lock_that_is_never_let_go_is_no_hang() {
-    let place = place("lock");
-    let keeper = open(&place);
-    let _held = hold(&place.join(LOCK)).expect("the lock");
+async fn lock_that_is_never_released_ends_the_change() {
+    let folder = test_folder("lock");
+    let store = open(&folder);
+    let _lock = try_lock(&folder.join(LOCK_FILE)).expect("the lock");
     assert!(matches!(
-        keeper.change(|w| w.draining = true).await,
-        Err(StoreError::Held)
+        store.change(|state| state.draining = true).await,
+        Err(StoreError::Locked)
     ));
-    assert!(!keeper.word().draining);
+    assert!(!store.state().draining);
 }
 
 #[test]
-fn processes_see_each_other_while_they_live() {
-    let place = place("presence");
-    let old = open(&place);
-    assert!(!old.accompanied());
-    let new = open(&place);
-    assert!(new.accompanied() && old.accompanied());
-    let third = open(&place);
-    assert!(third.accompanied());
+fn processes_see_each_other_while_they_run() {
+    let folder = test_folder("presence");
+    let old = open(&folder);
+    assert!(!old.peer_process_running());
+    let new = open(&folder);
+    assert!(new.peer_process_running() && old.peer_process_running());
+    let third = open(&folder);
+    assert!(third.peer_process_running());
     drop(old);
-    assert!(third.accompanied() && new.accompanied());
+    assert!(third.peer_process_running() && new.peer_process_running());
     drop(third);
-    assert!(!new.accompanied());
+    assert!(!new.peer_process_running());
 }
 
-#[test]
-fn only_the_listener_that_was_meant_is_adopted() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let number = |fd: RawFd| fd.to_string();
-    let elsewhere = SocketAddr::new(address.ip(), address.port() ^ 1);
-    let (kept, other) = (
-        number(listener.as_raw_fd()),
-        listener.try_clone().expect("a copy"),
-    );
-    assert!(matches!(
-        adopt(&kept, elsewhere),
-        Err(AdoptError::Elsewhere(..))
-    ));
-    let client = std::net::TcpStream::connect(address).expect("a connection: it is open still");
-    assert!(matches!(
-        adopt(&number(client.as_raw_fd()), address),
-        Err(AdoptError::Deaf(_))
-    ));
-    let file = File::open("/dev/null").expect("a file");
-    assert!(matches!(
-        adopt(&number(file.as_raw_fd()), address),
-        Err(AdoptError::NoSocket(..))
-    ));
-    assert!(matches!(
-        adopt("1000000", address),
-        Err(AdoptError::NoSocket(..))
-    ));
-    for senseless in ["", "x", "-1", "0", "2", "99999999999"] {
-        assert!(
-            matches!(adopt(senseless, address), Err(AdoptError::Number(_))),
-            "{senseless}"
-        );
+/// As a version of the program has written it that an upgrade may find beside this one.
+const STORED_BY_AN_OLDER_VERSION: &str = r#"{"version":1,"node":"n","word":{"draining":true,"out":["a","c"],"returned":{"b":1796285865475}}}"#;
+
+fn state_of_the_older_version() -> OperatorState {
+    OperatorState {
+        draining: true,
+        in_maintenance: ["a", "c"].map(String::from).into(),
+        returned_from_maintenance: [("b".to_owned(), 1_796_285_865_475)].into(),
     }
-    let adopted = adopt(&number(other.into_raw_fd()), address).expect("the listener");
-    assert_eq!(adopted.local_addr().expect("an address"), address);
+}
+
+#[test]
+fn file_of_an_older_version_is_read() {
+    let folder = test_folder("older-version-read");
+    fs::write(folder.join("birchswitch.json"), STORED_BY_AN_OLDER_VERSION).expect("a file");
+    assert_eq!(*open(&folder).state(), state_of_the_older_version());
+}
+
+#[tokio::test]
+async fn file_is_written_byte_for_byte_as_by_an_older_version() {
+    let folder = test_folder("older-version-written");
+    open(&folder)
+        .change(|state| *state = state_of_the_older_version())
+        .await
+        .expect("a change");
+    let written = fs::read_to_string(folder.join("birchswitch.json")).expect("a file");
+    assert_eq!(written, STORED_BY_AN_OLDER_VERSION);
+    assert!(folder.join("birchswitch.lock").exists());
 }
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -431,7 +431,7 @@
     pub fn apply_operator_state(&self, now: Time, word: &OperatorState) -> Vec<Endpoint> {
         *self.word.borrow_mut() = word.clone();
         let mut starts = self.starts.borrow_mut();
-        starts.observe_returned(now, word.returned.iter());
+        starts.observe_returned(now, word.returned_from_maintenance.iter());
         let mut changed = Vec::new();
         for server in self.by_id.borrow().values() {
             let (before, since) = (server.state.get(), server.started.get());
@@ -465,7 +465,7 @@
 
     /// How many backends are left out.
     pub fn left_out(&self) -> usize {
-        self.word.borrow().out.len()
+        self.word.borrow().in_maintenance.len()
     }
 
     // ---- connections ----
@@ -867,7 +867,7 @@
 /// A server's state by a list, under what operators have said of it.
 fn state(word: &OperatorState, name: &str, listed: EndpointState) -> EndpointState {
     match listed {
-        EndpointState::Active if word.out.contains(name) => EndpointState::Draining,
+        EndpointState::Active if word.in_maintenance.contains(name) => EndpointState::Draining,
         listed => listed,
     }
 }
