--- a/crates/proxy/src/discovery/state.rs
+++ b/crates/proxy/src/discovery/state.rs
@@ -1,6 +1,6 @@
 //! What discovery calls share: where the endpoint list is, what is known of it, and who is told.
 
-use super::client::EndpointList;
+use super::wire::EndpointList;
 use crate::event_log::EventLog;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::fmt;
@@ -151,7 +151,7 @@
     /// Takes a list that discovery has sent from `source`, and hands it on.
     pub fn publish(&self, list: &EndpointList, source: SocketAddr) {
         self.lists_received.set(self.lists_received.get() + 1);
-        if list.complete && source == self.address.get() {
+        if list.is_snapshot && source == self.address.get() {
             self.needs_snapshot.set(false);
             abort(self.superseded_watch.take());
         }
