--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -5,7 +5,7 @@
 //! that actions bring about at once.
 
 use crate::clock::Clock;
-use crate::discovery::client::EndpointList;
+use crate::discovery::wire::EndpointList;
 use crate::event_log::EventLog;
 use crate::http1::download::StreamOutcome;
 use crate::http1::upload::RequestBody;
@@ -246,7 +246,7 @@
 
     /// Takes in an endpoint list, or a change to it, that discovery has sent.
     pub fn list(&self, list: &EndpointList) {
-        let kind = if list.complete {
+        let kind = if list.is_snapshot {
             ListUpdate::Snapshot
         } else {
             ListUpdate::Delta
