--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -8,8 +8,8 @@
 use crate::discovery::watch_loop::EndpointWatcher;
 use crate::downstream::listener::{Listener, ShutdownPhase};
 use crate::event_log::EventLog;
+use crate::listener_inheritance::inherit_listener;
 use crate::metrics::Metrics;
-use crate::operator_state::store;
 use crate::operator_state::store::OperatorStateStore;
 use crate::requests::dispatcher::Dispatcher;
 use crate::transient_errors::retry_at_start;
@@ -114,7 +114,7 @@
             .max(1);
         (clients, sockets - clients)
     };
-    let mut accompanied = keeper.accompanied();
+    let mut accompanied = keeper.peer_process_running();
     let (clients, connections) = plan(accompanied);
     let limits = PoolLimits {
         max_connections: connections,
@@ -190,7 +190,7 @@
     };
     let inherited = config.inherited.is_some();
     let listener = match &config.inherited {
-        Some(number) => TcpListener::from_std(store::adopt(number, config.listen)?)?,
+        Some(number) => TcpListener::from_std(inherit_listener(number, config.listen)?)?,
         None => bound(config.listen)?,
     };
     let listening_since = tokio::time::Instant::now();
@@ -241,7 +241,7 @@
             loop {
                 every.tick().await;
                 console.look().await;
-                let now = keeper.accompanied();
+                let now = keeper.peer_process_running();
                 if std::mem::replace(&mut accompanied, now) != now {
                     let (clients, upstream) = plan(now);
                     frontend.resize(clients);
@@ -263,7 +263,7 @@
             tokio::time::sleep(UNREADY).await;
         }
         // While this process has no list, the one beside it can serve what comes.
-        while inherited && !ready.ready() && beside.accompanied() {
+        while inherited && !ready.ready() && beside.peer_process_running() {
             tokio::time::sleep(UNREADY).await;
         }
         serving.serve(listener).await;
@@ -272,7 +272,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    let handing_over = inherited && keeper.accompanied();
+    let handing_over = inherited && keeper.peer_process_running();
     engine.log(format_args!("leaving handing_over={handing_over}"));
     phase.send_replace(if handing_over {
         ShutdownPhase::HandingOver
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -5,13 +5,14 @@
 //! that actions bring about at once.
 
 use crate::clock::Clock;
-use crate::discovery::client::EndpointList;
+use crate::discovery::wire::EndpointList;
 use crate::event_log::EventLog;
-use crate::http1::head_filter;
-use crate::http1::streaming::{RequestBody, StreamOutcome};
+use crate::http1::download::StreamOutcome;
+use crate::http1::upload::RequestBody;
 use crate::metrics::Metrics;
 use crate::operator_state::store::OperatorState;
 use crate::send_invariants::{self, BackendIdentity, Execution, Invariant, PriorAttempt};
+use crate::socket::is_closed_by_peer;
 use crate::upstream::backend::Backend;
 use crate::upstream::backend_registry::{BackendRegistry, ListSource};
 use crate::upstream::exchange::{AttemptTerms, SendProgress, UpstreamClient};
@@ -98,7 +99,7 @@
 fn left(client: &Weak<TcpStream>) -> bool {
     client
         .upgrade()
-        .is_none_or(|socket| head_filter::left(&socket))
+        .is_none_or(|socket| is_closed_by_peer(&socket))
 }
 
 struct Attempt {
@@ -249,7 +250,7 @@
 
     /// Takes in an endpoint list, or a change to it, that discovery has sent.
     pub fn list(&self, list: &EndpointList) {
-        let kind = if list.complete {
+        let kind = if list.is_snapshot {
             ListUpdate::Snapshot
         } else {
             ListUpdate::Delta
@@ -463,7 +464,7 @@
         let begun = self.attempt_begun(request, attempt, response);
         let ended = if begun { body_end.await.ok() } else { None };
         match ended {
-            Some(StreamOutcome::Whole) => return,
+            Some(StreamOutcome::Complete) => return,
             Some(StreamOutcome::Broken(problem)) => {
                 exchange.outcome = AttemptOutcome::ConnectionReset;
                 exchange.error = Some(ExchangeError::ResponseBody(problem));
@@ -675,10 +676,8 @@
 
     /// The counters since they were last written, and what the balancer goes by.
     pub fn log_stats(&self) {
-        for (why, count) in self.stats.take_rejected_messages() {
-            self.log(format_args!(
-                "rejected_messages count={count} reason=\"{why}\""
-            ));
+        for (reason, count) in self.stats.take_rejected_messages() {
+            self.log(format_args!("rejected count={count} reason=\"{reason}\""));
         }
         let Some((c, time)) = self.stats.take() else {
             return;
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -2,7 +2,7 @@
 
 use super::backend::{Backend, Placement};
 use super::pool::ConnectionPool;
-use crate::discovery::client::{EndpointList, EndpointPhase, ListedEndpoint};
+use crate::discovery::wire::{EndpointList, EndpointPhase, ListedEndpoint};
 use crate::operator_state::store::OperatorState;
 use crate::start_times::StartTimes;
 use balancer::{BackendId, CellId, Endpoint, EndpointState, MachineTypeId, Time, ZoneId};
@@ -71,13 +71,13 @@
     pub fn has_warmed_up(&self, now: Time, name: &str, slow_start: Duration) -> bool {
         self.start_times
             .borrow()
-            .returned(name)
+            .returned_at(name)
             .is_some_and(|returned_at| now - returned_at >= slow_start)
     }
 
     /// Number of backends in maintenance, listed or not.
     pub fn in_maintenance(&self) -> usize {
-        self.operator_state.borrow().out.len()
+        self.operator_state.borrow().in_maintenance.len()
     }
 
     /// Updates the backends by an endpoint list, and returns its entries for the balancer.
@@ -90,22 +90,23 @@
         let wall_clock = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        self.start_times
-            .borrow_mut()
-            .hear(now, list.members.iter().map(ListedEndpoint::stamp));
-        if list.complete {
+        self.start_times.borrow_mut().observe_timestamps(
+            now,
+            list.endpoints.iter().map(ListedEndpoint::start_timestamp),
+        );
+        if list.is_snapshot {
             self.remove_unlisted(list);
         }
         let endpoints = list
-            .members
+            .endpoints
             .iter()
-            .filter_map(|member| self.apply_member(now, wall_clock, member))
+            .filter_map(|listed| self.apply_listed(now, wall_clock, listed))
             .collect();
         if source == ListSource::Discovery {
             let by_name = self.by_name.borrow();
             self.start_times
                 .borrow_mut()
-                .followed(by_name.len(), |name| by_name.contains_key(name));
+                .list_applied(by_name.len(), |name| by_name.contains_key(name));
         }
         endpoints
     }
@@ -115,13 +116,13 @@
     pub fn apply_operator_state(&self, now: Time, operator_state: &OperatorState) -> Vec<Endpoint> {
         *self.operator_state.borrow_mut() = operator_state.clone();
         let mut start_times = self.start_times.borrow_mut();
-        start_times.hear_returned(now, operator_state.returned.iter());
+        start_times.observe_returned(now, operator_state.returned_from_maintenance.iter());
         let mut changed = Vec::new();
         for backend in self.by_id.borrow().values() {
             let state = effective_state(operator_state, backend.name(), backend.listed_state());
             let started_at = backend
                 .started_at()
-                .max(start_times.returned(backend.name()));
+                .max(start_times.returned_at(backend.name()));
             if (state, started_at) == (backend.state(), backend.started_at()) {
                 continue;
             }
@@ -135,7 +136,11 @@
     }
 
     fn remove_unlisted(&self, list: &EndpointList) {
-        let listed: FxHashSet<&str> = list.members.iter().map(|m| m.id.as_str()).collect();
+        let listed: FxHashSet<&str> = list
+            .endpoints
+            .iter()
+            .map(|listed| listed.name.as_str())
+            .collect();
         self.by_name.borrow_mut().retain(|name, backend| {
             let is_listed = listed.contains(name.as_str());
             if !is_listed {
@@ -148,68 +153,70 @@
     }
 
     /// Updates the backend of one entry. Returns `None` for a removed backend that was not known.
-    fn apply_member(
+    fn apply_listed(
         &self,
         now: Time,
         wall_clock: Duration,
-        member: &ListedEndpoint,
+        listed: &ListedEndpoint,
     ) -> Option<Endpoint> {
-        let listed_state = match member.phase {
+        let listed_state = match listed.phase {
             EndpointPhase::Active => EndpointState::Active,
-            EndpointPhase::Leaving => EndpointState::Draining,
-            EndpointPhase::Left => EndpointState::Removed,
+            EndpointPhase::Draining => EndpointState::Draining,
+            EndpointPhase::Removed => EndpointState::Removed,
         };
-        let started_at =
-            self.start_times
-                .borrow_mut()
-                .started(now, wall_clock, &member.id, member.stamp());
-        let state = effective_state(&self.operator_state.borrow(), &member.id, listed_state);
-        let backend = self.find_or_insert(member, state, started_at)?;
+        let started_at = self.start_times.borrow_mut().start_of(
+            now,
+            wall_clock,
+            &listed.name,
+            listed.start_timestamp(),
+        );
+        let state = effective_state(&self.operator_state.borrow(), &listed.name, listed_state);
+        let backend = self.find_or_insert(listed, state, started_at)?;
         backend.set_listed_state(listed_state);
         backend.set_state(state);
-        backend.set_weight(member.size);
+        backend.set_weight(listed.weight);
         if state == EndpointState::Removed {
             self.pool.abandon_connections(&backend);
-            self.by_name.borrow_mut().remove(&member.id);
+            self.by_name.borrow_mut().remove(&listed.name);
             self.by_id.borrow_mut().remove(&backend.id());
         } else {
-            self.update_process(&backend, member, started_at);
+            self.update_process(&backend, listed, started_at);
         }
         Some(backend.endpoint())
     }
 
     fn find_or_insert(
         &self,
-        member: &ListedEndpoint,
+        listed: &ListedEndpoint,
         state: EndpointState,
         started_at: Option<Time>,
     ) -> Option<Rc<Backend>> {
-        if let Some(backend) = self.by_name.borrow().get(&member.id) {
+        if let Some(backend) = self.by_name.borrow().get(&listed.name) {
             return Some(backend.clone());
         }
-        let address = member.host_port?;
+        let address = listed.address?;
         if state == EndpointState::Removed {
             return None;
         }
         let id = BackendId(self.next_id.get());
         self.next_id.set(id.0.wrapping_add(1));
-        let backend = Rc::new(Backend::new(id, member.id.clone(), address, started_at));
+        let backend = Rc::new(Backend::new(id, listed.name.clone(), address, started_at));
         self.by_name
             .borrow_mut()
-            .insert(member.id.clone(), backend.clone());
+            .insert(listed.name.clone(), backend.clone());
         self.by_id.borrow_mut().insert(id, backend.clone());
         Some(backend)
     }
 
     /// Updates where a listed backend runs and since when.
-    fn update_process(&self, backend: &Backend, member: &ListedEndpoint, started_at: Option<Time>) {
+    fn update_process(&self, backend: &Backend, listed: &ListedEndpoint, started_at: Option<Time>) {
         backend.set_placement(Placement {
-            zone: ZoneId(position(&self.names.zones, &member.locality)),
-            machine_type: MachineTypeId(position(&self.names.machine_types, &member.flavor)),
-            cell: CellId(member.cell),
+            zone: ZoneId(position(&self.names.zones, &listed.zone)),
+            machine_type: MachineTypeId(position(&self.names.machine_types, &listed.machine_type)),
+            cell: CellId(listed.cell),
         });
-        let has_moved = member
-            .host_port
+        let has_moved = listed
+            .address
             .is_some_and(|address| backend.replace_address(address));
         let has_restarted = backend.replace_started_at(started_at);
         // Connections to an earlier process are dead, even where no close has arrived. Those to a
@@ -227,7 +234,9 @@
     listed_state: EndpointState,
 ) -> EndpointState {
     match listed_state {
-        EndpointState::Active if operator_state.out.contains(name) => EndpointState::Draining,
+        EndpointState::Active if operator_state.in_maintenance.contains(name) => {
+            EndpointState::Draining
+        }
         _ => listed_state,
     }
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,9 +1,12 @@
 //! One HTTP/1.1 connection to a backend.
 
 use super::backend::ConnectionGeneration;
-use crate::http1::head_filter::{self, Expected, Head, HeadFilter, MessagePolicy, Problem};
-use crate::http1::streaming::RequestBodyStream;
+use crate::http1::error::MessageError;
+use crate::http1::framing::{parse_response_head, Expected, Head};
+use crate::http1::head_filter::{HeadFilter, MessagePolicy};
+use crate::http1::upload::RequestBodyStream;
 use crate::send_invariants::Invariant;
+use crate::socket::is_open_and_drained;
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper::{Request, Response};
@@ -105,7 +108,7 @@
             && self
                 .socket
                 .upgrade()
-                .is_some_and(|socket| head_filter::quiet(&socket))
+                .is_some_and(|socket| is_open_and_drained(&socket))
     }
 
     /// Waits for the connection to become ready for the next request. Returns `false` if it does not.
@@ -163,17 +166,17 @@
 }
 
 impl MessagePolicy for ResponsePolicy {
-    const BETWEEN: Expected = Expected::Nothing;
+    const BETWEEN_MESSAGES: Expected = Expected::Nothing;
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        head_filter::answer_head(bytes)
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, MessageError> {
+        parse_response_head(bytes)
     }
 
-    fn reject(&self, problem: Problem) -> io::Result<&'static [u8]> {
-        Err(io::Error::new(io::ErrorKind::InvalidData, problem.1))
+    fn reject(&self, error: MessageError) -> io::Result<&'static [u8]> {
+        Err(io::Error::new(io::ErrorKind::InvalidData, error))
     }
 
-    fn more(&self) {
+    fn bytes_follow_message(&self) {
         self.flags.has_surplus_bytes.set(true);
     }
 
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -5,10 +5,10 @@
 use super::load_report_header::LoadReportReader;
 use super::pool::ConnectionPool;
 use super::response::{Exchange, ExchangeResponse, ResponseBody};
-use crate::http1::head_filter::HELD_BODY;
-use crate::http1::streaming::{
-    buffer_body, RequestBody, RequestBodyStream, StreamingResponse, Upload,
-};
+use crate::http1::body::{buffer_body, BufferedPart};
+use crate::http1::download::StreamingResponse;
+use crate::http1::limits::MAX_BUFFERED_BODY_BYTES;
+use crate::http1::upload::{RequestBody, RequestBodyStream, Upload};
 use crate::metrics::Metrics;
 use crate::send_invariants::{self, AttemptFacts, Invariant};
 use balancer::{AttemptOutcome, LoadReport};
@@ -100,7 +100,7 @@
     ) -> Exchange {
         let (head, body) = request.into_parts();
         // Part of the body is gone: it can't be sent again.
-        let Some(stream) = body.sending() else {
+        let Some(stream) = body.new_stream() else {
             return Exchange::failed(AttemptOutcome::NotSent);
         };
         let request = Request::from_parts(head, stream);
@@ -309,12 +309,10 @@
     match exchange.outcome {
         // Without its last byte the request was not executed; and a fault of the client's body says
         // nothing of the backend.
-        AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
-            if upload.problem().is_some() =>
-        {
+        AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut if upload.error().is_some() => {
             Exchange::failed(AttemptOutcome::NotSent)
         }
-        AttemptOutcome::ConnectionReset if !upload.whole() => Exchange {
+        AttemptOutcome::ConnectionReset if !upload.is_complete() => Exchange {
             outcome: AttemptOutcome::ConnectFailed,
             ..exchange
         },
@@ -332,25 +330,24 @@
 async fn receive_body(mut body: Incoming, is_success: bool) -> Result<ReceivedBody, hyper::Error> {
     let length = body.size_hint().exact();
     let mut buffered = BytesMut::new();
-    let is_complete = match length {
-        Some(length) if length > HELD_BODY as u64 => false,
+    let part = match length {
+        Some(length) if length > MAX_BUFFERED_BODY_BYTES as u64 => BufferedPart::Incomplete,
         // A trickle of unknown length could be buffered for as long as it lasts.
         None if is_success => {
             let buffering = buffer_body(&mut buffered, &mut body);
             timeout(BUFFERING_TIMEOUT, buffering)
                 .await
-                .unwrap_or(Ok(false))?
+                .unwrap_or(Ok(BufferedPart::Incomplete))?
         }
         _ => buffer_body(&mut buffered, &mut body).await?,
     };
     let buffered = buffered.freeze();
-    Ok(if is_complete {
-        ReceivedBody::Complete(buffered)
-    } else {
-        ReceivedBody::Partial {
+    Ok(match part {
+        BufferedPart::Complete => ReceivedBody::Complete(buffered),
+        BufferedPart::Incomplete => ReceivedBody::Partial {
             buffered,
             rest: body,
-        }
+        },
     })
 }
 
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -106,13 +106,13 @@
 
     /// Number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
-        self.permits.taken()
+        self.permits.in_use()
     }
 
     /// Changes the limit on connections. Idle ones beyond it are closed at once, others when they
     /// end.
     pub fn resize(&self, max_connections: usize) {
-        let excess = self.permits.taken().saturating_sub(max_connections);
+        let excess = self.permits.in_use().saturating_sub(max_connections);
         self.permits.resize(max_connections);
         for _ in 0..excess {
             self.close_longest_idle();
@@ -210,14 +210,14 @@
 
     /// A permit for one more connection; closes the longest idle one if need be.
     async fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
-        if let Some(permit) = self.permits.take() {
+        if let Some(permit) = self.permits.try_acquire() {
             return Some(permit);
         }
         self.close_longest_idle();
         // The closed connection's driver is dropped, and its permit with it, when the runtime polls
         // it next.
         tokio::task::yield_now().await;
-        self.permits.take()
+        self.permits.try_acquire()
     }
 
     fn close_longest_idle(&self) {
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -1,7 +1,7 @@
 //! What an exchange with a backend comes to.
 
 use super::connection::{Connection, SendError};
-use crate::http1::streaming::{StreamOutcome, StreamingResponse};
+use crate::http1::download::{StreamOutcome, StreamingResponse};
 use balancer::{AttemptOutcome, LoadReport};
 use bytes::Bytes;
 use hyper::Response;
