--- /dev/null
+++ b/crates/proxy/tests/common/settings.rs
@@ -0,0 +1,31 @@
+//! Settings and endpoint list entries in the protocol's form.
+
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+
+/// A server as discovery describes it.
+pub fn endpoint(id: &str, address: SocketAddr, phase: &str) -> Value {
+    json!({"id": id, "host_port": address.to_string(), "locality": "here", "flavor": "std", "cell": 1,
+           "phase": phase, "size": 1.0, "up_since_ms": 0})
+}
+
+/// Settings with a class of each kind: `safe`, `keyed` and `unsafe`.
+pub fn settings() -> Value {
+    let class = |name, effect| {
+        json!({"name": name, "effect": effect, "promise_ns": 20_000_000_000u64, "importance": 1.0,
+               "deadline_ns": 20_000_000_000u64, "key_scope": "cell", "repeat_window_ns": 10_000_000_000u64})
+    };
+    json!({
+        "balancers": 1, "zone": 0, "zones": ["here"], "kinds": ["std"], "registry_mode": "automatic",
+        "profiles": [class("safe", "free"), class("keyed", "guarded"), class("unsafe", "single_shot")],
+        "tenants": [{"name": "one", "quota_per_s": 1000.0, "share": 1.0}],
+        "limits": {"try_limit": 3, "conn_idle_ns": 300_000_000_000u64, "connect_timeout_ns": 5_000_000_000u64,
+                   "may_cancel": true, "may_probe": true, "retry_after": true, "max_retry_after_ns": 1_500_000_000u64},
+        "report": {"how": "silent"},
+        "rules": {"cold_from": 0.5, "drain_grace_ns": 1_000_000_000u64, "fall_multiple": 3.0,
+                  "overload_for_ns": 1_000_000_000u64, "warm_up_ns": 1_000_000_000u64}
+    })
+}
+
+/// What nodes are told that they may use: it holds 128 clients with large bodies.
+pub const MEMORY_MB: u64 = 64;
--- /dev/null
+++ b/crates/proxy/tests/configuration_reload.rs
@@ -0,0 +1,228 @@
+//! A configuration that is replaced under a running process.
+
+mod common;
+use common::*;
+use serde_json::json;
+
+const SNAPSHOT_REQUEST: &str = "GET /registry/instances HTTP/1.1";
+
+/// Answers the request for a whole list and takes in the watch that follows it.
+async fn take_over(
+    discovery: &ScriptedServer,
+    revision: u64,
+    members: &[serde_json::Value],
+) -> WatchStream {
+    let (mut wire, request) = discovery.accept_request().await;
+    assert_eq!(request.start, SNAPSHOT_REQUEST);
+    let list = json!({"revision": revision, "complete": true, "members": members});
+    wire.respond("200 OK", "", &list.to_string()).await;
+    let (watch, request) = discovery.accept_watch().await;
+    assert_eq!(
+        request,
+        format!("GET /registry/instances?follow=1&since={revision} HTTP/1.1")
+    );
+    watch
+}
+
+/// SIGHUP must not end the proxy; the file's discovery prevails over the variable of the start from
+/// then on. The old watch goes once the new address has told its list. Versions of the two lists
+/// have nothing to do with each other: with the one held a watch at the new address would bring
+/// changes to a list that the proxy doesn't have.
+#[tokio::test]
+async fn new_discovery_address_is_watched_from_its_snapshot() {
+    let (kept, gone, new) = (
+        ScriptedServer::new().await,
+        ScriptedServer::new().await,
+        ScriptedServer::new().await,
+    );
+    let (first, second, third) = (
+        ScriptedServer::new().await,
+        ScriptedServer::new().await,
+        ScriptedServer::new().await,
+    );
+    let mut proxy = ProxyBuilder::new(unique_address())
+        .without("name")
+        .without("limits")
+        .variable("GW_DISCOVERY", &first.address().to_string())
+        .start()
+        .await;
+    let (mut watch, _) = first.accept_watch().await;
+    let listed = [
+        endpoint("kept", kept.address(), "active"),
+        endpoint("gone", gone.address(), "active"),
+    ];
+    watch.send_list(70, true, &listed).await;
+    proxy.wait_until_ready().await;
+
+    proxy
+        .reconfigure("discovery", json!(second.address().to_string()))
+        .await;
+    let mut old = watch;
+    let mut watch = take_over(&second, 7, &listed[..1]).await;
+    proxy.wait_for_revision(7).await;
+    old.0.expect_closed().await;
+    watch
+        .send_list(
+            8,
+            false,
+            &[
+                endpoint("new", new.address(), "active"),
+                endpoint("kept", kept.address(), "left"),
+            ],
+        )
+        .await;
+    proxy.wait_for_revision(8).await;
+    let mut client = proxy.connect().await;
+    client.send("unsafe", "20000m").await;
+    let (mut wire, _) = new.accept_request().await;
+    wire.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+
+    // Told again without a change, the watch stays; after that it moves once more.
+    proxy.signal("HUP").await;
+    proxy.wait_for_log("configuration read again").await;
+    proxy
+        .reconfigure("discovery", json!(third.address().to_string()))
+        .await;
+    let _watch = take_over(&third, 1, &[]).await;
+    proxy.wait_for_revision(1).await;
+    watch.0.expect_closed().await;
+    assert!(second.is_untouched().await);
+}
+
+/// A file with anything wrong in it is not used at all.
+#[tokio::test]
+async fn invalid_configuration_changes_nothing() {
+    let server = ScriptedServer::new().await;
+    let other = ScriptedServer::new().await;
+    let (mut proxy, _discovery, mut watch) = serve(&[("s", &server)]).await;
+    let good = json!({
+        "listen": "127.0.0.1:0", "discovery": other.address().to_string(), "seed": "1f", "settings": settings(),
+    });
+    let mut texts = vec![String::new(), good.to_string().split_at(200).0.to_owned()];
+    for (key, value) in [
+        ("seed", json!("none")),
+        ("discovery", json!("here")),
+        ("settings", json!({})),
+    ] {
+        let mut bad = good.clone();
+        bad[key] = value;
+        texts.push(bad.to_string());
+    }
+    let mut bad = good.clone();
+    bad["settings"]["zone"] = json!(9);
+    texts.push(bad.to_string());
+    for (k, text) in texts.iter().enumerate() {
+        proxy.replace_config(text).await;
+        proxy.wait_for_log("the configuration stays as it is").await;
+        watch.send_list(2 + k as u64, false, &[]).await;
+        proxy.wait_for_revision(2 + k as u64).await;
+    }
+    assert!(other.is_untouched().await);
+    proxy.replace_config(&good.to_string()).await;
+    let _watch = take_over(&other, 1, &[]).await;
+    watch.0.expect_closed().await;
+}
+
+/// What the old address writes counts as told: it is heard until the new one has told its list.
+#[tokio::test]
+async fn old_discovery_is_watched_until_the_new_one_sent_its_list() {
+    let (server, other) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let (mut proxy, _discovery, mut watch) = serve(&[("s", &server)]).await;
+    proxy
+        .reconfigure("discovery", json!(other.address().to_string()))
+        .await;
+    let (mut call, request) = other.accept_request().await;
+    assert_eq!(request.start, SNAPSHOT_REQUEST);
+    watch
+        .send_list(9, false, &[endpoint("s", server.address(), "leaving")])
+        .await;
+    proxy.wait_for_revision(9).await;
+    assert_eq!(
+        proxy
+            .connect()
+            .await
+            .request("safe")
+            .await
+            .expect("an answer")
+            .status(),
+        503
+    );
+    let list = json!({"revision": 3, "complete": true, "members": [endpoint("s", server.address(), "active")]});
+    call.respond("200 OK", "", &list.to_string()).await;
+    watch.0.expect_closed().await;
+    let (_watch, request) = other.accept_watch().await;
+    assert_eq!(request, "GET /registry/instances?follow=1&since=3 HTTP/1.1");
+    proxy.wait_for_revision(3).await;
+}
+
+/// The new address may not answer at first, or say that it can't. It is asked until it has told a
+/// whole list.
+#[tokio::test]
+async fn snapshot_is_requested_until_received() {
+    let server = ScriptedServer::new().await;
+    let other = ScriptedServer::new().await;
+    let (mut proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    proxy
+        .reconfigure("discovery", json!(other.address().to_string()))
+        .await;
+    let changes = json!({"revision": 5, "complete": false, "members": []}).to_string();
+    for (status, body) in [
+        ("503 Service Unavailable", ""),
+        ("200 OK", "[]"),
+        ("200 OK", &changes),
+    ] {
+        let (mut wire, request) = other.accept_request().await;
+        assert_eq!(request.start, SNAPSHOT_REQUEST);
+        wire.respond(status, "", body).await;
+    }
+    let _watch = take_over(&other, 3, &[]).await;
+    proxy.wait_for_revision(3).await;
+}
+
+/// Where lists come on request the new address is asked at once as well: the balancer knows of no
+/// reason to.
+#[tokio::test]
+async fn polled_discovery_address_is_replaced() {
+    let server = ScriptedServer::new().await;
+    let (first, second) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let mut settings = settings();
+    settings["registry_mode"] = json!("subscribe");
+    let mut proxy = ProxyBuilder::new(first.address())
+        .settings(settings)
+        .start()
+        .await;
+    let (mut watch, _) = first.accept_watch().await;
+    watch.send_list(9, true, &[]).await;
+    proxy.wait_for_revision(9).await;
+    proxy
+        .reconfigure("discovery", json!(second.address().to_string()))
+        .await;
+    let _watch = take_over(&second, 2, &[endpoint("s", server.address(), "active")]).await;
+    proxy.wait_until_ready().await;
+    watch.0.expect_closed().await;
+}
+
+/// SIGHUP may come while the proxy leaves: it still finishes what it has, and exits as if it had not
+/// been told.
+#[tokio::test]
+async fn reload_during_shutdown_is_harmless() {
+    let server = ScriptedServer::new().await;
+    let other = ScriptedServer::new().await;
+    let (mut proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
+    client.send("unsafe", "20000m").await;
+    let (mut wire, _) = server.accept_request().await;
+    proxy.signal("TERM").await;
+    proxy.wait_for_log("leaving").await;
+    for _ in 0..3 {
+        proxy.signal("HUP").await;
+    }
+    proxy
+        .reconfigure("discovery", json!(other.address().to_string()))
+        .await;
+    let _watch = take_over(&other, 2, &[endpoint("s", server.address(), "active")]).await;
+    wire.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    assert!(proxy.wait_for_exit().await.success());
+}
--- /dev/null
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -0,0 +1,504 @@
+//! The endpoint list: what its updates do to connections and requests.
+
+mod common;
+use common::*;
+use serde_json::json;
+
+/// Whole lists drop what they don't name; changes drop what has left; an address may change under
+/// the same id.
+#[tokio::test]
+async fn requests_follow_the_endpoint_list() {
+    let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let (proxy, _discovery, mut watch) = serve(&[("one", &one)]).await;
+    let mut client = proxy.connect().await;
+    let (mut at_one, mut at_two);
+
+    client.send("unsafe", "20000m").await;
+    (at_one, _) = one.accept_request().await;
+    at_one.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+
+    watch
+        .send_list(2, true, &[endpoint("two", two.address(), "active")])
+        .await;
+    at_one.expect_closed().await; // Nothing more goes to a server that is gone.
+    client.send("unsafe", "20000m").await;
+    (at_two, _) = two.accept_request().await;
+    at_two.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+
+    watch
+        .send_list(3, false, &[endpoint("two", one.address(), "active")])
+        .await;
+    at_two.expect_closed().await;
+    client.send("unsafe", "20000m").await;
+    (at_one, _) = one.accept_request().await;
+    at_one.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+
+    watch
+        .send_list(4, false, &[json!({"id": "two", "phase": "left"})])
+        .await;
+    at_one.expect_closed().await;
+    assert_eq!(
+        client.request("unsafe").await.expect("an answer").status(),
+        503
+    );
+}
+
+/// A restart under the same id leaves no connection worth keeping, though a dead machine's look
+/// open.
+#[tokio::test]
+async fn backend_restart_abandons_its_connections() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, mut watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
+    client.send("unsafe", "20000m").await;
+    let (mut old, _) = server.accept_request().await;
+    old.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    let mut entry = endpoint("s", server.address(), "active");
+    entry["up_since_ms"] = json!(1_700_000_000_000u64);
+    watch.send_list(2, false, &[entry.clone()]).await;
+    old.expect_closed().await;
+    client.send("unsafe", "20000m").await;
+    let (mut new, _) = server.accept_request().await;
+    new.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    // The same start told once more is no restart.
+    watch.send_list(3, true, &[entry]).await;
+    proxy.wait_for_revision(3).await;
+    tokio::time::sleep(std::time::Duration::from_millis(50)).await; // It rests before it is used again.
+    client.send("unsafe", "20000m").await;
+    new.read()
+        .await
+        .expect("the next request on the same connection");
+}
+
+/// Connecting takes time: word of a drain that comes meanwhile keeps the request back, and since it
+/// was never sent even an unsafe one may be refused.
+#[tokio::test]
+async fn drain_received_while_connecting_prevents_the_attempt() {
+    let (listener, address, filling) = full_listener().await;
+    let discovery = ScriptedServer::new().await;
+    let (proxy, mut watch) = ProxyBuilder::new(discovery.address())
+        .start_ready(&discovery, &[endpoint("s", address, "active")])
+        .await;
+    let mut client = proxy.connect().await;
+    client.send("unsafe", "20000m").await;
+    proxy.get("/health/live").await; // The request has been read, and its connection is under way.
+    watch
+        .send_list(2, false, &[endpoint("s", address, "leaving")])
+        .await;
+    proxy.wait_for_revision(2).await;
+    for _ in 0..filling.len() {
+        within("a connection", listener.accept())
+            .await
+            .expect("a connection");
+    }
+    let answer = client.read().await.expect("an answer");
+    assert_eq!(answer.status(), 503);
+    let (stream, _) = within("the proxy's connection", listener.accept())
+        .await
+        .expect("a connection");
+    drop(client);
+    drop(proxy);
+    let mut read = Vec::new();
+    let mut stream = stream;
+    let _ = within(
+        "its end",
+        tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read),
+    )
+    .await;
+    assert!(
+        read.is_empty(),
+        "sent to a draining server: {:?}",
+        String::from_utf8_lossy(&read)
+    );
+}
+
+/// Word of a move that comes while connecting: what listens at the old address is not that server
+/// any more.
+#[tokio::test]
+async fn address_change_received_while_connecting_prevents_the_attempt() {
+    let new = ScriptedServer::new().await;
+    let (listener, address, filling) = full_listener().await;
+    let discovery = ScriptedServer::new().await;
+    let (proxy, mut watch) = ProxyBuilder::new(discovery.address())
+        .start_ready(&discovery, &[endpoint("s", address, "active")])
+        .await;
+    let mut client = proxy.connect().await;
+    client.send("unsafe", "20000m").await;
+    proxy.get("/health/live").await; // The request has been read, and its connection is under way.
+    watch
+        .send_list(2, false, &[endpoint("s", new.address(), "active")])
+        .await;
+    proxy.wait_for_revision(2).await;
+    for _ in 0..filling.len() {
+        within("a connection", listener.accept())
+            .await
+            .expect("a connection");
+    }
+    let (mut old, _) = within("the proxy's connection", listener.accept())
+        .await
+        .expect("a connection");
+    // Whether it goes to the new address or back to the client is the balancer's to say.
+    let answer = tokio::select! {
+        answer = client.read() => answer,
+        (mut wire, _) = new.accept_request() => {
+            wire.respond("200 OK", "", "").await;
+            client.read().await
+        }
+    };
+    assert!([200, 503].contains(&answer.expect("an answer").status()));
+    drop(proxy);
+    let mut read = Vec::new();
+    let _ = within(
+        "its end",
+        tokio::io::AsyncReadExt::read_to_end(&mut old, &mut read),
+    )
+    .await;
+    assert!(
+        read.is_empty(),
+        "sent to the old address: {:?}",
+        String::from_utf8_lossy(&read)
+    );
+}
+
+/// Figures may be well-formed and absurd: every request still gets an answer, and sane ones bring
+/// service back.
+#[tokio::test]
+async fn extreme_numbers_are_tolerated() {
+    let server = ScriptedServer::new().await;
+    let discovery = ScriptedServer::new().await;
+    let mut settings = settings();
+    settings["report"] = json!({"how": "pull", "fields": ["outstanding", "utilization"]});
+    let proxy = ProxyBuilder::new(discovery.address())
+        .settings(settings)
+        .start()
+        .await;
+    let (mut watch, _) = discovery.accept_watch().await;
+    let mut revision = 0;
+    let mut ask = async |key: &str, value: &serde_json::Value, report: &str| {
+        revision += 1;
+        let mut odd = endpoint("s", server.address(), "active");
+        odd[key] = value.clone();
+        // Named twice, beside a sane one and one that nobody knows and that has left.
+        let left = json!({"id": "", "phase": "left"});
+        watch
+            .send_list(
+                revision,
+                true,
+                &[
+                    odd.clone(),
+                    odd,
+                    endpoint("t", server.address(), "active"),
+                    left,
+                ],
+            )
+            .await;
+        proxy.wait_for_revision(revision).await;
+        let mut client = proxy.connect().await;
+        client.send("safe", "20000m").await;
+        let answering = async {
+            let mut serving = tokio::task::JoinSet::new();
+            loop {
+                let (mut wire, report) = (server.accept().await, report.to_owned());
+                serving.spawn(async move {
+                    while let Some(request) = wire.read().await {
+                        let body = if request.start.starts_with("GET /stats") {
+                            &report
+                        } else {
+                            "served"
+                        };
+                        wire.respond("200 OK", &format!("X-Server-Load: {report}\r\n"), body)
+                            .await;
+                    }
+                });
+            }
+        };
+        tokio::select! {
+            answer = client.read() => answer.expect("an answer").status(),
+            () = answering => unreachable!("it never ends"),
+        }
+    };
+    for (key, value) in [
+        ("size", json!(-1.0)),
+        ("size", json!(0)),
+        ("size", json!(1e308)),
+        ("size", json!(5e-324)),
+        ("cell", json!(65_535)),
+        ("locality", json!("nowhere")),
+        ("flavor", json!("")),
+        ("up_since_ms", json!(u64::MAX)),
+        ("up_since_ms", json!(1)),
+    ] {
+        for report in [
+            r#"{"outstanding":-9,"utilization":-1e308}"#,
+            r#"{"outstanding":1e308,"utilization":1e308}"#,
+            r#"{"outstanding":5e-324,"utilization":0.0}"#,
+            r#"{"outstanding":{},"utilization":"high"}"#,
+            "[1,2",
+        ] {
+            let status = ask(key, &value, report).await;
+            assert!(
+                [200, 503, 504].contains(&status),
+                "{status} for {key} {value} {report}"
+            );
+        }
+    }
+    let back = async {
+        while ask(
+            "size",
+            &json!(1.0),
+            r#"{"outstanding":0,"utilization":0.1}"#,
+        )
+        .await
+            != 200
+        {}
+    };
+    within("service", back).await;
+}
+
+/// Duplicates are dropped only for a while: a connection that comes up after that carries no
+/// repeat.
+#[tokio::test]
+async fn retry_is_prevented_after_the_idempotency_window() {
+    let first = ScriptedServer::new().await;
+    let (listener, address, filling) = full_listener().await;
+    let discovery = ScriptedServer::new().await;
+    let window = std::time::Duration::from_secs(2); // Ample for all that comes before the repeat.
+    let mut settings = settings();
+    settings["profiles"][1]["repeat_window_ns"] = json!(window.as_nanos() as u64);
+    let (proxy, mut watch) = ProxyBuilder::new(discovery.address())
+        .settings(settings)
+        .start_ready(&discovery, &[endpoint("first", first.address(), "active")])
+        .await;
+    let mut client = proxy.connect().await;
+    client.send("keyed", "20000m").await;
+    let (mut wire, _) = first.accept_request().await;
+    watch
+        .send_list(2, false, &[endpoint("second", address, "active")])
+        .await;
+    proxy.wait_for_revision(2).await;
+    wire.respond("500 Internal Server Error", "", "").await;
+    tokio::time::sleep(window).await;
+    for _ in 0..filling.len() {
+        within("a connection", listener.accept())
+            .await
+            .expect("a connection");
+    }
+    assert_eq!(client.read().await.expect("an answer").status(), 504);
+    let (mut stream, _) = within("the proxy's connection", listener.accept())
+        .await
+        .expect("a connection");
+    drop(client);
+    drop(proxy);
+    let mut read = Vec::new();
+    let _ = within(
+        "its end",
+        tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read),
+    )
+    .await;
+    assert!(
+        read.is_empty(),
+        "sent after the window: {:?}",
+        String::from_utf8_lossy(&read)
+    );
+}
+
+/// A line that makes no sense is logged and changes nothing; what came after the last good one is
+/// asked for anew.
+#[tokio::test]
+async fn malformed_update_keeps_the_current_list() {
+    let server = ScriptedServer::new().await;
+    let bad = [
+        "not json".to_owned(),
+        r#"{"revision":9,"complete":true,"members":[{"id":"s","phase":"active"}]}"#.to_owned(),
+        r#"{"revision":9,"complete":true,"members":[{"id":"s","host_port":"nowhere","phase":"active"}]}"#
+            .to_owned(),
+        r#"{"revision":-1,"complete":true,"members":[]}"#.to_owned(),
+    ];
+    let (mut proxy, discovery, mut watch) = serve(&[("s", &server)]).await;
+    for line in bad {
+        watch.send_line(&line).await;
+        proxy.wait_for_log("unusable line").await;
+        let (next, request) = discovery.accept_watch().await;
+        assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
+        watch = next;
+        let mut client = proxy.connect().await;
+        client.send("unsafe", "20000m").await;
+        let (mut wire, _) = server.accept_request().await;
+        wire.respond("200 OK", "Connection: close\r\n", "").await;
+        assert_eq!(client.read().await.expect("an answer").status(), 200);
+    }
+}
+
+/// Where lists are pushed they bind a process from its first moment: the list of its configuration
+/// may be old.
+#[tokio::test]
+async fn new_process_waits_for_the_pushed_list() {
+    let (old, new) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let discovery = ScriptedServer::new().await;
+    let known = json!({"revision": 7, "complete": true, "members": [endpoint("old", old.address(), "active")]});
+    let builder = ProxyBuilder::new(discovery.address())
+        .without("limits")
+        .config("known", known);
+    let members = [
+        endpoint("old", old.address(), "leaving"),
+        endpoint("new", new.address(), "active"),
+    ];
+    let pushing = async {
+        let (mut watch, _) = discovery.accept_watch().await;
+        watch.send_list(8, true, &members).await;
+        watch
+    };
+    let asking = async {
+        let proxy = builder.start().await;
+        let mut client = proxy.connect().await;
+        client.send("unsafe", "20000m").await;
+        (proxy, client)
+    };
+    // Asked first, told after that.
+    let ((proxy, mut client), _watch) = (asking.await, pushing.await);
+    let (mut wire, _) = tokio::select! {
+        got = new.accept_request() => got,
+        _ = old.accept_request() => panic!("sent by the old list"),
+    };
+    wire.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    drop(proxy);
+}
+
+/// Where discovery can't be reached the known list serves.
+#[tokio::test]
+async fn new_process_uses_the_configured_list_while_discovery_is_down() {
+    let server = ScriptedServer::new().await;
+    let down = ScriptedServer::new().await;
+    let known = json!({"revision": 7, "complete": true, "members": [endpoint("s", server.address(), "active")]});
+    let builder = ProxyBuilder::new(down.address())
+        .without("limits")
+        .config("known", known);
+    drop(down);
+    let proxy = builder.start().await;
+    let mut client = proxy.connect().await;
+    client.send("unsafe", "20000m").await;
+    let (mut wire, _) = server.accept_request().await;
+    wire.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+}
+
+/// A thousand nodes and thousands of servers are read, solved, served by and logged; a line of the
+/// log stays one that can be read.
+#[tokio::test]
+async fn list_of_thousands_of_endpoints_is_applied() {
+    let server = ScriptedServer::new().await;
+    for count in [1024, 1025, 4096] {
+        let discovery = ScriptedServer::new().await;
+        let mut settings = settings();
+        settings["balancers"] = json!(1025);
+        let mut proxy = ProxyBuilder::new(discovery.address())
+            .settings(settings)
+            .start()
+            .await;
+        let (mut watch, _) = discovery.accept_watch().await;
+        let members: Vec<_> = (0..count)
+            .map(|k| endpoint(&format!("s{k}"), server.address(), "active"))
+            .collect();
+        watch.send_list(1, true, &members).await;
+        proxy.wait_until_ready().await;
+        let mut client = proxy.connect().await;
+        for _ in 0..3 {
+            client.send("safe", "20000m").await;
+            let (mut wire, _) = server.accept_request().await;
+            wire.respond("200 OK", "Connection: close\r\n", "").await;
+            assert_eq!(client.read().await.expect("an answer").status(), 200);
+        }
+        let line = proxy.wait_for_log("stats ").await;
+        assert!(
+            line.contains(&format!(" servers={count} ")) && line.len() < 16 << 10,
+            "{line}"
+        );
+    }
+}
+
+/// Beyond what a proxy takes in for one list it says so, and goes by the last good one.
+#[tokio::test]
+async fn oversized_list_is_rejected() {
+    let server = ScriptedServer::new().await;
+    let (mut proxy, discovery, mut watch) = serve(&[("s", &server)]).await;
+    let members: Vec<_> = (0..40_000)
+        .map(|k| endpoint(&format!("s{k}"), server.address(), "active"))
+        .collect();
+    let list = json!({"revision": 2, "complete": true, "members": members}).to_string();
+    assert!(list.len() > 4 << 20);
+    let writing = async {
+        watch
+            .0
+            .write_until_closed(&format!("{:x}\r\n{list}\r\n", list.len()))
+            .await;
+        std::future::pending::<()>().await;
+    };
+    let logged = async {
+        proxy
+            .wait_for_log("unusable line: over 4194304 bytes")
+            .await
+    };
+    tokio::select! {
+        () = writing => unreachable!("it waits"),
+        _ = logged => {}
+    }
+    let (_next, request) = discovery.accept_watch().await;
+    assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
+    proxy.wait_for_revision(1).await;
+    let mut client = proxy.connect().await;
+    client.send("safe", "20000m").await;
+    let (mut wire, _) = server.accept_request().await;
+    wire.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+}
+
+/// Every server that a process knows may be leaving: then it can't serve, and doesn't say that it
+/// is ready.
+#[tokio::test]
+async fn process_without_active_endpoints_is_not_ready() {
+    let server = ScriptedServer::new().await;
+    let discovery = ScriptedServer::new().await;
+    let known = json!({"revision": 7, "complete": true, "members": [endpoint("s", server.address(), "leaving")]});
+    let builder = ProxyBuilder::new(discovery.address())
+        .without("limits")
+        .config("known", known);
+    let proxy = builder.start().await;
+    let (mut watch, _) = discovery.accept_watch().await;
+    watch
+        .send_list(8, true, &[endpoint("s", server.address(), "leaving")])
+        .await;
+    proxy.wait_for_revision(8).await;
+    assert_eq!(proxy.get("/health/ready").await.status(), 503);
+    watch
+        .send_list(9, false, &[endpoint("s", server.address(), "active")])
+        .await;
+    proxy.wait_until_ready().await;
+}
+
+/// A drain told while a request waits for its first attempt's end binds the next attempt.
+#[tokio::test]
+async fn drain_received_before_a_retry_prevents_it() {
+    for outcome in ["X-Not-Processed: 1\r\n", ""] {
+        let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
+        let (proxy, _discovery, mut watch) = serve(&[("one", &one), ("two", &two)]).await;
+        let mut client = proxy.connect().await;
+        client.send("safe", "20000m").await;
+        let ((mut wire, _), other, name) = tokio::select! {
+            got = one.accept_request() => (got, &two, "two"),
+            got = two.accept_request() => (got, &one, "one"),
+        };
+        watch
+            .send_list(2, false, &[endpoint(name, other.address(), "leaving")])
+            .await;
+        proxy.wait_for_revision(2).await;
+        wire.respond("503 Service Unavailable", outcome, "").await;
+        assert_eq!(client.read().await.expect("an answer").status(), 503);
+        assert!(other.is_untouched().await, "sent to a server that drains");
+    }
+}
--- a/crates/proxy/tests/large.rs
+++ b/crates/proxy/tests/large_messages.rs
@@ -1,10 +1,10 @@
-//! Messages over 64 KiB, which pass through as they come, and clients that are slow with theirs.
+//! Messages over 64 KiB, which are streamed, and clients that are slow with theirs.
 
 mod common;
 use common::*;
 use std::time::Duration;
 
-const MEBI: usize = 1 << 20;
+const MEBIBYTE: usize = 1 << 20;
 
 /// Text of so many bytes in which no two parts are alike.
 fn text(length: usize) -> String {
@@ -14,7 +14,7 @@
 }
 
 /// An answer in each form, with its body.
-fn forms(body: &str) -> Vec<(String, bool)> {
+fn framings(body: &str) -> Vec<(String, bool)> {
     let chunks: String = body
         .as_bytes()
         .chunks(60_000)
@@ -34,22 +34,22 @@
 }
 
 #[tokio::test]
-async fn answers_of_every_form_and_size_come_whole() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    for size in [0, 1, 64 << 10, (64 << 10) + 1, 300_000, 32 * MEBI] {
+async fn responses_of_every_framing_and_size_arrive_complete() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    for size in [0, 1, 64 << 10, (64 << 10) + 1, 300_000, 32 * MEBIBYTE] {
         let body = text(size);
-        for (answer, ends) in forms(&body) {
-            let mut client = node.client().await;
+        for (answer, ends) in framings(&body) {
+            let mut client = proxy.connect().await;
             client.send("unsafe", "20000m").await;
-            let (mut wire, _) = server.request().await;
+            let (mut wire, _) = server.accept_request().await;
             let writing = async {
                 wire.write(&answer).await;
                 if ends {
                     wire.close().await;
                 }
             };
-            let ((), (head, read)) = tokio::join!(writing, client.read_large());
+            let ((), (head, read)) = tokio::join!(writing, client.read_streamed());
             assert_eq!(head.status(), 200);
             assert!(
                 read.as_deref() == Some(body.as_bytes()),
@@ -58,30 +58,30 @@
         }
     }
     assert!(
-        node.memory_peak() < MEMORY_MB << 10,
+        proxy.peak_memory_kib() < MEMORY_MB << 10,
         "{}",
-        node.memory_peak()
+        proxy.peak_memory_kib()
     );
 }
 
 /// The first bytes of a large answer don't wait for the last ones.
 #[tokio::test]
-async fn a_large_answer_is_passed_on_as_it_comes() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
+async fn large_response_is_streamed() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
     let (length, first) = (200_000, text(70_000));
     for (head, chunk) in [
         ("Content-Length: 200000", String::new()),
         ("Transfer-Encoding: chunked", "30d40\r\n".into()),
     ] {
-        let mut client = node.client().await;
+        let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.request().await;
+        let (mut wire, _) = server.accept_request().await;
         wire.write(&format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n{chunk}{first}"))
             .await;
         let mut read = Vec::new();
         while read.len() < first.len() {
-            read.extend(client.take(1).await.expect("what has come so far"));
+            read.extend(client.read_bytes(1).await.expect("what has come so far"));
         }
         wire.write(&"x".repeat(length - first.len())).await;
         drop(wire);
@@ -90,13 +90,13 @@
 
 /// What breaks once bytes were passed on is not asked for again, and the client can tell.
 #[tokio::test]
-async fn a_large_answer_that_breaks_ends_the_clients_connection() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
+async fn large_response_that_breaks_off_ends_the_client_connection() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
     let body = text(200_000);
     let over = format!(
         "Transfer-Encoding: chunked\r\n\r\n3000000\r\n{}",
-        "x".repeat(33 * MEBI)
+        "x".repeat(33 * MEBIBYTE)
     );
     for answer in [
         format!("Content-Length: 200001\r\n\r\n{body}"),
@@ -104,28 +104,28 @@
         format!("Transfer-Encoding: chunked\r\n\r\n30d40\r\n{body}\r\nxyz\r\n"),
         over,
     ] {
-        let mut client = node.client().await;
+        let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
-        let (mut wire, _) = server.request().await;
+        let (mut wire, _) = server.accept_request().await;
         let writing = async {
-            wire.write_what_is_taken(&format!("HTTP/1.1 200 OK\r\n{answer}"))
+            wire.write_until_closed(&format!("HTTP/1.1 200 OK\r\n{answer}"))
                 .await;
             drop(wire);
         };
-        let ((), (head, read)) = tokio::join!(writing, client.read_large());
+        let ((), (head, read)) = tokio::join!(writing, client.read_streamed());
         assert_eq!((head.status(), read), (200, None), "{answer:.40}");
-        client.ended().await;
-        assert!(server.untouched().await);
+        client.drain_until_closed().await;
+        assert!(server.is_untouched().await);
     }
 }
 
 /// A client that reads nothing holds bounded memory, holds nobody up, and has its answer whole once
 /// it reads.
 #[tokio::test]
-async fn clients_that_read_nothing_hold_little() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let body = text(8 * MEBI);
+async fn clients_that_do_not_read_use_little_memory() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let body = text(8 * MEBIBYTE);
     let answer = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -133,49 +133,57 @@
     let mut clients = Vec::new();
     let mut writing = tokio::task::JoinSet::new();
     for _ in 0..20 {
-        let mut client = node.client().await;
+        let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
-        let (mut wire, _) = server.request().await;
+        let (mut wire, _) = server.accept_request().await;
         let answer = answer.clone();
         writing.spawn(async move { wire.write(&answer).await });
         clients.push(client);
     }
-    let mut quick = node.client().await;
+    let mut quick = proxy.connect().await;
     quick.send("safe", "20000m").await;
-    let (mut wire, _) = server.request().await;
-    wire.answer("200 OK", "", "quick").await;
+    let (mut wire, _) = server.accept_request().await;
+    wire.respond("200 OK", "", "quick").await;
     assert_eq!(quick.read().await.expect("an answer").body, b"quick");
     for client in &mut clients {
-        assert!(client.read_large().await.1.as_deref() == Some(body.as_bytes()));
+        assert!(client.read_streamed().await.1.as_deref() == Some(body.as_bytes()));
     }
     while writing.join_next().await.is_some() {}
-    assert!(node.memory_peak() < 32 << 10, "{}", node.memory_peak());
+    assert!(
+        proxy.peak_memory_kib() < 32 << 10,
+        "{}",
+        proxy.peak_memory_kib()
+    );
 }
 
 /// Who takes nothing for 10 s is not waited for, on either side.
 #[tokio::test]
-async fn a_transfer_that_stands_still_is_ended() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let mut silent = node.client().await;
+async fn stalled_transfer_is_ended() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut silent = proxy.connect().await;
     silent.send("safe", "20000m").await;
-    let (mut wire, _) = server.request().await;
+    let (mut wire, _) = server.accept_request().await;
     wire.write(&format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{}",
         text(100_000)
     ))
     .await;
-    assert_eq!(silent.read_large().await.1, None, "the server says no more");
-    let mut deaf = node.client().await;
+    assert_eq!(
+        silent.read_streamed().await.1,
+        None,
+        "the server says no more"
+    );
+    let mut deaf = proxy.connect().await;
     deaf.send("safe", "20000m").await;
-    let (mut wire, _) = server.request().await;
-    let body = "x".repeat(32 * MEBI);
-    wire.write_what_is_taken(&format!(
+    let (mut wire, _) = server.accept_request().await;
+    let body = "x".repeat(32 * MEBIBYTE);
+    wire.write_until_closed(&format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     ))
     .await;
-    wire.ended().await;
+    wire.drain_until_closed().await;
 }
 
 fn upload(id: &str, class: &str, framing: &str) -> String {
@@ -188,11 +196,11 @@
 /// A large body goes on as it comes. The request's time runs from its last byte: this one takes
 /// longer to come.
 #[tokio::test]
-async fn a_large_body_goes_on_as_it_comes() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
+async fn large_request_body_is_streamed() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
     let body = text(100_000);
-    let mut client = node.client().await;
+    let mut client = proxy.connect().await;
     client
         .write(&upload(
             "u1",
@@ -205,7 +213,7 @@
     let mut wire = server.accept().await;
     let reading = async {
         let read = wire.read().await.expect("a request");
-        wire.answer("200 OK", "", "done").await;
+        wire.respond("200 OK", "", "done").await;
         read
     };
     let writing = async {
@@ -221,11 +229,11 @@
 }
 
 #[tokio::test]
-async fn a_chunked_body_of_the_largest_size_goes_on() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let body = text(32 * MEBI);
-    let mut client = node.client().await;
+async fn chunked_body_of_the_largest_size_is_forwarded() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let body = text(32 * MEBIBYTE);
+    let mut client = proxy.connect().await;
     let writing = async {
         client
             .write(&upload("u2", "unsafe", "Transfer-Encoding: chunked"))
@@ -239,25 +247,29 @@
     };
     let reading = async {
         let mut wire = server.accept().await;
-        let read = wire.read_large().await.1;
-        wire.answer("200 OK", "", "done").await;
+        let read = wire.read_streamed().await.1;
+        wire.respond("200 OK", "", "done").await;
         read
     };
     let ((), read) = tokio::join!(writing, reading);
     assert!(read.as_deref() == Some(body.as_bytes()));
     assert_eq!(client.read().await.expect("an answer").body, b"done");
-    assert!(node.memory_peak() < 16 << 10, "{}", node.memory_peak());
+    assert!(
+        proxy.peak_memory_kib() < 16 << 10,
+        "{}",
+        proxy.peak_memory_kib()
+    );
 }
 
 /// What is not whole reaches no server as a request, and the client hears what is wrong if it is
 /// there to hear it.
 #[tokio::test]
-async fn a_large_body_that_is_no_good_is_no_request() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
+async fn malformed_large_body_is_not_forwarded_as_a_request() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
     let part = text(70_000);
     let chunk = format!("{:x}\r\n{part}\r\n", part.len());
-    let over = format!("3000000\r\n{}", "x".repeat(33 * MEBI));
+    let over = format!("3000000\r\n{}", "x".repeat(33 * MEBIBYTE));
     for (n, (framing, body, status)) in [
         ("Content-Length: 33554433", String::new(), 413),
         (
@@ -272,16 +284,16 @@
     .into_iter()
     .enumerate()
     {
-        let mut client = node.client().await;
+        let mut client = proxy.connect().await;
         let sending = async {
             client
-                .write_what_is_taken(&(upload(&format!("b{n}"), "unsafe", framing) + &body))
+                .write_until_closed(&(upload(&format!("b{n}"), "unsafe", framing) + &body))
                 .await;
             client.read().await.expect("an answer").status()
         };
         let taking = async {
             let mut wire = server.accept().await;
-            wire.read_large().await.1
+            wire.read_streamed().await.1
         };
         let answered = if body.is_empty() {
             sending.await
@@ -293,37 +305,36 @@
         assert_eq!(answered, status, "{framing}");
     }
     // One that leaves in the middle takes its attempt along.
-    let mut client = node.client().await;
+    let mut client = proxy.connect().await;
     client
         .write(&(upload("gone", "unsafe", "Content-Length: 100000") + &part))
         .await;
     let mut wire = server.accept().await;
     // Once its attempt is under way: before that nothing would be sent for a client that has left.
-    assert!(wire.take(1).await.is_some());
+    assert!(wire.read_bytes(1).await.is_some());
     drop(client);
-    assert_eq!(wire.read_large().await.1, None);
+    assert_eq!(wire.read_streamed().await.1, None);
 }
 
 /// An unsafe request whose body breaks off before its last byte has not run, and goes nowhere else:
 /// its client has left, or its server has, with a part that is not held any more. Its name is free
 /// again.
 #[tokio::test]
-async fn an_upload_that_breaks_before_its_last_byte_is_not_sent_again() {
+async fn incomplete_upload_is_not_retried() {
     for (by_client, reset) in [(true, false), (true, true), (false, false), (false, true)] {
-        let (first, second) = (Peer::new().await, Peer::new().await);
-        let (node, _discovery, _watch) =
-            Node::serving(&[("first", &first), ("second", &second)]).await;
+        let (first, second) = (ScriptedServer::new().await, ScriptedServer::new().await);
+        let (proxy, _discovery, _watch) = serve(&[("first", &first), ("second", &second)]).await;
         let body = text(200_000);
         let head = upload("u9", "unsafe", "Content-Length: 200000");
         let told = format!("by the client {by_client}, reset {reset}");
-        let mut client = node.client().await;
+        let mut client = proxy.connect().await;
         client.write(&(head.clone() + &body[..199_999])).await;
         let (mut wire, other) = tokio::select! {
             wire = first.accept() => (wire, &second),
             wire = second.accept() => (wire, &first),
         };
         // More than is held has gone on.
-        let _ = wire.take(150_000).await.expect("a part");
+        let _ = wire.read_bytes(150_000).await.expect("a part");
         match (by_client, reset) {
             (true, true) => client.reset(),
             (true, false) => drop(client),
@@ -337,19 +348,19 @@
                 assert!(status >= 500, "{status} {told}");
             }
         }
-        assert!(other.untouched().await, "sent elsewhere: {told}");
+        assert!(other.is_untouched().await, "sent elsewhere: {told}");
         let serving = async {
             let mut wire = tokio::select! {
                 wire = first.accept() => wire,
                 wire = second.accept() => wire,
             };
             let request = wire.read().await.expect("a request");
-            wire.answer("200 OK", "", "done").await;
+            wire.respond("200 OK", "", "done").await;
             request.body.len()
         };
         let asking = async {
-            let mut again = node.client().await;
-            again.write_what_is_taken(&(head + &body)).await;
+            let mut again = proxy.connect().await;
+            again.write_until_closed(&(head + &body)).await;
             again.read().await.expect("an answer").status()
         };
         assert_eq!(tokio::join!(serving, asking), (200_000, 200), "{told}");
@@ -358,11 +369,11 @@
 
 /// Until more of it is taken than is held, a large request can go to another server.
 #[tokio::test]
-async fn a_large_request_that_was_turned_away_early_goes_elsewhere_whole() {
-    let (first, second) = (Peer::new().await, Peer::new().await);
-    let (node, _discovery, _watch) = Node::serving(&[("first", &first), ("second", &second)]).await;
+async fn large_request_rejected_early_is_retried_complete() {
+    let (first, second) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let (proxy, _discovery, _watch) = serve(&[("first", &first), ("second", &second)]).await;
     let body = text(100_000);
-    let mut client = node.client().await;
+    let mut client = proxy.connect().await;
     client
         .write(&(upload("u3", "unsafe", "Content-Length: 100000") + &body[..70_000]))
         .await;
@@ -370,29 +381,29 @@
         wire = first.accept() => (wire, &second),
         wire = second.accept() => (wire, &first),
     };
-    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+    wire.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
     let mut wire = other.accept().await;
     client.write(&body[70_000..]).await;
     assert!(wire.read().await.expect("a request").body == body.as_bytes());
-    wire.answer("200 OK", "", "done").await;
+    wire.respond("200 OK", "", "done").await;
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
 /// A request that is given up gets its answer at once, also where its client is still writing.
 #[tokio::test]
-async fn an_early_answer_reaches_a_client_that_is_still_writing() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let body = text(4 * MEBI);
-    let mut client = node.client().await;
+async fn early_response_reaches_a_client_that_is_still_writing() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let body = text(4 * MEBIBYTE);
+    let mut client = proxy.connect().await;
     client
         .write(
             &(upload("u4", "unsafe", &format!("Content-Length: {}", body.len())) + &body[..70_000]),
         )
         .await;
     let mut wire = server.accept().await;
-    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+    wire.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
     client.write(&body[70_000..]).await;
     let answer = client.read().await.expect("an answer");
@@ -400,19 +411,19 @@
         (answer.status(), answer.header("connection")),
         (503, Some("close"))
     );
-    client.closed().await;
+    client.expect_closed().await;
 }
 
 /// A proper client may take 2 s for a head and send its body at 64 kB a second.
 #[tokio::test]
 async fn slow_clients_are_served() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
     let (head, body) = (
         upload("slow", "unsafe", "Content-Length: 64000"),
         text(64_000),
     );
-    let mut client = node.client().await;
+    let mut client = proxy.connect().await;
     let writing = async {
         for part in head.as_bytes().chunks(head.len() / 20 + 1) {
             client.write(std::str::from_utf8(part).expect("text")).await;
@@ -424,33 +435,31 @@
         }
     };
     let answering = async {
-        let (mut wire, request) = server.request().await;
+        let (mut wire, request) = server.accept_request().await;
         assert!(request.body == body.as_bytes());
-        wire.answer("200 OK", "", "done").await;
+        wire.respond("200 OK", "", "done").await;
     };
     tokio::join!(writing, answering);
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
-/// A large answer on its way when the node ends comes whole, though that takes longer than any
+/// A large answer on its way when the proxy ends comes whole, though that takes longer than any
 /// deadline.
 #[tokio::test]
-async fn a_large_answer_outlasts_the_signal() {
-    let server = Peer::new().await;
-    let discovery = Peer::new().await;
+async fn large_response_is_finished_after_sigterm() {
+    let server = ScriptedServer::new().await;
+    let discovery = ScriptedServer::new().await;
     let mut settings = settings();
     for class in 0..3 {
         settings["profiles"][class]["deadline_ns"] = serde_json::json!(200_000_000);
     }
-    let mut node = Node::with(&discovery, settings, 1024).await;
-    let (mut watch, _) = discovery.watch().await;
-    watch
-        .list(1, true, &[member("s", server.address(), "active")])
+    let (mut proxy, _watch) = ProxyBuilder::new(discovery.address())
+        .settings(settings)
+        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
         .await;
-    node.ready().await;
-    let mut client = node.client().await;
+    let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.request().await;
+    let (mut wire, _) = server.accept_request().await;
     let body = text(300_000);
     let (begun, rest) = body.split_at(100_000);
     wire.write(&format!(
@@ -458,12 +467,12 @@
         body.len()
     ))
     .await;
-    node.signal("TERM").await;
-    node.logged("leaving").await;
+    proxy.signal("TERM").await;
+    proxy.wait_for_log("leaving").await;
     // Past the deadline and all that is added to it. Were the machine slower, the test would only
     // see less.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let ((), (_, read)) = tokio::join!(wire.write(rest), client.read_large());
+    let ((), (_, read)) = tokio::join!(wire.write(rest), client.read_streamed());
     assert!(read.as_deref() == Some(body.as_bytes()));
-    assert!(node.exited().await.success());
+    assert!(proxy.wait_for_exit().await.success());
 }
--- /dev/null
+++ b/crates/proxy/tests/listener_inheritance.rs
@@ -0,0 +1,163 @@
+//! A process that replaces another of the same node, on a listener that both inherit.
+
+mod common;
+use common::*;
+use serde_json::Value;
+use std::net::{SocketAddr, TcpListener};
+
+/// What the processes of one proxy share: the listener for clients and the state folder.
+struct SharedNode {
+    listener: TcpListener,
+    folder: StateFolder,
+    discovery: SocketAddr,
+}
+
+impl SharedNode {
+    fn new(test: &str, discovery: &ScriptedServer) -> Self {
+        SharedNode {
+            listener: TcpListener::bind(unique_address()).expect("a port"),
+            folder: StateFolder::new(test),
+            discovery: discovery.address(),
+        }
+    }
+
+    fn builder(&self) -> ProxyBuilder<'_> {
+        ProxyBuilder::new(self.discovery)
+            .admin()
+            .state_folder(&self.folder)
+            .inherit(&self.listener)
+    }
+
+    /// Starts a process and sends it its first list.
+    async fn start(
+        &self,
+        discovery: &ScriptedServer,
+        endpoints: &[Value],
+    ) -> (ProxyProcess, WatchStream) {
+        let proxy = self.builder().start().await;
+        let (mut watch, _) = discovery.accept_watch().await;
+        watch.send_list(1, true, endpoints).await;
+        proxy.wait_until_healthy().await;
+        (proxy, watch)
+    }
+}
+
+/// Asks for an answer of the only backend that may get anything.
+async fn served(client: &mut Connection, backend: &ScriptedServer) -> Message {
+    client.send("safe", "20000m").await;
+    let (mut wire, _) = backend.accept_request().await;
+    wire.respond("200 OK", "Connection: close\r\n", "").await;
+    client.read().await.expect("an answer")
+}
+
+#[tokio::test]
+async fn new_process_takes_over_listener_and_operator_state() {
+    let (discovery, a, b) = (
+        ScriptedServer::new().await,
+        ScriptedServer::new().await,
+        ScriptedServer::new().await,
+    );
+    let shared = SharedNode::new("takes-over", &discovery);
+    let members = [
+        endpoint("a", a.address(), "active"),
+        endpoint("b", b.address(), "active"),
+    ];
+    let (mut old, _old_watch) = shared.start(&discovery, &members).await;
+    assert_eq!(old.admin_call("POST", "/backends/a/maint").await, 200);
+    let (mut kept, mut busy) = (old.connect().await, old.connect().await);
+    assert_eq!(served(&mut kept, &b).await.header("connection"), None);
+    busy.send("safe", "20000m").await;
+    let (mut under_way, _) = b.accept_request().await;
+
+    let (mut new, _new_watch) = shared.start(&discovery, &members).await;
+    old.wait_for_log("accompanied=true").await;
+    old.signal("TERM").await;
+    old.wait_for_log("leaving handing_over=true").await;
+    // The kept connection's next answer is its last, and what is under way is finished.
+    let answer = served(&mut kept, &b).await;
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, Some("close"))
+    );
+    kept.expect_closed().await;
+    under_way.respond("200 OK", "", "").await;
+    assert_eq!(busy.read().await.expect("an answer").status(), 200);
+    assert!(old.wait_for_exit().await.success());
+
+    new.wait_for_log("accompanied=false").await;
+    let mut client = new.connect().await;
+    for _ in 0..8 {
+        assert_eq!(served(&mut client, &b).await.header("connection"), None);
+    }
+    assert_eq!(new.admin_call("POST", "/backends/a/ready").await, 200);
+    assert_eq!(new.admin_call("POST", "/backends/b/maint").await, 200);
+    assert_eq!(served(&mut client, &a).await.status(), 200);
+}
+
+/// Both processes of a proxy go by a call that one of them takes.
+#[tokio::test]
+async fn admin_call_to_one_process_applies_to_its_peer() {
+    let (discovery, a) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let shared = SharedNode::new("binds", &discovery);
+    let members = [endpoint("a", a.address(), "active")];
+    let (mut old, _old_watch) = shared.start(&discovery, &members).await;
+    let (mut new, _new_watch) = shared.start(&discovery, &members).await;
+    assert_eq!(new.admin_call("POST", "/backends/a/maint").await, 200);
+    old.wait_for_log("told beside draining=false left_out=1")
+        .await;
+    assert_eq!(old.admin_call("POST", "/healthcheck/fail").await, 200);
+    new.wait_for_log("told beside draining=true left_out=1")
+        .await;
+    assert_eq!(new.get("/health/ready").await.status(), 503);
+    // The drain does not keep an upgrade from going on.
+    assert_eq!(new.admin_call("GET", "/healthcheck").await, 200);
+}
+
+/// A process that has nobody beside it takes what still comes, though its listener is not its own.
+#[tokio::test]
+async fn process_without_a_peer_accepts_connections_during_shutdown() {
+    let (discovery, a) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let shared = SharedNode::new("alone", &discovery);
+    let (mut proxy, _watch) = shared
+        .start(&discovery, &[endpoint("a", a.address(), "active")])
+        .await;
+    let mut open = proxy.connect().await;
+    open.send("safe", "20000m").await;
+    let (mut under_way, _) = a.accept_request().await;
+    proxy.signal("TERM").await;
+    proxy.wait_for_log("leaving handing_over=false").await;
+    let mut client = proxy.connect().await;
+    assert_eq!(served(&mut client, &a).await.status(), 200);
+    under_way.respond("200 OK", "", "").await;
+    assert_eq!(open.read().await.expect("an answer").status(), 200);
+    assert!(proxy.wait_for_exit().await.success());
+}
+
+/// What the process before has left is no reason not to start.
+#[tokio::test]
+async fn corrupt_state_file_is_treated_as_empty() {
+    let (discovery, a) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let shared = SharedNode::new("spoilt", &discovery);
+    std::fs::write(
+        shared.folder.path.join("birchswitch.json"),
+        "{\"version\":1,",
+    )
+    .expect("a file");
+    let (proxy, _watch) = shared
+        .start(&discovery, &[endpoint("a", a.address(), "active")])
+        .await;
+    assert_eq!(served(&mut proxy.connect().await, &a).await.status(), 200);
+}
+
+#[tokio::test]
+async fn inherited_descriptor_that_is_no_listener_fails_the_start() {
+    let discovery = ScriptedServer::new().await;
+    let shared = SharedNode::new("no-listener", &discovery);
+    for (number, why) in [("x", "not a descriptor's number"), ("200", "is no socket")] {
+        let config = shared.builder().config_text();
+        let ended = run_to_exit(&config, &[("GW_LISTEN_FD", number)]).await;
+        assert_eq!(ended.status.code(), Some(1));
+        let said = String::from_utf8_lossy(&ended.stderr).into_owned();
+        assert!(said.contains(why), "{said}");
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/startup.rs
@@ -0,0 +1,52 @@
+//! Configurations that cannot be used, and a log that nobody reads.
+
+mod common;
+use common::*;
+use serde_json::json;
+
+#[tokio::test]
+async fn invalid_configuration_is_reported_in_one_line() {
+    let good = json!({
+        "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f", "settings": settings(),
+    });
+    let mut cases = vec!["{".to_owned(), "[]".to_owned()];
+    for (key, value) in [
+        ("listen", json!("here")),
+        ("listen", json!(null)),
+        ("discovery", json!(7)),
+        ("seed", json!("xyz")),
+        ("settings", json!({})),
+        ("limits", json!({"sockets": 3})),
+        ("known", json!([])),
+    ] {
+        let mut bad = good.clone();
+        bad[key] = value;
+        cases.push(bad.to_string());
+    }
+    let mut bad = good.clone();
+    bad["settings"]["zone"] = json!(9);
+    cases.push(bad.to_string());
+    for case in cases {
+        let output = run_to_exit(&case, &[]).await;
+        let told = String::from_utf8(output.stderr).expect("text");
+        assert!(!output.status.success(), "{case}");
+        assert_eq!(told.lines().count(), 1, "{case}: {told}");
+    }
+}
+
+/// A log that nobody reads any more must not end the proxy: writing to it fails from then on.
+#[tokio::test]
+async fn closed_log_does_not_end_the_process() {
+    let server = ScriptedServer::new().await;
+    let (mut proxy, discovery, mut watch) = serve(&[("s", &server)]).await;
+    proxy.close_log();
+    for _ in 0..2 {
+        watch.send_line("not json").await; // Logged, and the watch is opened again after that.
+        (watch, _) = discovery.accept_watch().await;
+    }
+    let mut client = proxy.connect().await;
+    client.send("unsafe", "20000m").await;
+    let (mut wire, _) = server.accept_request().await;
+    wire.respond("200 OK", "", "").await;
+    assert_eq!(client.read().await.expect("an answer").status(), 200);
+}
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/upstream_attempts.rs
@@ -1,21 +1,21 @@
-//! What goes on to servers, and what their answers are taken for.
+//! What is forwarded to backends, and what outcome their responses have.
 
 mod common;
 use common::*;
 use std::time::Duration;
 
 #[tokio::test]
-async fn a_request_and_its_answer_pass_unchanged() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let mut client = node.client().await;
+async fn request_and_response_are_forwarded_unchanged() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
     client
         .write(
             "POST /keyed/a%20b;c?x=1&y=%2F HTTP/1.1\r\nHost: shop\r\nX-Request-ID: 9b1f\r\nX-Timeout: 9000m\r\n\
              X-Tenant-Id: one\r\nIdempotency-Key: 5c0f\r\nCookie: obj=7\r\nContent-Length: 5\r\n\r\nhello",
         )
         .await;
-    let (mut wire, request) = server.request().await;
+    let (mut wire, request) = server.accept_request().await;
     assert_eq!(request.start, "POST /keyed/a%20b;c?x=1&y=%2F HTTP/1.1");
     assert_eq!(request.body, b"hello");
     for (name, value) in [
@@ -33,7 +33,7 @@
         wait.parse::<u64>().expect("a number") < 9_000_000,
         "what remains is less than what there was"
     );
-    wire.answer("200 OK", "X-More: 1\r\n", "bye").await;
+    wire.respond("200 OK", "X-More: 1\r\n", "bye").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -43,85 +43,85 @@
 
 /// Only the mark proves that a request did not run: a bare 503 may come from behind the work.
 #[tokio::test]
-async fn a_bare_503_ends_an_unsafe_request_as_failed() {
-    let (one, two) = (Peer::new().await, Peer::new().await);
-    let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
+async fn non_idempotent_request_fails_on_503_without_not_processed() {
+    let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
     for headers in ["", "X-Not-Processed: 0\r\n"] {
-        let mut client = node.client().await;
+        let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
         let ((mut wire, _), other) = tokio::select! {
-            got = one.request() => (got, &two),
-            got = two.request() => (got, &one),
+            got = one.accept_request() => (got, &two),
+            got = two.accept_request() => (got, &one),
         };
-        wire.answer("503 Service Unavailable", headers, "").await;
+        wire.respond("503 Service Unavailable", headers, "").await;
         let status = client.read().await.expect("an answer").status();
         assert!(
             ![200, 429, 503].contains(&status),
             "answered {status}, which promises that it did not run"
         );
-        assert!(other.untouched().await, "sent again");
+        assert!(other.is_untouched().await, "sent again");
     }
 }
 
 #[tokio::test]
-async fn an_unsafe_request_goes_on_when_it_surely_did_not_run() {
-    let (one, two) = (Peer::new().await, Peer::new().await);
-    let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
-    let mut client = node.client().await;
+async fn non_idempotent_request_is_retried_if_not_executed() {
+    let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
+    let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
     let ((mut wire, first), other) = tokio::select! {
-        got = one.request() => (got, &two),
-        got = two.request() => (got, &one),
+        got = one.accept_request() => (got, &two),
+        got = two.accept_request() => (got, &one),
     };
-    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+    wire.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
-    let (mut wire, second) = other.request().await;
+    let (mut wire, second) = other.accept_request().await;
     assert_eq!(first.header("x-request-id"), second.header("x-request-id"));
-    wire.answer("200 OK", "", "done").await;
+    wire.respond("200 OK", "", "done").await;
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
 /// A connection that breaks after the request, even in the middle of its answer, leaves open
 /// whether it ran.
 #[tokio::test]
-async fn a_broken_connection_may_have_run() {
-    let (one, two) = (Peer::new().await, Peer::new().await);
-    let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
+async fn reset_after_the_request_counts_as_possibly_executed() {
+    let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
     for begun in ["", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"] {
-        let mut client = node.client().await;
+        let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
         let ((mut wire, _), other) = tokio::select! {
-            got = one.request() => (got, &two),
-            got = two.request() => (got, &one),
+            got = one.accept_request() => (got, &two),
+            got = two.accept_request() => (got, &one),
         };
         wire.write(begun).await;
         drop(wire);
         assert_eq!(client.read().await.expect("an answer").status(), 504);
-        assert!(other.untouched().await, "sent again");
+        assert!(other.is_untouched().await, "sent again");
     }
 }
 
 /// With no second copies allowed, the connection of a spoilt or broken attempt is closed before the
 /// next one is written: not for an instant are there two.
 #[tokio::test]
-async fn a_spoilt_attempt_is_closed_before_the_next_is_written() {
+async fn failed_attempt_is_closed_before_the_retry_is_written() {
     for spoilt in [
         "no HTTP\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab",
     ] {
-        let (one, two) = (Peer::new().await, Peer::new().await);
-        let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
-        let mut client = node.client().await;
+        let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
+        let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
+        let mut client = proxy.connect().await;
         client.send("keyed", "20000m").await;
         let ((mut first, _), other) = tokio::select! {
-            got = one.request() => (got, &two),
-            got = two.request() => (got, &one),
+            got = one.accept_request() => (got, &two),
+            got = two.accept_request() => (got, &one),
         };
         first.write(spoilt).await;
-        let (mut second, _) = other.request().await;
+        let (mut second, _) = other.accept_request().await;
         // Asked without waiting: what is closed later shows as open.
-        assert!(first.at_end(), "both are out after {spoilt:?}");
-        second.answer("200 OK", "", "").await;
+        assert!(first.is_closed(), "both are out after {spoilt:?}");
+        second.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
 }
@@ -129,19 +129,19 @@
 /// A body of which a part was written, and the connection then broke, is no proof of anything where
 /// all of it may have come.
 #[tokio::test]
-async fn an_unsafe_request_is_not_repeated_after_a_reset_in_the_middle() {
-    let (one, two) = (Peer::new().await, Peer::new().await);
+async fn non_idempotent_request_is_not_retried_after_a_reset_mid_response() {
+    let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
     for answered in [
         "",
         "HTTP/1.1 1",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
     ] {
-        let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
-        let mut client = node.client().await;
-        client.with_body("r", &"x".repeat(60_000)).await;
+        let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
+        let mut client = proxy.connect().await;
+        client.send_with_body("r", &"x".repeat(60_000)).await;
         let ((mut wire, _), other) = tokio::select! {
-            got = one.request() => (got, &two),
-            got = two.request() => (got, &one),
+            got = one.accept_request() => (got, &two),
+            got = two.accept_request() => (got, &one),
         };
         wire.write(answered).await;
         wire.reset();
@@ -150,18 +150,23 @@
             504,
             "{answered:?}"
         );
-        assert!(other.untouched().await, "sent again after {answered:?}");
+        assert!(other.is_untouched().await, "sent again after {answered:?}");
     }
 }
 
 /// A refused connection carried nothing, so that even an unsafe request may be refused: the client
 /// may come again.
 #[tokio::test]
-async fn a_refused_connection_never_ran() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
+async fn refused_connection_counts_as_not_executed() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
     drop(server);
-    let answer = node.client().await.ask("unsafe").await.expect("an answer");
+    let answer = proxy
+        .connect()
+        .await
+        .request("unsafe")
+        .await
+        .expect("an answer");
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.header("retry-after"), Some("1.500"));
 }
@@ -169,14 +174,14 @@
 /// Without a look at the socket first, the request is written to a connection that the server has
 /// closed, and is lost to it.
 #[tokio::test]
-async fn a_connection_closed_while_idle_is_not_used() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let mut client = node.client().await;
+async fn connection_closed_while_idle_is_not_reused() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
     for _ in 0..20 {
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.request().await;
-        wire.answer("200 OK", "", "").await;
+        let (mut wire, _) = server.accept_request().await;
+        wire.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
         wire.close().await;
     }
@@ -185,38 +190,38 @@
 /// A server closes an idle connection, or sends more on it, in the moment in which the next request
 /// comes: both are noticed in one turn.
 #[tokio::test]
-async fn a_connection_closed_as_the_next_request_comes_is_not_used() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let mut client = node.client().await;
+async fn connection_closed_as_the_next_request_arrives_is_not_reused() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
     for late in ["", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"] {
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.request().await;
-        wire.answer("200 OK", "", "").await;
+        let (mut wire, _) = server.accept_request().await;
+        wire.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
         tokio::time::sleep(Duration::from_millis(50)).await; // It rests first.
-        node.signal("STOP").await;
+        proxy.signal("STOP").await;
         wire.write(late).await;
         if late.is_empty() {
             drop(wire);
         }
         client.send("unsafe", "20000m").await;
-        node.signal("CONT").await;
-        let (mut wire, _) = server.request().await;
-        wire.answer("200 OK", "Connection: close\r\n", "own").await;
+        proxy.signal("CONT").await;
+        let (mut wire, _) = server.accept_request().await;
+        wire.respond("200 OK", "Connection: close\r\n", "own").await;
         assert_eq!(client.read().await.expect("an answer").body, b"own");
     }
 }
 
 #[tokio::test]
-async fn a_connection_is_used_again() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let mut client = node.client().await;
+async fn connection_is_reused() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.request().await;
+    let (mut wire, _) = server.accept_request().await;
     for _ in 0..3 {
-        wire.answer("200 OK", "", "").await;
+        wire.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
         // It rests for a moment first, lest more than the answer is on its way.
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -230,10 +235,10 @@
 /// What is behind an answer would be taken for the answer to the next request on that connection:
 /// with a second copy that client would get another's answer.
 #[tokio::test]
-async fn bytes_behind_an_answer_end_the_connection() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let mut client = node.client().await;
+async fn bytes_after_a_response_end_the_connection() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
     let answer = |body: &str| {
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -250,23 +255,23 @@
     .enumerate()
     {
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.request().await;
+        let (mut wire, _) = server.accept_request().await;
         wire.write(&(answer(&k.to_string()) + &with)).await;
         assert_eq!(
             client.read().await.expect("an answer").body,
             k.to_string().as_bytes()
         );
         wire.write(later).await; // It is given back by then.
-        wire.closed().await;
+        wire.expect_closed().await;
     }
 }
 
 /// An answer that is not surely whole is none. Its request may have run, and its connection is
 /// closed at once, not when the client's time is up: an endless one would go on growing.
 #[tokio::test]
-async fn spoilt_answers_end_the_attempt() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
+async fn malformed_responses_end_the_attempt() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
     let endless = |head: &str, part: &str| {
         format!(
             "HTTP/1.1 200 OK\r\n{head}{}",
@@ -289,29 +294,29 @@
         "HTTP/1.1 100 Continue\r\n\r\n".repeat(5000),
     ];
     for answer in spoilt {
-        let mut client = node.client().await;
+        let mut client = proxy.connect().await;
         client.send("unsafe", "60000m").await;
-        let (mut wire, _) = server.request().await;
-        wire.write_what_is_taken(&answer).await;
+        let (mut wire, _) = server.accept_request().await;
+        wire.write_until_closed(&answer).await;
         let status = client.read().await.expect("an answer").status();
         assert_eq!(status, 504, "{answer:.80}");
-        wire.ended().await;
+        wire.drain_until_closed().await;
     }
-    assert!(node.memory_peak() < MEMORY_MB << 10);
+    assert!(proxy.peak_memory_kib() < MEMORY_MB << 10);
 }
 
 /// Interim answers are skipped, and load reports that can't be read are ignored: neither spoils the
 /// answer.
 #[tokio::test]
-async fn interim_answers_and_odd_reports_are_survived() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let mut client = node.client().await;
+async fn interim_responses_and_malformed_load_reports_are_tolerated() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.request().await;
+    let (mut wire, _) = server.accept_request().await;
     wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
         .await;
-    wire.answer("200 OK", "X-Server-Load: {\"inflight\":[,\r\n", "served")
+    wire.respond("200 OK", "X-Server-Load: {\"inflight\":[,\r\n", "served")
         .await;
     assert_eq!(client.read().await.expect("an answer").body, b"served");
 }
@@ -319,56 +324,59 @@
 /// A server that says nothing costs the client no answer: it comes before the client's time is up,
 /// and the attempt's connection is closed.
 #[tokio::test]
-async fn a_silent_server_fails_the_request_in_time() {
-    let server = Peer::new().await;
-    let (node, _discovery, _watch) = Node::serving(&[("s", &server)]).await;
-    let mut client = node.client().await;
+async fn request_to_a_hung_backend_fails_within_its_deadline() {
+    let server = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let mut client = proxy.connect().await;
     client.send("unsafe", "400m").await;
-    let (mut wire, _) = server.request().await;
+    let (mut wire, _) = server.accept_request().await;
     assert_eq!(client.read().await.expect("an answer").status(), 504);
-    wire.closed().await;
+    wire.expect_closed().await;
 }
 
 /// Nothing is owed to a client that has left, and nothing more is sent for it.
 #[tokio::test]
-async fn nothing_more_is_sent_for_a_client_that_left() {
-    let (one, two) = (Peer::new().await, Peer::new().await);
-    let (node, _discovery, _watch) = Node::serving(&[("one", &one), ("two", &two)]).await;
-    let mut client = node.client().await;
+async fn no_retry_after_the_client_disconnected() {
+    let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
+    let mut client = proxy.connect().await;
     client.send("safe", "20000m").await;
     let ((mut wire, first), other) = tokio::select! {
-        got = one.request() => (got, &two),
-        got = two.request() => (got, &one),
+        got = one.accept_request() => (got, &two),
+        got = two.accept_request() => (got, &one),
     };
     client.close().await;
-    wire.answer("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+    wire.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
-    assert!(other.untouched().await, "sent again");
-    let mut client = node.client().await;
+    assert!(other.is_untouched().await, "sent again");
+    let mut client = proxy.connect().await;
     client.send("safe", "20000m").await;
     let next = tokio::select! {
         next = wire.read() => next.expect("a request"),
-        (_, next) = other.request() => next,
+        (_, next) = other.accept_request() => next,
     };
     assert_ne!(first.header("x-request-id"), next.header("x-request-id"));
 }
 
 /// Reports come under the names that the settings give, beside figures that nobody asked for.
 #[tokio::test]
-async fn probes_choose_the_idle_server() {
-    let (busy, idle) = (Peer::new().await, Peer::new().await);
-    let discovery = Peer::new().await;
+async fn load_probes_select_the_idle_backend() {
+    let (busy, idle) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let discovery = ScriptedServer::new().await;
     let mut settings = settings();
     settings["report"] =
         serde_json::json!({"how": "pull", "fields": ["outstanding", "utilization"]});
-    let node = Node::with(&discovery, settings, 1024).await;
-    let (mut watch, _) = discovery.watch().await;
+    let proxy = ProxyBuilder::new(discovery.address())
+        .settings(settings)
+        .start()
+        .await;
+    let (mut watch, _) = discovery.accept_watch().await;
     let members = [
-        member("busy", busy.address(), "active"),
-        member("idle", idle.address(), "active"),
+        endpoint("busy", busy.address(), "active"),
+        endpoint("idle", idle.address(), "active"),
     ];
-    watch.list(1, true, &members).await;
-    node.ready().await;
+    watch.send_list(1, true, &members).await;
+    proxy.wait_until_ready().await;
     let (served, mut by) = tokio::sync::mpsc::unbounded_channel();
     let reports = [
         (
@@ -390,9 +398,9 @@
                 tokio::spawn(async move {
                     while let Some(request) = wire.read().await {
                         if request.start == "GET /stats HTTP/1.1" {
-                            wire.answer("200 OK", "", report).await;
+                            wire.respond("200 OK", "", report).await;
                         } else {
-                            wire.answer("200 OK", "", "").await;
+                            wire.respond("200 OK", "", "").await;
                             let _ = served.send(name);
                         }
                     }
@@ -405,7 +413,12 @@
     let in_a_row = async {
         let mut row = 0;
         while row < 20 {
-            let answer = node.client().await.ask("unsafe").await.expect("an answer");
+            let answer = proxy
+                .connect()
+                .await
+                .request("unsafe")
+                .await
+                .expect("an answer");
             if answer.status() == 200 {
                 row = if by.recv().await == Some("idle") {
                     row + 1
