--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,14 +1,14 @@
 //! The list of servers: its form on the wire, and the watch that follows its changes.
 
-use crate::requests::dispatcher::Dispatcher;
+use super::json_lines::{DecodeError, JsonLineDecoder, LONGEST_LINE};
+use super::state::DiscoveryState;
+use super::wire::{EndpointList, InvalidList};
 use crate::socket::Socket;
-use bytes::{Buf, Bytes, BytesMut};
+use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use serde::de::IgnoredAny;
-use serde::Deserialize;
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,87 +20,17 @@
 /// An empty line is due every 2 s, and what a silent watch misses counts as told 6 s after it fell
 /// silent. One that has been silent for this long is taken for dead: that leaves time for one more
 /// that answers and then says nothing, and for the next after it.
-const SILENCE: Duration = Duration::from_millis(2500);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// For the connection to come up and the answer to begin, on request, where a call may have to wait
 /// for its turn; and the most for a whole list.
-const OPENING: Duration = SILENCE;
+pub const OPENING_TIMEOUT: Duration = SILENCE_TIMEOUT;
 /// The same where lists are pushed, for the first try: what is known there counts as told, watch or
 /// no watch. Each failed try doubles it, up to the other.
-const OPENING_PUSHED: Duration = Duration::from_millis(300);
+pub const INITIAL_OPENING_TIMEOUT: Duration = Duration::from_millis(300);
 /// For the connection to come up.
 const CONNECT: Duration = Duration::from_secs(1);
 /// For what came while the whole node was held up.
 const LAST_CHANCE: Duration = Duration::from_millis(5);
-/// Pauses before a broken watch is opened again: the first, and the longest.
-const PAUSE: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(1)];
-// A watch falls silent, the one in its place says nothing either, and the third has most of a
-// second to answer.
-const _: () = assert!(2 * (SILENCE.as_millis() + PAUSE[0].as_millis()) <= 5300);
-/// The part of a pause that is left to chance.
-const JITTER: f64 = 0.5;
-/// Longest list that is taken in.
-const LONGEST_LINE: usize = 4 << 20;
-
-/// Servers, all of them or those that have changed.
-#[derive(Debug, Deserialize)]
-pub struct EndpointList {
-    /// Version of the list.
-    pub revision: u64,
-    /// Whether those not named are gone.
-    pub complete: bool,
-    /// The servers.
-    pub members: Vec<ListedEndpoint>,
-}
-
-/// One server, as discovery describes it.
-#[derive(Debug, Deserialize)]
-pub struct ListedEndpoint {
-    /// Its name, the same at every node.
-    pub id: String,
-    /// Where it listens. One that has left needs none.
-    pub host_port: Option<SocketAddr>,
-    /// Its zone.
-    #[serde(default)]
-    pub locality: String,
-    /// Its machine kind.
-    #[serde(default)]
-    pub flavor: String,
-    /// Its cell.
-    #[serde(default)]
-    pub cell: u16,
-    /// What it takes.
-    pub phase: EndpointPhase,
-    /// Its weight.
-    #[serde(default = "one")]
-    pub size: f64,
-    /// Its latest start in Unix time; 0 for long ago.
-    #[serde(default)]
-    pub up_since_ms: u64,
-}
-
-impl ListedEndpoint {
-    /// Its latest start in Unix time; zero for long ago.
-    pub fn stamp(&self) -> Duration {
-        Duration::from_millis(self.up_since_ms)
-    }
-}
-
-fn one() -> f64 {
-    1.0
-}
-
-/// What a server takes.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum EndpointPhase {
-    /// New requests.
-    Active,
-    /// Nothing new.
-    Leaving,
-    /// It is no more.
-    Left,
-}
-
 /// How a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
@@ -119,174 +49,43 @@
     /// Discovery ended it.
     #[error("ended")]
     Ended,
-    /// A line that is no server list.
+    /// What came cannot be split into lists.
+    #[error("unusable line: {0}")]
+    Decode(#[from] DecodeError),
+    /// What came is not an endpoint list.
     #[error("unusable line: {0}")]
-    BadLine(String),
+    List(#[from] InvalidList),
+    /// The response to a request for a snapshot could not be read to its end.
+    #[error("unusable line: {0}")]
+    Body(Box<dyn std::error::Error + Send + Sync>),
+    /// The response to a request for a snapshot is a delta.
+    #[error("unusable line: the list is not complete")]
+    NotSnapshot,
 }
 
 impl WatchError {
     /// Whether nobody is there to answer calls.
-    fn is_refusal(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         matches!(self, WatchError::Connect(_) | WatchError::Http(_))
     }
 }
 
-/// Takes a stream of JSON objects apart, however it is cut and indented.
-#[derive(Default)]
-struct JsonLineDecoder {
-    held: BytesMut,
-    /// So much of it was looked at ...
-    searched: usize,
-    /// ... with so many braces and brackets open there, ...
-    depth: usize,
-    /// ... and whether inside a string, and there behind a backslash.
-    string: bool,
-    escaped: bool,
-    /// Of what is not whole so much was found to be good JSON so far.
-    sound: usize,
-}
-
-impl JsonLineDecoder {
-    /// Whether one has begun.
-    fn begun(&self) -> bool {
-        self.depth > 0
-    }
-
-    fn extend(&mut self, data: &[u8]) {
-        self.held.extend_from_slice(data);
-    }
-
-    /// The next whole one. What can't become one is an error at once, as far as that shows.
-    fn next(&mut self) -> Result<Option<BytesMut>, WatchError> {
-        while let Some(&byte) = self.held.get(self.searched) {
-            if self.depth == 0 && byte != b'{' {
-                if !byte.is_ascii_whitespace() {
-                    return Err(WatchError::BadLine("no list begins like this".to_owned()));
-                }
-                self.held.advance(1);
-                continue;
-            }
-            self.searched += 1;
-            match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' => self.escaped = self.string,
-                b'"' => self.string = !self.string,
-                b'{' | b'[' if !self.string => self.depth += 1,
-                b'}' | b']' if !self.string => self.depth -= 1,
-                // An empty line within one: the next line that says something may be another's.
-                b'\n' if self.after_empty_line() => self.check()?,
-                _ => {}
-            }
-            if self.depth == 0 {
-                let whole = self.held.split_to(std::mem::take(&mut self.searched));
-                self.sound = 0;
-                return Ok(Some(whole));
-            }
-        }
-        if self.held.len() > LONGEST_LINE {
-            return Err(WatchError::BadLine(format!("over {LONGEST_LINE} bytes")));
-        }
-        // Not each time: a long list may come a byte at a time.
-        if self.held.len() > 2 * self.sound {
-            self.check()?;
-        }
-        Ok(None)
-    }
-
-    fn after_empty_line(&self) -> bool {
-        let before = &self.held[..self.searched - 1];
-        before.iter().rfind(|b| !matches!(b, b' ' | b'\t' | b'\r')) == Some(&b'\n')
-    }
-
-    /// What has come of one has to be the beginning of some JSON.
-    fn check(&mut self) -> Result<(), WatchError> {
-        let begun = &self.held[..self.searched];
-        // A number that is cut is no good number, and yet the beginning of one.
-        let cut = begun
-            .iter()
-            .rposition(|byte| !b"+-.0123456789eE".contains(byte))
-            .map_or(0, |at| at + 1);
-        match serde_json::from_slice::<IgnoredAny>(&begun[..cut]) {
-            Err(error) if !error.is_eof() => Err(WatchError::BadLine(error.to_string())),
-            _ => {
-                self.sound = begun.len();
-                Ok(())
-            }
-        }
-    }
-}
-
-impl EndpointList {
-    /// Reads one list.
-    pub fn parse(line: &[u8]) -> Result<Self, WatchError> {
-        let list: EndpointList =
-            serde_json::from_slice(line).map_err(|e| WatchError::BadLine(e.to_string()))?;
-        match list
-            .members
-            .iter()
-            .find(|m| m.host_port.is_none() && m.phase != EndpointPhase::Left)
-        {
-            Some(m) => Err(WatchError::BadLine(format!("{} has no host_port", m.id))),
-            None => Ok(list),
-        }
-    }
-}
-
-/// Keeps a watch open for good, for sites where lists are pushed. Ends once the list is to be had
-/// elsewhere.
-pub async fn follow(engine: Rc<Dispatcher>, address: SocketAddr) {
-    let (mut pause, mut opening) = (PAUSE[0], OPENING_PUSHED);
-    loop {
-        let (before, began) = (engine.watches(), Instant::now());
-        let error = watch(&engine, address, opening).await;
-        if engine.discovery() != address {
-            return;
-        }
-        opening = (opening * 2).min(OPENING);
-        if engine.watches() != before {
-            (pause, opening) = (PAUSE[0], OPENING_PUSHED);
-        }
-        if !matches!(error, WatchError::Silent) {
-            engine.tried();
-        }
-        // A call that was given up for its silence has been a pause already: what it missed counts
-        // as told as if it had been refused at once. Many nodes may have lost theirs at one moment.
-        let wait = pause
-            .saturating_sub(began.elapsed())
-            .max(PAUSE[0])
-            .mul_f64(1.0 - JITTER * engine.random());
-        engine.log(format_args!(
-            "watch: {error}; again in {} ms",
-            wait.as_millis()
-        ));
-        tokio::time::sleep(wait).await;
-        // Of a discovery that is down all counts as told at its return, and being refused costs it
-        // nothing. One that answers but can't serve is crowded.
-        pause = if error.is_refusal() {
-            PAUSE[0]
-        } else {
-            (pause * 2).min(PAUSE[1])
-        };
-    }
-}
-
-/// The same for one watch, where the balancer asks for it.
-pub async fn watch_once(engine: &Rc<Dispatcher>, address: SocketAddr) -> WatchError {
-    watch(engine, address, OPENING).await
-}
-
 /// Opens one watch from the version held on, which may take so long, and hands on what it brings
 /// until it ends.
-async fn watch(engine: &Rc<Dispatcher>, address: SocketAddr, opening: Duration) -> WatchError {
-    if engine.needs_whole_list() {
+pub async fn watch(
+    state: &Rc<DiscoveryState>,
+    address: SocketAddr,
+    opening: Duration,
+) -> WatchError {
+    if state.needs_snapshot() {
         // The version held comes from another address and may mean anything here, also one that is
         // newer.
-        let call = DiscoveryCall::new(engine, address, OPENING);
+        let call = DiscoveryCall::new(state, address, OPENING_TIMEOUT);
         if let Err(error) = call.clone().hear(fetch(call)).await {
             return error;
         }
     }
-    let call = DiscoveryCall::new(engine, address, opening);
+    let call = DiscoveryCall::new(state, address, opening);
     match call.clone().hear(run_watch(call)).await {
         Ok(()) => WatchError::Ended,
         Err(error) => error,
@@ -296,7 +95,7 @@
 /// One call to discovery, and how long it may still be silent.
 #[derive(Clone)]
 struct DiscoveryCall {
-    engine: Rc<Dispatcher>,
+    state: Rc<DiscoveryState>,
     address: SocketAddr,
     /// By when it has to say something.
     silent_until: Rc<Cell<Instant>>,
@@ -305,31 +104,31 @@
 }
 
 impl DiscoveryCall {
-    fn new(engine: &Rc<Dispatcher>, address: SocketAddr, patience: Duration) -> Self {
+    fn new(state: &Rc<DiscoveryState>, address: SocketAddr, patience: Duration) -> Self {
         let silent_until = Rc::new(Cell::new(Instant::now() + patience));
         DiscoveryCall {
-            engine: engine.clone(),
+            state: state.clone(),
             address,
             silent_until,
             given_up: Rc::default(),
         }
     }
 
-    /// It has said something, and has to say more within [`SILENCE`].
+    /// It has said something, and has to say more within [`SILENCE_TIMEOUT`].
     fn has_spoken(&self) {
-        self.silent_until.set(Instant::now() + SILENCE);
+        self.silent_until.set(Instant::now() + SILENCE_TIMEOUT);
     }
 
     /// Hands on a list.
     fn tell(&self, list: &EndpointList) {
         // Of a call that was given up only what is not older than all that was heard since counts.
         // A whole list of the same version may name fewer: it leaves out what drains.
-        let awaited = self.engine.needs_whole_list() && list.complete;
-        if !self.given_up.get() || awaited || list.revision >= self.engine.revision() {
-            self.engine.list(list, self.address);
+        let awaited = self.state.needs_snapshot() && list.is_snapshot;
+        if !self.given_up.get() || awaited || list.revision >= self.state.revision() {
+            self.state.publish(list, self.address);
         }
         if !self.given_up.get() {
-            self.engine.forget_silent_call();
+            self.state.drop_unanswered_call();
         }
     }
 
@@ -359,7 +158,7 @@
             }
         }
         self.given_up.set(true);
-        self.engine.hear_beside(self.address, conversation);
+        self.state.keep_unanswered_call(self.address, conversation);
         Err(WatchError::Silent)
     }
 }
@@ -406,13 +205,9 @@
         let body = Limited::new(response.into_body(), LONGEST_LINE)
             .collect()
             .await;
-        let list = EndpointList::parse(
-            &body
-                .map_err(|e| WatchError::BadLine(e.to_string()))?
-                .to_bytes(),
-        )?;
-        if !list.complete {
-            return Err(WatchError::BadLine("the list is not complete".to_owned()));
+        let list = EndpointList::parse(&body.map_err(WatchError::Body)?.to_bytes())?;
+        if !list.is_snapshot {
+            return Err(WatchError::NotSnapshot);
         }
         call.tell(&list);
         Ok(())
@@ -425,14 +220,14 @@
         http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
     // The connection is driven here, so that nothing of it outlives the watch.
     let dialogue = async {
-        let since = call.engine.revision();
+        let since = call.state.revision();
         let request = request(call.address, &format!("?follow=1&since={since}"));
         let response = sender.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(WatchError::Status(response.status()));
         }
         if !call.given_up.get() {
-            call.engine.watching();
+            call.state.watch_opened();
         }
         let mut body = response.into_body();
         let mut held = JsonLineDecoder::default();
@@ -458,7 +253,3 @@
     };
     converse(connection, dialogue).await
 }
-
-#[cfg(test)]
-#[path = "client_tests.rs"]
-mod tests;
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -4,30 +4,29 @@
 //! actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
 //! that actions bring about at once.
 
-use crate::discovery::client::{self, EndpointList};
-use crate::http1::head_filter;
-use crate::http1::streaming::{RequestBody, StreamOutcome};
+use crate::clock::Clock;
+use crate::discovery::wire::EndpointList;
+use crate::event_log::EventLog;
+use crate::http1::download::StreamOutcome;
+use crate::http1::upload::RequestBody;
 use crate::metrics::Metrics;
 use crate::operator_state::store::OperatorState;
-use crate::send_invariants::{self, BackendIdentity, Invariant, PriorAttempt};
+use crate::send_invariants::{self, BackendIdentity, Execution, Invariant, PriorAttempt};
+use crate::socket::is_closed_by_peer;
 use crate::upstream::backend_registry::{
     AttemptTerms, Backend, BackendRegistry, Exchange, Progress, ResponseBody, Source,
 };
 use balancer::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, EndpointState, Event,
     GiveUpReason, Idempotency, ListUpdate, LoadProbeResult, LoadReport, RequestArrival, RequestId,
-    Settings, SettingsError, TenantId, Time,
+    Settings, SettingsError, TenantId,
 };
 use hyper::{Request, Response};
-use rand_core::{RngCore, SeedableRng};
-use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashSet, VecDeque};
 use std::fmt::{self, Write as _};
 use std::future::Future;
-use std::io::Write as _;
-use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -37,37 +36,10 @@
 
 /// Most servers of which a line of counters tells each by itself.
 const SERVERS_WRITTEN: usize = 64;
-/// A call that was given up for its silence is heard for so long beside others.
-const SILENT_CALL: Duration = Duration::from_secs(6);
 /// A choice among probed servers is made within a few milliseconds: what a probe says later serves
 /// none.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What the balancer's clock shows when the process starts: servers may have started before it.
-const PROCESS_START: Time = Time(24 * 3600 * 1_000_000_000);
-
-/// The balancer's clock. The wall clock has no part in it: that one may be stepped.
-#[derive(Clone, Copy)]
-struct Clock {
-    started: Instant,
-}
-
-impl Clock {
-    fn new() -> Self {
-        Clock {
-            started: Instant::now(),
-        }
-    }
-
-    fn now(&self) -> Time {
-        PROCESS_START + self.started.elapsed()
-    }
-
-    fn instant(&self, at: Time) -> Instant {
-        self.started + (at - PROCESS_START)
-    }
-}
-
 /// A client's request in the node's own terms.
 pub struct ForwardRequest {
     /// Its class.
@@ -126,7 +98,7 @@
 fn left(client: &Weak<TcpStream>) -> bool {
     client
         .upgrade()
-        .is_none_or(|socket| head_filter::left(&socket))
+        .is_none_or(|socket| is_closed_by_peer(&socket))
 }
 
 struct Attempt {
@@ -154,30 +126,18 @@
     /// Attempts at each server since the counters were last written, and how many of them it turned
     /// away or answered with an error, or with nothing of use.
     sent: FxHashMap<BackendId, [u32; 3]>,
-    /// The watch, or the task that keeps one open.
-    watch: Option<AbortHandle>,
-    /// The same at the address before this one. It is heard until this one has told its whole list.
-    watch_before: Option<AbortHandle>,
-    /// A call that was given up for its silence, and may still say something.
-    silent_call: Option<AbortHandle>,
 }
 
 /// See the module's own words.
 pub struct Dispatcher {
     /// Itself, for the tasks it starts.
     me: Weak<Dispatcher>,
-    name: String,
+    log: EventLog,
     clock: Clock,
-    /// For what nodes should not do in step. The balancer's numbers are its own.
-    rng: RefCell<Xoshiro256PlusPlus>,
     backends: Rc<BackendRegistry>,
     stats: Rc<Metrics>,
-    /// Where the list of servers is.
-    discovery: Cell<SocketAddr>,
-    /// Lists come on request of the balancer.
-    asked: bool,
-    /// The list held is not from where the list is now: changes to it are no use.
-    moved: Cell<bool>,
+    /// Asks discovery for the endpoint list. Called with the state borrowed.
+    refresh_endpoint_list: Box<dyn Fn()>,
     /// Two attempts of one request may be out together.
     second_copies: bool,
     /// By class: how far its requests may be repeated.
@@ -187,23 +147,19 @@
     aims: Vec<Duration>,
     state: RefCell<State>,
     revision: Cell<u64>,
-    lists_taken: Cell<u64>,
-    tried: Cell<bool>,
-    watches: Cell<u64>,
     servers_listed: Cell<bool>,
 }
 
 impl Dispatcher {
     /// Starts with no servers and no requests.
     pub fn new(
-        name: String,
+        log: EventLog,
         settings: Settings,
         seed: u64,
         backends: Rc<BackendRegistry>,
-        discovery: SocketAddr,
+        refresh_endpoint_list: impl Fn() + 'static,
     ) -> Result<Rc<Self>, SettingsError> {
-        let clock = Clock::new();
-        let asked = settings.polled_discovery;
+        let clock = Clock::start();
         let second_copies = settings.hedging_allowed;
         let effects = settings.classes.iter().map(|c| c.idempotency).collect();
         let aims = settings
@@ -218,46 +174,30 @@
             ids: HashSet::new(),
             next_request: 0,
             sent: FxHashMap::default(),
-            watch: None,
-            watch_before: None,
-            silent_call: None,
         };
         Ok(Rc::new_cyclic(|me| Dispatcher {
             me: me.clone(),
-            name,
+            log,
             clock,
-            rng: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(!seed)),
             stats: backends.stats(),
             backends,
-            discovery: Cell::new(discovery),
-            asked,
-            moved: Cell::new(false),
+            refresh_endpoint_list: Box::new(refresh_endpoint_list),
             second_copies,
             effects,
             aims,
             state: RefCell::new(state),
             revision: Cell::new(0),
-            lists_taken: Cell::new(0),
-            tried: Cell::new(false),
-            watches: Cell::new(0),
             servers_listed: Cell::new(false),
         }))
     }
 
     /// A line for the node's log.
     pub fn log(&self, line: fmt::Arguments) {
-        // Nobody may be left to read it: that is no reason to stop serving, which `eprintln!` would
-        // make of it.
-        let _ = writeln!(std::io::stderr(), "{}: {line}", self.name);
-    }
-
-    /// Uniform in [0, 1).
-    pub fn random(&self) -> f64 {
-        (self.rng.borrow_mut().next_u64() >> 11) as f64 / (1u64 << 53) as f64
+        self.log.log(line);
     }
 
     /// The names that the settings give to classes, tenants and so on.
-    pub fn names(&self) -> &settings::Names {
+    pub fn names(&self) -> &settings::SettingNames {
         self.backends.names()
     }
 
@@ -271,97 +211,12 @@
         self.revision.get()
     }
 
-    /// Where lists are pushed they bind from the start: whether one has come, or can't be had.
-    pub fn informed(&self) -> bool {
-        self.asked || self.lists_taken.get() > 0 || self.tried.get()
-    }
-
-    /// A first watch has been turned away: there is nothing to wait for.
-    pub fn tried(&self) {
-        self.tried.set(true);
-    }
-
-    /// A watch is open, though it may bring nothing for long.
-    pub fn watching(&self) {
-        self.watches.set(self.watches.get() + 1);
-        if self.asked {
-            self.handle_event(Event::EndpointList {
-                update: ListUpdate::Delta,
-                endpoints: Vec::new(),
-            });
-        }
-    }
-
-    /// A call that was not given up has told a list: one that was has nothing newer to say. Before
-    /// that it may have, since a watch that is open may end instead of telling.
-    pub fn forget_silent_call(&self) {
-        self.state
-            .borrow_mut()
-            .silent_call
-            .take()
-            .iter()
-            .for_each(AbortHandle::abort);
-    }
-
-    /// How many watches have been opened.
-    pub fn watches(&self) -> u64 {
-        self.watches.get()
-    }
-
     /// Whether a list has named a server that takes requests.
     pub fn ready(&self) -> bool {
         self.servers_listed.get()
     }
 
-    /// Where the list of servers is.
-    pub fn discovery(&self) -> SocketAddr {
-        self.discovery.get()
-    }
-
-    /// Whether a watch has to start from a whole list.
-    pub fn needs_whole_list(&self) -> bool {
-        self.moved.get()
-    }
-
     // ---- what happens ----
-    /// Starts to follow the list of servers, where that is not for the balancer to ask for.
-    pub fn follow(&self) {
-        if !self.asked {
-            self.watch(&mut self.state.borrow_mut());
-        }
-    }
-
-    /// The list of servers is elsewhere from now on. What is on its way from the old address counts
-    /// as told, and is heard until the new one has told its whole list; the servers last known stay
-    /// until then.
-    pub fn rediscover(&self, address: SocketAddr) {
-        if self.discovery.replace(address) != address {
-            self.log(format_args!("discovery is now {address}"));
-            self.moved.set(true);
-            let state = &mut *self.state.borrow_mut();
-            let before = std::mem::replace(&mut state.watch_before, state.watch.take());
-            before.iter().for_each(AbortHandle::abort);
-            self.watch(state);
-        }
-    }
-
-    /// Goes on hearing a call that was given up for its silence, beside the next one. Where there
-    /// is one already that one stays: it is the first in turn.
-    pub fn hear_beside(&self, address: SocketAddr, call: impl Future + 'static) {
-        let state = &mut *self.state.borrow_mut();
-        let held = state
-            .silent_call
-            .as_ref()
-            .is_some_and(|task| !task.is_finished());
-        if held || self.discovery.get() != address {
-            return;
-        }
-        let task = spawn_local(async move {
-            let _ = tokio::time::timeout(SILENT_CALL, call).await;
-        });
-        state.silent_call = Some(task.abort_handle());
-    }
-
     /// Takes in the list as last known before the start. The balancer is owed one, be it empty.
     pub fn known(&self, list: Option<&EndpointList>) {
         let entries = list
@@ -373,23 +228,29 @@
         });
     }
 
-    /// Takes in what discovery says, at the address that it says it from.
-    pub fn list(&self, list: &EndpointList, from: SocketAddr) {
-        let kind = if list.complete {
+    /// An endpoint list was asked for, and the answer has begun without one.
+    pub fn endpoint_list_unchanged(&self) {
+        self.handle_event(Event::EndpointList {
+            update: ListUpdate::Delta,
+            endpoints: Vec::new(),
+        });
+    }
+
+    /// An endpoint list was asked for, and the call has failed or ended.
+    pub fn endpoint_list_failed(&self) {
+        self.handle_event(Event::EndpointList {
+            update: ListUpdate::Failed,
+            endpoints: Vec::new(),
+        });
+    }
+
+    /// Takes in an endpoint list, or a change to it, that discovery has sent.
+    pub fn list(&self, list: &EndpointList) {
+        let kind = if list.is_snapshot {
             ListUpdate::Snapshot
         } else {
             ListUpdate::Delta
         };
-        self.lists_taken.set(self.lists_taken.get() + 1);
-        if list.complete && from == self.discovery.get() {
-            self.moved.set(false);
-            self.state
-                .borrow_mut()
-                .watch_before
-                .take()
-                .iter()
-                .for_each(AbortHandle::abort);
-        }
         let entries = self.apply_endpoint_list(list, Source::Discovery);
         // Logged where it says anything: discovery may send lists of no change.
         if !entries.is_empty() {
@@ -507,7 +368,7 @@
         let mut state = self.state.borrow_mut();
         let open = state.ledger.get_mut(&request).and_then(|e| e.reply.take());
         if open.is_some() {
-            self.stats.count(|c| c.gone += 1);
+            self.stats.count(|c| c.client_disconnected += 1);
             self.withhold(&mut state, request);
             drop(state);
             self.handle_event(Event::ClientDisconnected { request });
@@ -530,7 +391,7 @@
             task.abort();
             let (outcome, latency) = (AttemptOutcome::NotSent, a.began.elapsed());
             (a.may_have_run, a.end) = (false, Some((outcome, latency, None)));
-            self.stats.count(|c| c.ended(outcome));
+            self.stats.count(|c| c.count_attempt_end(outcome));
             let (server, closed, report) = (a.server, true, None);
             let ended = AttemptResult {
                 request,
@@ -562,7 +423,7 @@
         let (Some(answer), Some(reply)) = (exchange.answer.take(), entry.reply.take()) else {
             return false;
         };
-        self.stats.count(|c| c.passed_on += 1);
+        self.stats.count(|c| c.streamed += 1);
         self.count_served(entry);
         let _ = reply.send(FinalResponse::Served(answer));
         drop(state);
@@ -583,7 +444,7 @@
         exchange.answer = None;
         let ended = if begun { passing.await.ok() } else { None };
         match ended {
-            Some(StreamOutcome::Whole) => return,
+            Some(StreamOutcome::Complete) => return,
             Some(StreamOutcome::Broken(problem)) => {
                 (exchange.outcome, exchange.problem) =
                     (AttemptOutcome::ConnectionReset, Some(problem));
@@ -592,7 +453,7 @@
         }
         exchange.connection = None;
         if begun {
-            self.stats.count(|c| c.cut += 1);
+            self.stats.count(|c| c.stream_aborted += 1);
         }
     }
 
@@ -610,7 +471,7 @@
         a.may_have_run = !exchange.outcome.never_executed();
         let (server, latency) = (a.server, since(&entry.request, a.began));
         a.end = Some((exchange.outcome, latency, exchange.report));
-        self.stats.count(|c| c.ended(exchange.outcome));
+        self.stats.count(|c| c.count_attempt_end(exchange.outcome));
         let count = state.sent.entry(server).or_default();
         match exchange.outcome {
             AttemptOutcome::Rejected => count[1] += 1,
@@ -623,12 +484,12 @@
         if let Some(problem) = exchange
             .problem
             .take()
-            .filter(|_| self.stats.single_broken())
+            .filter(|_| self.stats.may_log_error())
         {
             let id = printable(&entry.id);
             let ms = latency.as_secs_f64() * 1e3;
             self.log(format_args!(
-                "broken id={id} server={server} attempt={attempt} ms={ms:.2} {problem}"
+                "exchange_failed id={id} backend={server} attempt={attempt} ms={ms:.2} error=\"{problem}\""
             ));
         }
         if let Some(answer) = exchange.answer.take() {
@@ -641,7 +502,7 @@
         // No further attempt for a client that has left.
         if entry.abandoned() {
             entry.reply = None;
-            self.stats.count(|c| c.gone += 1);
+            self.stats.count(|c| c.client_disconnected += 1);
         }
         let closed = entry.reply.is_none();
         let (outcome, report) = (exchange.outcome, exchange.report);
@@ -708,7 +569,7 @@
             }
             Action::CancelAttempt { request, attempt } => Self::cancel(state, request, attempt),
             Action::SetTimer { at, timer } => {
-                let (me, at) = (self.me.clone(), self.clock.instant(at));
+                let (me, at) = (self.me.clone(), self.clock.instant_at(at));
                 spawn_local(async move {
                     tokio::time::sleep_until(at).await;
                     me.upgrade()
@@ -717,7 +578,7 @@
                 });
             }
             Action::SendLoadProbe { backend: server } => self.probe(state, server),
-            Action::RefreshEndpointList => self.watch(state),
+            Action::RefreshEndpointList => (self.refresh_endpoint_list)(),
             Action::Log(line) => self.log(format_args!("{line}")),
         }
     }
@@ -741,14 +602,14 @@
             .count_class(entry.class, |c| *c.given_up.entry(reason).or_default() += 1);
         self.stats.count(|c| {
             *(if refused {
-                &mut c.refused
+                &mut c.rejected
             } else {
                 &mut c.failed
             }) += 1;
         });
         let _ = reply.send(answer);
-        if self.stats.single(reason) {
-            self.log_given_up(entry, if refused { "refused" } else { "failed" }, reason);
+        if self.stats.may_log_request(reason) {
+            self.log_given_up(entry, if refused { "rejected" } else { "failed" }, reason);
         }
         self.withhold(state, request);
     }
@@ -771,8 +632,8 @@
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
         let id = printable(&entry.id);
         let mut line = format!(
-            "request id={id} class={} tenant={} answer={answer} \
-             reason={reason:?} read_ms={:.2} age_ms={:.2} left_ms={:.0}",
+            "request id={id} class={} tenant={} response={answer} \
+             reason={reason:?} read_ms={:.2} age_ms={:.2} remaining_ms={:.0}",
             entry.class,
             entry.tenant,
             ms(entry.taken - entry.since),
@@ -785,7 +646,10 @@
             if let Some((outcome, latency, report)) = &a.end {
                 let _ = write!(line, ":{outcome:?}:{:.2}", ms(*latency));
                 let report = report.unwrap_or_default();
-                let figures = [("util", report.utilization), ("queue", report.queue_depth)];
+                let figures = [
+                    ("utilization", report.utilization),
+                    ("queue_depth", report.queue_depth),
+                ];
                 for (name, figure) in figures.iter().filter_map(|f| Some((f.0, f.1?))) {
                     let _ = write!(line, ":{name}={figure:.2}");
                 }
@@ -796,8 +660,8 @@
 
     /// The counters since they were last written, and what the balancer goes by.
     pub fn log_stats(&self) {
-        for (why, count) in self.stats.take_turned_down() {
-            self.log(format_args!("turned_down count={count} why=\"{why}\""));
+        for (reason, count) in self.stats.take_rejected_messages() {
+            self.log(format_args!("rejected count={count} reason=\"{reason}\""));
         }
         let Some((c, time)) = self.stats.take() else {
             return;
@@ -805,33 +669,33 @@
         let mut state = self.state.borrow_mut();
         let sent = std::mem::take(&mut state.sent);
         let view = state.balancer.snapshot(self.clock.now());
-        let (clients, open) = (c.accepted, self.backends.connections());
+        let (clients, open) = (c.connections_accepted, self.backends.connections());
         let mut line = format!(
-            "stats s={:.1} requests={} served={} refused={} failed={} gone={} \
-             unlogged={} in_hand={} attempts={} \
-             errors={} turned_away={} timed_out={} unreachable={} broken={} unsent={} passed_on={} \
-             cut={} accepted={clients} told_to_close={} upstream_new={} \
-             upstream_open={open} left_out={} shed={:.3} \
+            "stats seconds={:.1} requests={} served={} rejected={} failed={} client_disconnected={} \
+             unlogged={} in_flight={} attempts={} server_errors={} attempts_rejected={} \
+             timed_out={} connect_failed={} connection_reset={} not_sent={} streamed={} \
+             stream_aborted={} connections_accepted={clients} connection_close_sent={} \
+             backend_connects={} backend_connections={open} in_maintenance={} shed={:.3} \
              load={:.2} latency_ms={:.1} retry_budget={:.1}",
             time.as_secs_f64(),
             c.requests,
             c.served,
-            c.refused,
+            c.rejected,
             c.failed,
-            c.gone,
-            c.suppressed,
+            c.client_disconnected,
+            c.unlogged,
             state.ledger.len(),
             c.attempts,
-            c.errors,
-            c.turned_away,
+            c.server_errors,
+            c.attempts_rejected,
             c.timed_out,
-            c.unreachable,
-            c.broken,
-            c.unsent,
-            c.passed_on,
-            c.cut,
-            c.told_to_close,
-            c.connects,
+            c.connect_failed,
+            c.connection_reset,
+            c.not_sent,
+            c.streamed,
+            c.stream_aborted,
+            c.connection_close_sent,
+            c.backend_connects,
             self.backends.left_out(),
             view.shed_fraction,
             view.mean_load,
@@ -850,7 +714,7 @@
             let (asked, served, late) = (counts.requests, counts.served, counts.late);
             let _ = write!(
                 line,
-                " class={}:asked={asked},served={served},late={late}",
+                " class={}:requests={asked},served={served},late={late}",
                 name.escape_debug()
             );
             for (reason, count) in &counts.given_up {
@@ -869,7 +733,7 @@
         let unwritten = view.backends.len() - dealt.len().min(SERVERS_WRITTEN);
         let _ = write!(
             line,
-            " servers={} unwritten={unwritten}",
+            " backends={} omitted={unwritten}",
             view.backends.len()
         );
         for (sent, s) in dealt.into_iter().take(SERVERS_WRITTEN) {
@@ -881,13 +745,14 @@
             );
             let _ = write!(
                 line,
-                " {}:weight={:.2},price={:.2},load={load:.2},util={util:.2},queue={queue:.2},\
-                 warm={:.2},speed={:.2},share={:.2},out={},sent={sent},full={full},bad={bad}",
+                " {}:weight={:.2},price={:.2},load={load:.2},utilization={util:.2},\
+                 queue_depth={queue:.2},available_capacity={:.2},speed={:.2},share={:.2},\
+                 in_flight={},attempts={sent},rejected={full},errors={bad}",
                 s.backend, s.weight, s.price, s.available_capacity, s.speed, s.share, s.in_flight
             );
         }
         drop(state);
-        let _ = self.stats.rules.write_to(&mut line);
+        let _ = self.stats.invariants.write_to(&mut line);
         self.log(format_args!("{line}"));
     }
 
@@ -912,7 +777,7 @@
                 entry.reply.is_none(),
             );
             let end = Some((outcome, latency, None));
-            self.stats.count(|c| c.ended(outcome));
+            self.stats.count(|c| c.count_attempt_end(outcome));
             let (task, progress, place) = (None, Rc::default(), BackendIdentity::default());
             let may_have_run = false;
             entry.attempts.push(Attempt {
@@ -987,23 +852,26 @@
     /// has changed since.
     fn may_send(&self, entry: &RequestRecord, backend: &Backend) -> bool {
         if !backend.takes_new() {
-            self.stats.rules.withheld(Invariant::Drain);
+            self.stats.invariants.prevented(Invariant::Drain);
             return false;
         }
         let earlier: Vec<PriorAttempt> = entry
             .attempts
             .iter()
-            .map(|a| PriorAttempt {
-                place: a.place,
-                out: a.task.is_some(),
-                may_have_run: a.may_have_run,
+            .map(|attempt| PriorAttempt {
+                backend: attempt.place,
+                execution: match (&attempt.task, attempt.may_have_run) {
+                    (Some(_), _) => Execution::InFlight,
+                    (None, true) => Execution::Possible,
+                    (None, false) => Execution::Never,
+                },
             })
             .collect();
         let effect = self.effect(entry.class);
         let allowed =
-            send_invariants::may_repeat(effect, self.second_copies, backend.place(), &earlier);
+            send_invariants::may_retry(effect, self.second_copies, backend.place(), &earlier);
         if let Err(rule) = allowed {
-            self.stats.rules.violated(rule);
+            self.stats.invariants.violated(rule);
             debug_assert!(false, "{rule:?}: {}", printable(&entry.id));
         }
         allowed.is_ok()
@@ -1081,30 +949,6 @@
             }
         });
     }
-
-    /// Starts a watch, unless one is being opened or is open already. Where lists come only when
-    /// asked for there is but one, and its end is told as a failed call.
-    fn watch(&self, state: &mut State) {
-        if state.watch.as_ref().is_some_and(|task| !task.is_finished()) {
-            return;
-        }
-        let (me, asked, address) = (self.me.clone(), self.asked, self.discovery.get());
-        let task = spawn_local(async move {
-            let Some(engine) = me.upgrade() else { return };
-            if !asked {
-                return client::follow(engine, address).await;
-            }
-            let error = client::watch_once(&engine, address).await;
-            if engine.discovery() == address {
-                engine.log(format_args!("watch: {error}"));
-                engine.handle_event(Event::EndpointList {
-                    update: ListUpdate::Failed,
-                    endpoints: Vec::new(),
-                });
-            }
-        });
-        state.watch = Some(task.abort_handle());
-    }
 }
 
 /// An attempt's time, which runs from the last byte of its request.
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -1,16 +1,18 @@
 //! The servers' side: their addresses and states, connections to them, and what is sent over these.
 
-use crate::discovery::client::{EndpointList, EndpointPhase, ListedEndpoint};
-use crate::http1::head_filter::{
-    self, Expected, Head, HeadFilter, MessagePolicy, Problem, HELD_BODY,
-};
-use crate::http1::streaming::{
-    buffer_body, RequestBody, RequestBodyStream, StreamOutcome, StreamingResponse,
-};
+use crate::discovery::wire::{EndpointList, EndpointPhase, ListedEndpoint};
+use crate::http1::body::{buffer_body, BufferedPart};
+use crate::http1::download::{StreamOutcome, StreamingResponse};
+use crate::http1::error::MessageError;
+use crate::http1::framing::{parse_response_head, Expected, Head};
+use crate::http1::head_filter::{HeadFilter, MessagePolicy};
+use crate::http1::limits::MAX_BUFFERED_BODY_BYTES;
+use crate::http1::upload::{RequestBody, RequestBodyStream};
 use crate::metrics::Metrics;
 use crate::operator_state::store::OperatorState;
 use crate::resizable_semaphore::ResizableSemaphore;
 use crate::send_invariants::{self, AttemptFacts, BackendIdentity, Invariant};
+use crate::socket::is_open_and_drained;
 use crate::start_times::StartTimes;
 use crate::transient_errors;
 use balancer::{
@@ -24,7 +26,7 @@
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashMap;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, Visitor};
-use settings::{Field, Names};
+use settings::{LoadReportField, SettingNames};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -76,7 +78,10 @@
     /// Where it stands.
     pub fn place(&self) -> BackendIdentity {
         let (zone, _, cell) = self.place.get();
-        BackendIdentity { zone: zone.0, cell }
+        BackendIdentity {
+            zone,
+            cell: balancer::CellId(cell),
+        }
     }
 
     /// Whether anything new may go there.
@@ -129,7 +134,7 @@
             && self
                 .socket
                 .upgrade()
-                .is_some_and(|s| head_filter::quiet(&s))
+                .is_some_and(|socket| is_open_and_drained(&socket))
     }
 }
 
@@ -156,20 +161,17 @@
 }
 
 impl MessagePolicy for ResponsePolicy {
-    const BETWEEN: Expected = Expected::Nothing;
+    const BETWEEN_MESSAGES: Expected = Expected::Nothing;
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        head_filter::answer_head(bytes)
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, MessageError> {
+        parse_response_head(bytes)
     }
 
-    fn reject(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
-        Err(std::io::Error::new(
-            std::io::ErrorKind::InvalidData,
-            problem.1,
-        ))
+    fn reject(&self, error: MessageError) -> std::io::Result<&'static [u8]> {
+        Err(std::io::Error::new(std::io::ErrorKind::InvalidData, error))
     }
 
-    fn more(&self) {
+    fn bytes_follow_message(&self) {
         self.more.set(true);
     }
 
@@ -271,8 +273,8 @@
 /// All servers and the connections to them.
 pub struct BackendRegistry {
     limits: Limits,
-    names: Names,
-    fields: Vec<Field>,
+    names: SettingNames,
+    fields: Vec<LoadReportField>,
     slots: ResizableSemaphore,
     by_name: RefCell<FxHashMap<String, Rc<Backend>>>,
     by_id: RefCell<FxHashMap<BackendId, Rc<Backend>>>,
@@ -291,7 +293,7 @@
 
 impl BackendRegistry {
     /// Starts with no servers.
-    pub fn new(limits: Limits, names: Names, fields: Vec<Field>) -> Self {
+    pub fn new(limits: Limits, names: SettingNames, fields: Vec<LoadReportField>) -> Self {
         BackendRegistry {
             slots: ResizableSemaphore::new(limits.connections),
             limits,
@@ -318,11 +320,11 @@
 
     /// Connections open, or about to be.
     pub fn connections(&self) -> usize {
-        self.slots.taken()
+        self.slots.in_use()
     }
 
     /// The names that the settings give to classes, tenants and so on.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
@@ -338,13 +340,16 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let mut starts = self.starts.borrow_mut();
-        starts.hear(now, list.members.iter().map(ListedEndpoint::stamp));
+        starts.observe_timestamps(
+            now,
+            list.endpoints.iter().map(ListedEndpoint::start_timestamp),
+        );
         let mut by_name = self.by_name.borrow_mut();
         let mut by_id = self.by_id.borrow_mut();
         let word = self.word.borrow();
-        if list.complete {
+        if list.is_snapshot {
             let named: rustc_hash::FxHashSet<&str> =
-                list.members.iter().map(|m| m.id.as_str()).collect();
+                list.endpoints.iter().map(|m| m.name.as_str()).collect();
             by_name.retain(|name, server| {
                 let stays = named.contains(name.as_str());
                 if !stays {
@@ -355,28 +360,28 @@
                 stays
             });
         }
-        let mut entries = Vec::with_capacity(list.members.len());
-        for member in &list.members {
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for member in &list.endpoints {
             let listed = match member.phase {
                 EndpointPhase::Active => EndpointState::Active,
-                EndpointPhase::Leaving => EndpointState::Draining,
-                EndpointPhase::Left => EndpointState::Removed,
+                EndpointPhase::Draining => EndpointState::Draining,
+                EndpointPhase::Removed => EndpointState::Removed,
             };
-            let started = starts.started(now, wall, &member.id, member.stamp());
-            let state = state(&word, &member.id, listed);
-            let server = match (by_name.get(&member.id), member.host_port) {
+            let started = starts.start_of(now, wall, &member.name, member.start_timestamp());
+            let state = state(&word, &member.name, listed);
+            let server = match (by_name.get(&member.name), member.address) {
                 (Some(server), _) => server.clone(),
                 (None, Some(address)) if state != EndpointState::Removed => {
                     let id = BackendId(self.next_id.get());
                     self.next_id.set(id.0.wrapping_add(1));
                     let server = Rc::new(Backend {
                         id,
-                        name: member.id.clone(),
+                        name: member.name.clone(),
                         address: Cell::new(address),
                         listed: Cell::new(listed),
                         state: Cell::new(state),
                         started: Cell::new(started),
-                        weight: Cell::new(member.size),
+                        weight: Cell::new(member.weight),
                         generation: Cell::new(0),
                         idle: RefCell::default(),
                         place: Cell::default(),
@@ -389,19 +394,19 @@
             };
             server.listed.set(listed);
             server.state.set(state);
-            server.weight.set(member.size);
+            server.weight.set(member.weight);
             if state == EndpointState::Removed {
                 server.abandon_connections();
-                by_name.remove(&member.id);
+                by_name.remove(&member.name);
                 by_id.remove(&server.id);
             } else {
                 server.place.set((
-                    ZoneId(position(&self.names.zones, &member.locality)),
-                    MachineTypeId(position(&self.names.kinds, &member.flavor)),
+                    ZoneId(position(&self.names.zones, &member.zone)),
+                    MachineTypeId(position(&self.names.machine_types, &member.machine_type)),
                     member.cell,
                 ));
                 let moved = member
-                    .host_port
+                    .address
                     .is_some_and(|a| server.address.replace(a) != a);
                 // What was connected to the process before this one is dead, whether or not it says
                 // so.
@@ -414,7 +419,7 @@
             entries.push(server.entry());
         }
         if source == Source::Discovery {
-            starts.followed(by_name.len(), |name| by_name.contains_key(name));
+            starts.list_applied(by_name.len(), |name| by_name.contains_key(name));
         }
         entries
     }
@@ -425,12 +430,12 @@
     pub fn apply_operator_state(&self, now: Time, word: &OperatorState) -> Vec<Endpoint> {
         *self.word.borrow_mut() = word.clone();
         let mut starts = self.starts.borrow_mut();
-        starts.hear_returned(now, word.returned.iter());
+        starts.observe_returned(now, word.returned_from_maintenance.iter());
         let mut changed = Vec::new();
         for server in self.by_id.borrow().values() {
             let (before, since) = (server.state.get(), server.started.get());
             let state = state(word, &server.name, server.listed.get());
-            let started = since.max(starts.returned(&server.name));
+            let started = since.max(starts.returned_at(&server.name));
             if (state, started) == (before, since) {
                 continue;
             }
@@ -453,13 +458,13 @@
     pub fn warmed_up(&self, now: Time, name: &str, warm_up: Duration) -> bool {
         self.starts
             .borrow()
-            .returned(name)
+            .returned_at(name)
             .is_some_and(|heard| now - heard >= warm_up)
     }
 
     /// How many backends are left out.
     pub fn left_out(&self) -> usize {
-        self.word.borrow().out.len()
+        self.word.borrow().in_maintenance.len()
     }
 
     // ---- connections ----
@@ -472,7 +477,7 @@
         }
         let permit = self.slot().await.ok_or(AttemptOutcome::NotSent)?;
         let generation = server.generation.get();
-        self.stats.count(|c| c.connects += 1);
+        self.stats.count(|c| c.backend_connects += 1);
         let connect = connect_despite_shortage(server.address.get());
         let stream = match timeout(self.limits.connect_timeout, connect).await {
             Ok(Ok(stream)) => stream,
@@ -485,7 +490,7 @@
         // Word may have come meanwhile that the server moved or restarted: what answers at the
         // address that it had is another's, or gone.
         if generation != server.generation.get() {
-            self.stats.rules.withheld(Invariant::Drain);
+            self.stats.invariants.prevented(Invariant::Drain);
             return Err(AttemptOutcome::NotSent);
         }
         let _ = stream.set_nodelay(true);
@@ -532,20 +537,20 @@
     /// Room for one more connection, made if need be by closing the one that has been idle the
     /// longest.
     async fn slot(&self) -> Option<OwnedSemaphorePermit> {
-        if let Some(permit) = self.slots.take() {
+        if let Some(permit) = self.slots.try_acquire() {
             return Some(permit);
         }
         self.close_longest_idle();
         // The slot comes free once the driver of that connection has been dropped, in its next
         // turn.
         tokio::task::yield_now().await;
-        self.slots.take()
+        self.slots.try_acquire()
     }
 
     /// From now on there may be so many connections. Idle ones beyond that are closed at once,
     /// others once they end.
     pub fn resize(&self, connections: usize) {
-        let beyond = self.slots.taken().saturating_sub(connections);
+        let beyond = self.slots.in_use().saturating_sub(connections);
         self.slots.resize(connections);
         (0..beyond).for_each(|_| self.close_longest_idle());
     }
@@ -606,7 +611,7 @@
     ) -> Exchange {
         let (head, body) = request.into_parts();
         // What can't be sent again isn't.
-        let Some(sending) = body.sending() else {
+        let Some(sending) = body.new_stream() else {
             return Exchange::failed(AttemptOutcome::NotSent);
         };
         let limit = until.saturating_duration_since(Instant::now());
@@ -622,14 +627,14 @@
             let (to, stats, asked) = (server.clone(), self.stats.clone(), progress.clone());
             let check = move |told: Option<Instant>| {
                 let facts = AttemptFacts {
-                    server_takes_new: to.takes_new() && to.generation.get() == generation,
-                    client_waits: asked.get() != Progress::Revoked && (terms.client_waits)(),
-                    until: time_runs.then_some(until),
-                    told: told.filter(|_| time_runs),
-                    repeat_by: terms.repeat_by,
+                    backend_accepts: to.takes_new() && to.generation.get() == generation,
+                    client_waiting: asked.get() != Progress::Revoked && (terms.client_waits)(),
+                    deadline: time_runs.then_some(until),
+                    timeout_computed_at: told.filter(|_| time_runs),
+                    retry_until: terms.repeat_by,
                 };
-                send_invariants::may_begin(Instant::now(), &facts)
-                    .inspect_err(|rule| stats.rules.withheld(*rule))
+                send_invariants::may_send(Instant::now(), &facts)
+                    .inspect_err(|rule| stats.invariants.prevented(*rule))
             };
             // Connecting took time, in which anything may have changed; and some more passes before
             // the writing.
@@ -673,11 +678,11 @@
             // Where the last byte was not written, nothing has run; and if that is the client's
             // doing, it says nothing of the server.
             AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
-                if upload.problem().is_some() =>
+                if upload.error().is_some() =>
             {
                 Exchange::failed(AttemptOutcome::NotSent)
             }
-            AttemptOutcome::ConnectionReset if !upload.whole() => Exchange {
+            AttemptOutcome::ConnectionReset if !upload.is_complete() => Exchange {
                 outcome: AttemptOutcome::ConnectFailed,
                 ..exchange
             },
@@ -729,18 +734,20 @@
         let large = body
             .size_hint()
             .exact()
-            .map(|length| length > HELD_BODY as u64);
+            .map(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
         let whole = if let Some(true) = large {
             false
         } else {
             let holding = buffer_body(&mut held, &mut body);
             // Who waits for it to be whole could wait for as long as a trickle lasts.
             let held = match large {
-                None if served => timeout(HELD_FOR, holding).await.unwrap_or(Ok(false)),
+                None if served => timeout(HELD_FOR, holding)
+                    .await
+                    .unwrap_or(Ok(BufferedPart::Incomplete)),
                 _ => holding.await,
             };
             match held {
-                Ok(whole) => whole,
+                Ok(part) => part == BufferedPart::Complete,
                 Err(error) => return Exchange::broken(&error),
             }
         };
@@ -810,12 +817,12 @@
             match self
                 .0
                 .names
-                .fields
+                .load_report_fields
                 .iter()
                 .position(|f| *f == name)
                 .and_then(|at| self.0.fields.get(at))
             {
-                Some(field) => field.put(values.next_value()?, &mut report),
+                Some(field) => field.set(&mut report, values.next_value()?),
                 None => drop(values.next_value::<IgnoredAny>()?),
             }
         }
@@ -861,7 +868,7 @@
 /// A server's state by a list, under what operators have said of it.
 fn state(word: &OperatorState, name: &str, listed: EndpointState) -> EndpointState {
     match listed {
-        EndpointState::Active if word.out.contains(name) => EndpointState::Draining,
+        EndpointState::Active if word.in_maintenance.contains(name) => EndpointState::Draining,
         listed => listed,
     }
 }
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -58,7 +58,7 @@
         };
         tokio::select! {
             () = sent => panic!("{class} was sent on"),
-            line = proxy.wait_for_log("stats ") => assert!(line.contains(" gone=1 ") && line.contains(" in_hand=0 "), "{line}"),
+            line = proxy.wait_for_log("stats ") => assert!(line.contains(" client_disconnected=1 ") && line.contains(" in_flight=0 "), "{line}"),
         }
         let mut client = proxy.connect().await;
         client.send_with_id("left", class, "20000m").await;
@@ -212,7 +212,7 @@
     }
 }
 
-/// A client may send more than the system takes in for the proxy, and go: its close comes `trailing_bytes` all
+/// A client may send more than the system takes in for the proxy, and go: its close comes behind all
 /// that.
 #[tokio::test]
 async fn disconnect_after_endless_sending_is_detected() {
@@ -225,6 +225,6 @@
     drop(client);
     while !within("the leaving to be counted", proxy.wait_for_log("stats "))
         .await
-        .contains(" gone=1 ")
+        .contains(" client_disconnected=1 ")
     {}
 }
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -416,7 +416,7 @@
         }
         let line = proxy.wait_for_log("stats ").await;
         assert!(
-            line.contains(&format!(" servers={count} ")) && line.len() < 16 << 10,
+            line.contains(&format!(" backends={count} ")) && line.len() < 16 << 10,
             "{line}"
         );
     }
--- a/crates/proxy/tests/slow_start.rs
+++ b/crates/proxy/tests/slow_start.rs
@@ -11,7 +11,7 @@
     let (_, rest) = line
         .split_once(&format!(" {server}:weight="))
         .expect("the server's figures");
-    let (_, rest) = rest.split_once("warm=").expect("its warmth");
+    let (_, rest) = rest.split_once("available_capacity=").expect("its warmth");
     rest.split(',')
         .next()
         .and_then(|figure| figure.parse().ok())
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -197,9 +197,9 @@
             .expect("a connection");
     }
     assert_eq!(client.read().await.expect("an answer").status(), 503);
-    let line = proxy.wait_for_log(" withheld_").await;
+    let line = proxy.wait_for_log(" prevented_").await;
     assert!(
-        line.contains("stats ") && line.contains(" withheld_Drain="),
+        line.contains("stats ") && line.contains(" prevented_Drain="),
         "{line}"
     );
 }
