--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,13 +1,14 @@
-//! The list of servers: its form on the wire, and the watch that follows its changes.
+//! Calls to discovery: one that fetches a snapshot of the endpoint list, and one that watches it.
 
-use super::json_lines::{DecodeError, JsonLineDecoder, LONGEST_LINE};
+use super::json_lines::{DecodeError, JsonLineDecoder, MAX_OBJECT_BYTES};
 use super::state::DiscoveryState;
 use super::wire::{EndpointList, InvalidList};
 use crate::socket::Socket;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
+use hyper::body::Incoming;
 use hyper::client::conn::http1;
-use hyper::{Request, StatusCode};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
 use std::future::Future;
@@ -17,36 +18,38 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// An empty line is due every 2 s, and what a silent watch misses counts as told 6 s after it fell
-/// silent. One that has been silent for this long is taken for dead: that leaves time for one more
-/// that answers and then says nothing, and for the next after it.
+/// Path of the endpoint list.
+const LIST_PATH: &str = "/registry/instances";
+/// A watch from which nothing comes for this long is given up. Discovery sends an empty line every
+/// 2 s.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// For the connection to come up and the answer to begin, on request, where a call may have to wait
-/// for its turn; and the most for a whole list.
+/// For the connection and the head of the response, where discovery may queue calls; and for a whole
+/// snapshot.
 pub const OPENING_TIMEOUT: Duration = SILENCE_TIMEOUT;
-/// The same where lists are pushed, for the first try: what is known there counts as told, watch or
-/// no watch. Each failed try doubles it, up to the other.
+/// The same for the first attempt where lists are pushed. Each further attempt has twice as long, up
+/// to [`OPENING_TIMEOUT`].
 pub const INITIAL_OPENING_TIMEOUT: Duration = Duration::from_millis(300);
-/// For the connection to come up.
-const CONNECT: Duration = Duration::from_secs(1);
-/// For what came while the whole node was held up.
-const LAST_CHANCE: Duration = Duration::from_millis(5);
-/// How a watch ended.
+/// For the connection alone.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// After a timeout, for what came while the whole process was suspended.
+const RESUME_GRACE: Duration = Duration::from_millis(5);
+
+/// Why a call to discovery failed or ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// No connection.
+    /// There is no connection.
     #[error("no connection: {0}")]
     Connect(std::io::Error),
-    /// Nothing came, not even an empty line.
+    /// Nothing came for too long, not even an empty line.
     #[error("silent for too long")]
     Silent,
-    /// The connection broke or spoke no HTTP.
+    /// The connection broke, or the peer does not speak HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The call was turned away.
+    /// The call was rejected.
     #[error("answered {0}")]
     Status(StatusCode),
-    /// Discovery ended it.
+    /// Discovery ended the watch.
     #[error("ended")]
     Ended,
     /// What came cannot be split into lists.
@@ -55,10 +58,10 @@
     /// What came is not an endpoint list.
     #[error("unusable line: {0}")]
     List(#[from] InvalidList),
-    /// The response to a request for a snapshot could not be read to its end.
+    /// A snapshot could not be read to its end.
     #[error("unusable line: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The response to a request for a snapshot is a delta.
+    /// A delta came where a snapshot was asked for.
     #[error("unusable line: the list is not complete")]
     NotSnapshot,
 }
@@ -70,186 +73,203 @@
     }
 }
 
-/// Opens one watch from the version held on, which may take so long, and hands on what it brings
-/// until it ends.
+/// Opens one watch, from the revision held on, and publishes what it brings. Returns why it ended.
+///
+/// `opening_timeout` is for the connection and the head of the response.
+///
+/// # Cancellation
+///
+/// Dropping the future ends the call, except for one that was given up as unanswered:
+/// [`DiscoveryState`] keeps that for a while.
 pub async fn watch(
     state: &Rc<DiscoveryState>,
     address: SocketAddr,
-    opening: Duration,
+    opening_timeout: Duration,
 ) -> WatchError {
     if state.needs_snapshot() {
-        // The version held comes from another address and may mean anything here, also one that is
+        // The revision held comes from another address and may mean anything here, also one that is
         // newer.
         let call = DiscoveryCall::new(state, address, OPENING_TIMEOUT);
-        if let Err(error) = call.clone().hear(fetch(call)).await {
+        if let Err(error) = call.clone().drive(fetch_snapshot(call)).await {
             return error;
         }
     }
-    let call = DiscoveryCall::new(state, address, opening);
-    match call.clone().hear(run_watch(call)).await {
+    let call = DiscoveryCall::new(state, address, opening_timeout);
+    match call.clone().drive(run_watch(call)).await {
         Ok(()) => WatchError::Ended,
         Err(error) => error,
     }
 }
 
-/// One call to discovery, and how long it may still be silent.
+/// One call to discovery. Clones are of the same call.
 #[derive(Clone)]
 struct DiscoveryCall {
     state: Rc<DiscoveryState>,
     address: SocketAddr,
-    /// By when it has to say something.
-    silent_until: Rc<Cell<Instant>>,
-    /// It was given up for its silence, and what it may still say is heard beside another call.
-    given_up: Rc<Cell<bool>>,
+    /// By when something has to come.
+    deadline: Rc<Cell<Instant>>,
+    /// Whether the call was given up as unanswered, so that what it may still bring comes beside
+    /// other calls.
+    is_given_up: Rc<Cell<bool>>,
 }
 
 impl DiscoveryCall {
-    fn new(state: &Rc<DiscoveryState>, address: SocketAddr, patience: Duration) -> Self {
-        let silent_until = Rc::new(Cell::new(Instant::now() + patience));
+    /// A call that is given up unless something comes within `response_timeout`.
+    fn new(state: &Rc<DiscoveryState>, address: SocketAddr, response_timeout: Duration) -> Self {
         DiscoveryCall {
             state: state.clone(),
             address,
-            silent_until,
-            given_up: Rc::default(),
+            deadline: Rc::new(Cell::new(Instant::now() + response_timeout)),
+            is_given_up: Rc::default(),
         }
     }
 
-    /// It has said something, and has to say more within [`SILENCE_TIMEOUT`].
-    fn has_spoken(&self) {
-        self.silent_until.set(Instant::now() + SILENCE_TIMEOUT);
+    /// Notes that something has come. More has to come within [`SILENCE_TIMEOUT`].
+    fn extend_deadline(&self) {
+        self.deadline.set(Instant::now() + SILENCE_TIMEOUT);
     }
 
-    /// Hands on a list.
-    fn tell(&self, list: &EndpointList) {
-        // Of a call that was given up only what is not older than all that was heard since counts.
-        // A whole list of the same version may name fewer: it leaves out what drains.
-        let awaited = self.state.needs_snapshot() && list.is_snapshot;
-        if !self.given_up.get() || awaited || list.revision >= self.state.revision() {
+    /// Publishes a list that has come.
+    fn publish(&self, list: &EndpointList) {
+        // Of a call that was given up a list counts if it is not older than what came since. One of
+        // the same revision counts: a snapshot may name fewer endpoints, since it leaves out those
+        // that drain.
+        let is_awaited = self.state.needs_snapshot() && list.is_snapshot;
+        let is_current = list.revision >= self.state.revision();
+        if !self.is_given_up.get() || is_awaited || is_current {
             self.state.publish(list, self.address);
         }
-        if !self.given_up.get() {
+        if !self.is_given_up.get() {
             self.state.drop_unanswered_call();
         }
     }
 
-    /// Follows a conversation to its end, or until it has been silent for too long. What discovery
-    /// has written counts as told, whether or not the node still waits for it: a silent
-    /// conversation is heard on beside the next one.
-    async fn hear(
+    /// Runs the call's exchange to its end, or until nothing comes for too long. The exchange goes on
+    /// beside the next call then: what discovery has sent has to be applied, whether or not the
+    /// proxy still waits for it.
+    async fn drive(
         self,
-        conversation: impl Future<Output = Result<(), WatchError>> + 'static,
+        exchange: impl Future<Output = Result<(), WatchError>> + 'static,
     ) -> Result<(), WatchError> {
-        let mut conversation = Box::pin(conversation);
+        let mut exchange = Box::pin(exchange);
         loop {
-            let by = self.silent_until.get();
-            if let Ok(ended) = timeout_at(by, conversation.as_mut()).await {
-                return ended;
+            let deadline = self.deadline.get();
+            if let Ok(result) = timeout_at(deadline, exchange.as_mut()).await {
+                return result;
             }
-            if self.silent_until.get() > by {
+            if self.deadline.get() > deadline {
                 continue;
             }
-            // Something may have come while the whole node was held up: the system is asked once
-            // more.
-            if let Ok(ended) = timeout(LAST_CHANCE, conversation.as_mut()).await {
-                return ended;
+            // Something may have come while the whole process was suspended.
+            if let Ok(result) = timeout(RESUME_GRACE, exchange.as_mut()).await {
+                return result;
             }
-            if self.silent_until.get() <= Instant::now() {
+            if self.deadline.get() <= Instant::now() {
                 break;
             }
         }
-        self.given_up.set(true);
-        self.state.keep_unanswered_call(self.address, conversation);
+        self.is_given_up.set(true);
+        self.state.keep_unanswered_call(self.address, exchange);
         Err(WatchError::Silent)
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<Socket, WatchError> {
-    match timeout(CONNECT, TcpStream::connect(address)).await {
-        Ok(stream) => stream.map(Socket).map_err(WatchError::Connect),
-        Err(_) => Err(WatchError::Silent),
-    }
-}
-
-fn request(address: SocketAddr, query: &str) -> Request<Empty<Bytes>> {
-    let request =
-        Request::get(format!("/registry/instances{query}")).header("host", address.to_string());
-    request
-        .body(Empty::new())
-        .expect("a fixed path and an address are valid")
-}
-
-/// Drives a connection and a dialogue on it. The connection comes first: what it has brought is
-/// read before any of the dialogue's timers, and before its own end is noticed.
-async fn converse<T>(
-    connection: impl Future,
-    dialogue: impl Future<Output = Result<T, WatchError>>,
-) -> Result<T, WatchError> {
-    let mut dialogue = std::pin::pin!(dialogue);
-    tokio::select! {
-        biased;
-        _ = connection => {}
-        ended = dialogue.as_mut() => return ended,
-    }
-    dialogue.await
-}
-
-/// Asks for the whole list, once.
-async fn fetch(call: DiscoveryCall) -> Result<(), WatchError> {
-    let (mut sender, connection) =
-        http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
-    let dialogue = async {
-        let response = sender.send_request(request(call.address, "")).await?;
-        if response.status() != StatusCode::OK {
-            return Err(WatchError::Status(response.status()));
-        }
-        let body = Limited::new(response.into_body(), LONGEST_LINE)
+/// Fetches a snapshot.
+async fn fetch_snapshot(call: DiscoveryCall) -> Result<(), WatchError> {
+    let (mut sender, connection) = open_connection(call.address).await?;
+    let exchange = async {
+        let response = send_request(&mut sender, call.address, "").await?;
+        let body = Limited::new(response.into_body(), MAX_OBJECT_BYTES)
             .collect()
-            .await;
-        let list = EndpointList::parse(&body.map_err(WatchError::Body)?.to_bytes())?;
+            .await
+            .map_err(WatchError::Body)?;
+        let list = EndpointList::parse(&body.to_bytes())?;
         if !list.is_snapshot {
             return Err(WatchError::NotSnapshot);
         }
-        call.tell(&list);
+        call.publish(&list);
         Ok(())
     };
-    converse(connection, dialogue).await
+    drive_connection(connection, exchange).await
 }
 
+/// Watches the list from the revision held on, until discovery ends the watch.
 async fn run_watch(call: DiscoveryCall) -> Result<(), WatchError> {
-    let (mut sender, connection) =
-        http1::handshake(TokioIo::new(connect(call.address).await?)).await?;
-    // The connection is driven here, so that nothing of it outlives the watch.
-    let dialogue = async {
-        let since = call.state.revision();
-        let request = request(call.address, &format!("?follow=1&since={since}"));
-        let response = sender.send_request(request).await?;
-        if response.status() != StatusCode::OK {
-            return Err(WatchError::Status(response.status()));
-        }
-        if !call.given_up.get() {
+    let (mut sender, connection) = open_connection(call.address).await?;
+    let exchange = async {
+        let query = format!("?follow=1&since={}", call.state.revision());
+        let response = send_request(&mut sender, call.address, &query).await?;
+        if !call.is_given_up.get() {
             call.state.watch_opened();
         }
-        let mut body = response.into_body();
-        let mut held = JsonLineDecoder::default();
-        call.has_spoken();
-        // A machine that vanishes leaves its connections open and silent: only the clock tells. So
-        // it does of a list that has begun and does not end, whatever else comes.
-        while let Some(frame) = body.frame().await {
-            let Ok(data) = frame?.into_data() else {
-                continue;
-            };
-            if !held.begun() {
-                call.has_spoken();
-            }
-            held.extend(&data);
-            // After a bad one the next may rest on what it said: a new watch starts from the last
-            // good one.
-            while let Some(document) = held.next()? {
-                call.tell(&EndpointList::parse(&document)?);
-                call.has_spoken();
-            }
-        }
-        Ok(())
+        call.extend_deadline();
+        receive_lists(&call, response.into_body()).await
     };
-    converse(connection, dialogue).await
+    drive_connection(connection, exchange).await
+}
+
+/// Publishes the lists of a watch, until discovery ends it.
+async fn receive_lists(call: &DiscoveryCall, mut body: Incoming) -> Result<(), WatchError> {
+    let mut decoder = JsonLineDecoder::default();
+    while let Some(frame) = body.frame().await {
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
+        // A list that has begun has to end in time, whatever comes of it meanwhile.
+        if !decoder.is_mid_object() {
+            call.extend_deadline();
+        }
+        decoder.extend(&data);
+        // An invalid list ends the watch, since the next one may build on it: a new watch starts
+        // from the last valid one.
+        while let Some(object) = decoder.next_object()? {
+            call.publish(&EndpointList::parse(&object)?);
+            call.extend_deadline();
+        }
+    }
+    Ok(())
+}
+
+/// A connection to discovery, which does nothing unless it is driven.
+type Connection = http1::Connection<TokioIo<Socket>, Empty<Bytes>>;
+type RequestSender = http1::SendRequest<Empty<Bytes>>;
+
+async fn open_connection(address: SocketAddr) -> Result<(RequestSender, Connection), WatchError> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+        .await
+        .map_err(|_| WatchError::Silent)?
+        .map_err(WatchError::Connect)?;
+    Ok(http1::handshake(TokioIo::new(Socket(stream))).await?)
+}
+
+/// Asks for the endpoint list, and returns the response once its head is there.
+async fn send_request(
+    sender: &mut RequestSender,
+    address: SocketAddr,
+    query: &str,
+) -> Result<Response<Incoming>, WatchError> {
+    let request = Request::get(format!("{LIST_PATH}{query}"))
+        .header("host", address.to_string())
+        .body(Empty::new())
+        .expect("a fixed path and an address are valid");
+    let response = sender.send_request(request).await?;
+    match response.status() {
+        StatusCode::OK => Ok(response),
+        status => Err(WatchError::Status(status)),
+    }
+}
+
+/// Drives a connection and an exchange on it. The connection is polled first: what it has brought is
+/// read before any of the exchange's timers, and before its own end is noticed.
+async fn drive_connection<T>(
+    connection: impl Future,
+    exchange: impl Future<Output = Result<T, WatchError>>,
+) -> Result<T, WatchError> {
+    let mut exchange = std::pin::pin!(exchange);
+    tokio::select! {
+        biased;
+        _ = connection => {}
+        result = exchange.as_mut() => return result,
+    }
+    exchange.await
 }
--- a/crates/proxy/src/discovery/json_lines.rs
+++ b/crates/proxy/src/discovery/json_lines.rs
@@ -1,104 +1,134 @@
-//! Splits a stream of JSON objects into single ones.
+//! Splits a stream of JSON objects into single ones, however they are indented and however the
+//! stream is cut.
 
 use bytes::{Buf, BytesMut};
 use serde::de::IgnoredAny;
 
-/// Longest list that is taken in.
-pub const LONGEST_LINE: usize = 4 << 20;
+/// Longest object that is accepted.
+pub const MAX_OBJECT_BYTES: usize = 4 << 20;
 
 /// Why a stream cannot be decoded any further.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// An object has to begin with a brace.
+    /// Something else than an object begins.
     #[error("no list begins like this")]
-    NoObject,
-    /// An object exceeds [`LONGEST_LINE`].
-    #[error("over {LONGEST_LINE} bytes")]
+    NotObject,
+    /// An object exceeds [`MAX_OBJECT_BYTES`].
+    #[error("over {MAX_OBJECT_BYTES} bytes")]
     TooLong,
     /// What has come of an object cannot be the beginning of any.
     #[error("{0}")]
-    Json(#[from] serde_json::Error),
+    InvalidJson(#[from] serde_json::Error),
 }
 
-/// Takes a stream of JSON objects apart, however it is cut and indented.
+/// Where in the JSON a byte stands.
+#[derive(Clone, Copy, Default)]
+enum Context {
+    /// Outside of strings.
+    #[default]
+    Structure,
+    /// In a string.
+    String,
+    /// In a string, after a backslash.
+    Escape,
+}
+
+/// Decoder that takes the stream in parts and gives back complete objects.
 #[derive(Default)]
 pub struct JsonLineDecoder {
-    held: BytesMut,
-    /// So much of it was looked at ...
-    searched: usize,
-    /// ... with so many braces and brackets open there, ...
+    /// What has come of the present object and behind it.
+    buffer: BytesMut,
+    /// Bytes of `buffer` that were scanned for the end of the object.
+    scanned: usize,
+    /// Braces and brackets that are open at `scanned`.
     depth: usize,
-    /// ... and whether inside a string, and there behind a backslash.
-    string: bool,
-    escaped: bool,
-    /// Of what is not whole so much was found to be good JSON so far.
-    sound: usize,
+    /// Where the byte at `scanned` stands.
+    context: Context,
+    /// Bytes of `buffer` that were found to be the beginning of valid JSON.
+    validated: usize,
 }
 
 impl JsonLineDecoder {
-    /// Whether one has begun.
-    pub fn begun(&self) -> bool {
+    /// Whether an object has begun and is not complete.
+    pub fn is_mid_object(&self) -> bool {
         self.depth > 0
     }
 
+    /// Appends a part of the stream.
     pub fn extend(&mut self, data: &[u8]) {
-        self.held.extend_from_slice(data);
+        self.buffer.extend_from_slice(data);
     }
 
-    /// The next whole one. What can't become one is an error at once, as far as that shows.
-    pub fn next(&mut self) -> Result<Option<BytesMut>, DecodeError> {
-        while let Some(&byte) = self.held.get(self.searched) {
+    /// The next complete object, if it has come.
+    ///
+    /// # Errors
+    ///
+    /// Fails as soon as it shows that what has come cannot become an object, which may be before its
+    /// end. The decoder is of no further use then.
+    pub fn next_object(&mut self) -> Result<Option<BytesMut>, DecodeError> {
+        while let Some(&byte) = self.buffer.get(self.scanned) {
             if self.depth == 0 && byte != b'{' {
                 if !byte.is_ascii_whitespace() {
-                    return Err(DecodeError::NoObject);
+                    return Err(DecodeError::NotObject);
                 }
-                self.held.advance(1);
+                self.buffer.advance(1);
                 continue;
             }
-            self.searched += 1;
-            match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' => self.escaped = self.string,
-                b'"' => self.string = !self.string,
-                b'{' | b'[' if !self.string => self.depth += 1,
-                b'}' | b']' if !self.string => self.depth -= 1,
-                // An empty line within one: the next line that says something may be another's.
-                b'\n' if self.after_empty_line() => self.check()?,
-                _ => {}
-            }
+            self.scan(byte)?;
             if self.depth == 0 {
-                let whole = self.held.split_to(std::mem::take(&mut self.searched));
-                self.sound = 0;
-                return Ok(Some(whole));
+                self.validated = 0;
+                let length = std::mem::take(&mut self.scanned);
+                return Ok(Some(self.buffer.split_to(length)));
             }
         }
-        if self.held.len() > LONGEST_LINE {
+        if self.buffer.len() > MAX_OBJECT_BYTES {
             return Err(DecodeError::TooLong);
         }
-        // Not each time: a long list may come a byte at a time.
-        if self.held.len() > 2 * self.sound {
-            self.check()?;
+        // Not at each call: a long object may come a byte at a time.
+        if self.buffer.len() > 2 * self.validated {
+            self.validate()?;
         }
         Ok(None)
     }
 
-    fn after_empty_line(&self) -> bool {
-        let before = &self.held[..self.searched - 1];
-        before.iter().rfind(|b| !matches!(b, b' ' | b'\t' | b'\r')) == Some(&b'\n')
+    /// Scans the next byte of an object.
+    fn scan(&mut self, byte: u8) -> Result<(), DecodeError> {
+        self.scanned += 1;
+        match (self.context, byte) {
+            (Context::Escape, _) | (Context::Structure, b'"') => self.context = Context::String,
+            (Context::String, b'\\') => self.context = Context::Escape,
+            (Context::String, b'"') => self.context = Context::Structure,
+            (Context::Structure, b'{' | b'[') => self.depth += 1,
+            (Context::Structure, b'}' | b']') => self.depth -= 1,
+            // An empty line within an object shows that the rest of the object is missing, unless
+            // what came so far is valid.
+            (_, b'\n') if self.ends_empty_line() => self.validate()?,
+            _ => {}
+        }
+        Ok(())
+    }
+
+    /// Whether the byte that was scanned last ends an empty line.
+    fn ends_empty_line(&self) -> bool {
+        let before = &self.buffer[..self.scanned - 1];
+        let last_visible = before
+            .iter()
+            .rfind(|byte| !matches!(byte, b' ' | b'\t' | b'\r'));
+        last_visible == Some(&b'\n')
     }
 
-    /// What has come of one has to be the beginning of some JSON.
-    fn check(&mut self) -> Result<(), DecodeError> {
-        let begun = &self.held[..self.searched];
-        // A number that is cut is no good number, and yet the beginning of one.
-        let cut = begun
+    /// Checks that what was scanned of the object is the beginning of valid JSON.
+    fn validate(&mut self) -> Result<(), DecodeError> {
+        let scanned = &self.buffer[..self.scanned];
+        // A number that is cut short may be invalid, and yet the beginning of a valid one.
+        let without_cut_number = scanned
             .iter()
             .rposition(|byte| !b"+-.0123456789eE".contains(byte))
-            .map_or(0, |at| at + 1);
-        match serde_json::from_slice::<IgnoredAny>(&begun[..cut]) {
+            .map_or(0, |last| last + 1);
+        match serde_json::from_slice::<IgnoredAny>(&scanned[..without_cut_number]) {
             Err(error) if !error.is_eof() => Err(error.into()),
-            _ => {
-                self.sound = begun.len();
+            Ok(_) | Err(_) => {
+                self.validated = scanned.len();
                 Ok(())
             }
         }
--- a/crates/proxy/src/discovery/json_lines_tests.rs
+++ b/crates/proxy/src/discovery/json_lines_tests.rs
@@ -1,35 +1,40 @@
 use super::*;
 
-fn taken(parts: &[&[u8]]) -> Result<Vec<String>, String> {
-    let (mut documents, mut all) = (JsonLineDecoder::default(), Vec::new());
+fn decode(parts: &[&[u8]]) -> Result<Vec<String>, String> {
+    let mut decoder = JsonLineDecoder::default();
+    let mut objects = Vec::new();
     for part in parts {
-        documents.extend(part);
-        while let Some(document) = documents.next().map_err(|e| e.to_string())? {
-            serde_json::from_slice::<IgnoredAny>(&document).map_err(|e| e.to_string())?;
-            all.push(String::from_utf8(document.to_vec()).expect("text"));
+        decoder.extend(part);
+        while let Some(object) = decoder.next_object().map_err(|e| e.to_string())? {
+            serde_json::from_slice::<IgnoredAny>(&object).map_err(|e| e.to_string())?;
+            objects.push(String::from_utf8(object.to_vec()).expect("text"));
         }
     }
-    Ok(all)
+    Ok(objects)
 }
 
 #[test]
-fn lists_are_told_apart_however_they_are_cut_and_indented() {
-    let one = "{\n  \"id\": \"a}]\\\"{\",\n  \"of\": [\n    {}\n  ]\n}";
-    let stream = format!("\n{one}\n\r\n{{\"b\":1}}{one}\n\n");
-    let wanted = [one, "{\"b\":1}", one];
-    assert_eq!(taken(&[stream.as_bytes()]).expect("lists"), wanted);
-    for at in 0..stream.len() {
-        let (a, b) = stream.as_bytes().split_at(at);
-        assert_eq!(taken(&[a, b]).expect("lists"), wanted, "cut at {at}");
+fn objects_are_decoded_however_the_stream_is_cut_and_indented() {
+    let object = "{\n  \"id\": \"a}]\\\"{\",\n  \"of\": [\n    {}\n  ]\n}";
+    let stream = format!("\n{object}\n\r\n{{\"b\":1}}{object}\n\n");
+    let expected = [object, "{\"b\":1}", object];
+    assert_eq!(decode(&[stream.as_bytes()]).expect("objects"), expected);
+    for cut in 0..stream.len() {
+        let (first, second) = stream.as_bytes().split_at(cut);
+        assert_eq!(
+            decode(&[first, second]).expect("objects"),
+            expected,
+            "cut at {cut}"
+        );
     }
     let bytes: Vec<&[u8]> = stream.as_bytes().chunks(1).collect();
-    assert_eq!(taken(&bytes).expect("lists"), wanted);
+    assert_eq!(decode(&bytes).expect("objects"), expected);
 }
 
-/// Also where braces are missing, lest the lists that follow are held for ever.
+/// Also where braces are missing: otherwise the objects that follow would be taken for parts of it.
 #[test]
-fn what_is_no_list_is_an_error_before_it_ends() {
-    for bad in [
+fn invalid_object_is_an_error_before_its_end() {
+    for invalid in [
         "x",
         "]",
         "[1]",
@@ -39,34 +44,34 @@
         "{\"a\":1,\n\"b\":tru\n\n",
         "{\"a\" {",
     ] {
-        assert!(taken(&[bad.as_bytes()]).is_err(), "{bad}");
+        assert!(decode(&[invalid.as_bytes()]).is_err(), "{invalid}");
     }
-    let swallowed = [
+    let unfinished = [
         "{\"revision\":1,\"members\":[",
         "\n",
         "{\"revision\":2,\"members\":[]}\n",
         "\n",
         "\n",
     ];
-    let bytes: Vec<&[u8]> = swallowed.iter().map(|s| s.as_bytes()).collect();
-    assert!(matches!(taken(&bytes), Ok(all) if all.is_empty()));
-    let bytes: Vec<&[u8]> = [swallowed.as_slice(), &["{\"revision\":3}\r\n", " \r\n"]]
+    let bytes: Vec<&[u8]> = unfinished.iter().map(|s| s.as_bytes()).collect();
+    assert!(matches!(decode(&bytes), Ok(objects) if objects.is_empty()));
+    let bytes: Vec<&[u8]> = [unfinished.as_slice(), &["{\"revision\":3}\r\n", " \r\n"]]
         .concat()
         .iter()
         .map(|s| s.as_bytes())
         .collect();
-    assert!(taken(&bytes).is_err());
+    assert!(decode(&bytes).is_err());
 }
 
-/// A list that comes a byte at a time is good at every byte, also where a number is cut.
+/// An object that comes a byte at a time is valid at every byte, also where a number is cut.
 #[test]
-fn a_list_that_is_cut_inside_a_number_is_no_bad_line() {
+fn object_that_is_cut_inside_a_number_is_valid() {
     let list = br#"{"revision":1,"complete":true,"members":[{"id":"s","host_port":"127.0.0.1:1","phase":"active","size":1.25e-1}]}"#;
     for cut in 1..list.len() {
-        let mut documents = JsonLineDecoder::default();
-        documents.extend(&list[..cut]);
-        assert!(matches!(documents.next(), Ok(None)), "cut at {cut}");
-        documents.extend(&list[cut..]);
-        assert!(matches!(documents.next(), Ok(Some(_))), "cut at {cut}");
+        let mut decoder = JsonLineDecoder::default();
+        decoder.extend(&list[..cut]);
+        assert!(matches!(decoder.next_object(), Ok(None)), "cut at {cut}");
+        decoder.extend(&list[cut..]);
+        assert!(matches!(decoder.next_object(), Ok(Some(_))), "cut at {cut}");
     }
 }
