--- a/crates/balancer/src/logic.rs
+++ b/crates/balancer/src/logic.rs
@@ -1,12 +1,12 @@
 //! Every decision of the balancer. Its settings, events and actions are in `src/interface.rs`.
 //!
-//! Each node keeps a price per server, moved by a projected dual step on reported load, and draws
-//! servers from the shares that maximise speed-valued concave utility minus price (`docs/design.md`
-//! has the symbols). Prices, shares and speeds are kept relative to the number n of ready servers:
-//! price = φ/n, lambda = λ/n, speed = ζ/n (mean 1) and share = η·n (sum n), so that no constant
-//! depends on the size of the fleet.
+//! Each node keeps a price per backend, moved by a projected dual step on reported load, and draws
+//! backends from the shares that maximise speed-valued concave utility minus price
+//! (`docs/design.md` has the symbols). Prices, shares and speeds are kept relative to the number n
+//! of ready backends: price = φ/n, lambda = λ/n, speed = ζ/n (mean 1) and share = η·n (sum n), so
+//! that no constant depends on the size of the fleet.
 
-use crate::state::{Attempt, Balancer, Line, Request, Server};
+use crate::state::{Attempt, Backend, Balancer, Request, ShareInput};
 use crate::{
     Action, AttemptOutcome, AttemptResult, BackendId, ClassId, Endpoint, EndpointState, Event,
     GiveUpReason, Idempotency, KeyScope, ListUpdate, LoadProbeResult, LoadReport, LoadReporting,
@@ -16,31 +16,31 @@
 
 // Prices. Seconds are s, loads are in capacities, prices and speeds relative to the fleet's mean.
 const TICK: f64 = 0.05; // s between price steps: well under the age of any report, finer changes nothing
-const STALE: f64 = 0.2; // own sends for each ready server after which shares are solved anew within a tick
+const STALE: f64 = 0.2; // own sends for each ready backend after which shares are solved anew within a tick
 const STEP: f64 = 0.15; // price per s and unit of excess load (ν): well damped at a second's delay
-const LOAD_FACTOR: f64 = 0.7; // part of its capacity a server advertises (ρ); lower in an idle fleet
+const LOAD_FACTOR: f64 = 0.7; // part of its capacity a backend advertises (ρ); lower in an idle fleet
 pub(crate) const REPORT_LIFE: f64 = 0.5; // s for which a report moves the price, where reports are frequent
 const REPORT_LONGEST: f64 = 4.0; // the same where they are rare: the mean time between them, at most this
 const DRIFT: f64 = 6.0; // s in which an unreported price drifts to the going one, a speed to the mean
-const FAILED_PRICE: f64 = 0.5; // price of one failure: it closes a server of mean price and speed ...
-const FAILURES: f64 = 16.0; // ... by the part of so many answers that failed: a sound server errs too
-const OWN: f64 = 0.5; // price of own attempts out at a server, relative to those usual there
-const PRICE_MOST: f64 = 1.0; // above the going price: so that no server is avoided for long
-const FLOOR: f64 = 0.1; // least price + lambda: keeps failing servers nearly closed when bounds leave no room
+const FAILED_PRICE: f64 = 0.5; // price of one failure: it closes a backend of mean price and speed ...
+const FAILURES: f64 = 16.0; // ... by the part of so many answers that failed: a sound backend errs too
+const OWN: f64 = 0.5; // price of own attempts out at a backend, relative to those usual there
+const PRICE_MOST: f64 = 1.0; // above the going price: so that no backend is avoided for long
+const FLOOR: f64 = 0.1; // least price + lambda: keeps failing backends nearly closed when bounds leave no room
 const LOAD_MOST: f64 = 4.0; // the highest that anything counts for
 const OVERDUE: f64 = 2.5; // usual latencies after which an unanswered send counts as load
 const SATURATED: f64 = 0.85; // busy part above which a report says only "at least" ...
 const EXCESS: f64 = 0.5; // ... and the load beyond it that all busy, full or timed out counts for
 const LEAST_BUSY: f64 = 0.05; // busy part from which a report tells capacity
 const PRIOR: f64 = 8.0; // trust in the mean speed, in reports of capacity
-const MEMORY: f64 = 16.0; // answers over which a server's pace is smoothed ...
-const KIND_MEMORY: f64 = 64.0; // ... and that of a machine kind, which all its servers tell
+const MEMORY: f64 = 16.0; // answers over which a backend's pace is smoothed ...
+const KIND_MEMORY: f64 = 64.0; // ... and that of a machine kind, which all its backends tell
 pub(crate) const KIND_PRIOR: f64 = 6.0; // trust in the kind's pace, in answers
-const NEWS: f64 = 1.0; // s in which a node wants to hear, by answers, of each server it deals with ...
+const NEWS: f64 = 1.0; // s in which a node wants to hear, by answers, of each backend it deals with ...
 const LEAST_OPEN: f64 = 5.0; // ... and the fewest that it deals with for a class
-const CLOSED: f64 = 0.25; // price above the going one from which a server doesn't count among these
-const ADMIT: f64 = 0.72; // part of its measured capacity that a server is asked for; reports miss the rest
-const UNKNOWN: f64 = 0.4; // part of the mean capacity that a server not heard of yet is trusted with
+const CLOSED: f64 = 0.25; // price above the going one from which a backend doesn't count among these
+const ADMIT: f64 = 0.72; // part of its measured capacity that a backend is asked for; reports miss the rest
+const UNKNOWN: f64 = 0.4; // part of the mean capacity that a backend not heard of yet is trusted with
 pub(crate) const RATE_WINDOW: f64 = 1.0; // s over which rates of arrivals and sends are measured
 pub(crate) const TENANT_WINDOW: f64 = 5.0; // s for tenants: at low rates a shorter one is all chance
 pub(crate) const PART_WINDOW: f64 = 10.0; // s over which this node's part of all traffic is learnt
@@ -48,19 +48,19 @@
 const SHED_UNTOLD: f64 = 0.2; // the same where no report tells load: an answer's time speaks late
 const SHED_STEP: f64 = 2.0; // e-folds of what is let in, per s and unit of excess load
 const SHED_TIME: f64 = 0.5; // s that one attempt speaks for, at most
-const SHED_MOST: f64 = 0.98; // the rest goes on asking whether servers are well again
+const SHED_MOST: f64 = 0.98; // the rest goes on asking whether backends are well again
 const RECOVER: f64 = 24.0; // s in which shedding drifts back by itself, for when nothing is sent
 const WORTH_MOST: f64 = 8.0; // times its class's worth that a request of a tenant in want counts for
-const WORTHS: usize = 64; // recent arrivals whose worths set the thresholds
+const WORTHS: usize = 64; // recent arrivals whose recent_weights set the thresholds
 const CLASS_PART: f64 = 2.0 / 3.0; // part of what is let in that goes to all classes alike
-const COLD_PART: f64 = 0.3; // part of a cold server's budget that all nodes spend; the rest is for chance
-const FAST: f64 = 1.5; // times the mean speed that a cold server is trusted with at most
+const COLD_PART: f64 = 0.3; // part of a cold backend's budget that all nodes spend; the rest is for chance
+const FAST: f64 = 1.5; // times the mean speed that a cold backend is trusted with at most
 const HEAVY_PART: f64 = 0.25; // part of it that one request may take
 const RETRY_EARN: f64 = 0.2; // further attempts that each request earns (retry budget) ...
 pub(crate) const RETRY_MOST: f64 = 10.0; // ... and the most saved up
 const ASK_AGAIN: f64 = 0.25; // s within which a broken watch is opened anew, doubled by each failed call ...
 const ASK_MOST: f64 = 2.0; // ... up to this: what calls miss counts as told 6 s later, and another may fail
-const PROBES: usize = 5; // for one request: each adds to the chance of an idle server, and to the bill
+const PROBES: usize = 5; // for one request: each adds to the chance of an idle backend, and to the bill
 const IN_TIME: f64 = 0.85; // estimated over real waits at their worst: others' work and speeds vary
 const FRESH: f64 = 0.3; // latencies for which a probe's answer, own sends since counted in, needs no other
 const PROBE_WAIT: f64 = 4.0; // usual probes' times for which answers are waited for
@@ -72,25 +72,26 @@
             Event::EndpointList {
                 update: kind,
                 endpoints: entries,
-            } => self.list(now, kind, &entries, actions),
-            Event::RequestArrived(arrival) => self.arrival(now, &arrival, actions),
-            Event::RequestBodyReceived { request } => self.uploaded(now, request),
+            } => self.on_endpoint_list(now, kind, &entries, actions),
+            Event::RequestArrived(arrival) => self.on_request_arrived(now, &arrival, actions),
+            Event::RequestBodyReceived { request } => self.on_request_body_received(now, request),
             Event::ResponseStarted {
                 request,
                 attempt,
                 latency,
             } => {
-                if let Some((server, class, work)) = self.begun(request, attempt) {
+                if let Some((backend, class, work)) = self.on_response_started(request, attempt) {
                     let latency = latency.as_secs_f64();
-                    self.answered(now, server, latency, work);
-                    if self.blind {
-                        let load = (latency / self.aim(class, work)).min(1.0 + EXCESS);
-                        self.weigh(now, usize::from(class.0), load);
+                    self.record_response(now, backend, latency, work);
+                    if self.capacity_unknown {
+                        let load =
+                            (latency / self.latency_objective(class, work)).min(1.0 + EXCESS);
+                        self.update_shed_fraction(now, usize::from(class.0), load);
                     }
                 }
             }
-            Event::AttemptEnded(end) => self.ended(now, &end, actions),
-            Event::ClientDisconnected { request } => self.client_gone(request),
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, &end, actions),
+            Event::ClientDisconnected { request } => self.on_client_disconnected(request),
             Event::TimerFired { timer } if self.list_timer == Some(timer) => {
                 self.list_timer = None;
                 self.list_asked = now;
@@ -98,15 +99,15 @@
             }
             Event::TimerFired { timer } => {
                 if let Some(c) = self.choosing.iter().find(|c| c.1 == timer) {
-                    self.choose(now, c.0, true, actions);
+                    self.select_candidate(now, c.0, true, actions);
                 }
             }
-            Event::LoadProbeEnded(probed) => self.probed(now, &probed, actions),
+            Event::LoadProbeEnded(probed) => self.on_load_probe_ended(now, &probed, actions),
         }
     }
 
     // ---- the list ----
-    fn list(
+    fn on_endpoint_list(
         &mut self,
         now: Time,
         kind: ListUpdate,
@@ -142,7 +143,7 @@
             self.list_failures = 0;
         }
         if kind != ListUpdate::Failed {
-            self.take_list(now, kind, entries);
+            self.apply_endpoint_list(now, kind, entries);
             self.solved = None;
         }
     }
@@ -159,11 +160,11 @@
     }
 
     // ---- prices and shares ----
-    /// Moves a server's price by the ticks since it was last looked at.
-    fn step(&mut self, i: usize, now: Time) {
+    /// Moves a backend's price by the ticks since it was last looked at.
+    fn update_price(&mut self, i: usize, now: Time) {
         let load_factor = LOAD_FACTOR.min(self.mean_load);
-        let cold = self.servers[i].warmth(&self.settings.protocol_limits, now) < 1.0;
-        let s = &mut self.servers[i];
+        let cold = self.backends[i].available_capacity(&self.settings.protocol_limits, now) < 1.0;
+        let s = &mut self.backends[i];
         let ticks = ((now - s.stepped).as_secs_f64() / TICK).floor();
         if ticks < 1.0 {
             return;
@@ -174,44 +175,45 @@
             .load
             .map_or(0.0, |_| (self.report_life - since).clamp(0.0, ticks * TICK));
         let mut load = s.load.unwrap_or(0.0);
-        // A hung server reports nothing: its oldest unanswered send speaks for it.
+        // A hung backend reports nothing: its oldest unanswered send speaks for it.
         let overdue = s
-            .out
+            .in_flight
             .first()
             .map_or(0.0, |&t| (now - t).as_secs_f64() / (OVERDUE * self.latency));
         if overdue > 1.0 {
             (live, load) = (ticks * TICK, overdue.min(LOAD_MOST));
         }
         s.price = (s.price + STEP * live * (load - load_factor))
-            .clamp(0.0, self.going_price + PRICE_MOST);
-        // A server that gets nothing reports nothing: without a way back it would be avoided for
+            .clamp(0.0, self.traffic_weighted_price + PRICE_MOST);
+        // A backend that gets nothing reports nothing: without a way back it would be avoided for
         // ever.
-        s.price += (self.going_price - s.price) * ((ticks * TICK - live) / DRIFT).min(1.0);
+        s.price +=
+            (self.traffic_weighted_price - s.price) * ((ticks * TICK - live) / DRIFT).min(1.0);
         // A cold one is idle by its bound: cheap for that, it would be rushed as soon as it is
         // warm.
         if cold {
-            s.price = s.price.max(self.going_price);
+            s.price = s.price.max(self.traffic_weighted_price);
         }
     }
 
     /// Brings prices and shares up to date when a draw is due: once a tick, or after a few own
     /// sends.
-    fn solve(&mut self, now: Time) {
+    fn refresh_allocation(&mut self, now: Time) {
         let dt = self.solved.map_or(TICK, |at| (now - at).as_secs_f64());
         // What a node has out itself changes with each send: shares that rest on it are soon stale.
-        let stale = self.blind && self.sent_since > STALE * self.ready.len() as f64;
+        let stale = self.capacity_unknown && self.sent_since > STALE * self.ready.len() as f64;
         if (dt < TICK && !stale) || self.ready.is_empty() {
             return;
         }
         self.solved = Some(now);
         self.sent_since = 0.0;
-        self.refused *= 1.0 - (dt / RECOVER).min(1.0);
+        self.connect_failure_fraction *= 1.0 - (dt / RECOVER).min(1.0);
         let n = self.ready.len() as f64;
         let [mut price, mut load, mut loads, mut speed, mut speeds, mut weight] = [0.0; 6];
         for k in 0..self.ready.len() {
             let i = self.ready[k];
-            self.step(i, now);
-            let s = &mut self.servers[i];
+            self.update_price(i, now);
+            let s = &mut self.backends[i];
             price += s.price / n;
             weight += s.weight / n;
             // Old reports fade out of the fleet's mean load: a fleet that refuses much hears little
@@ -225,17 +227,17 @@
             }
             if (now - s.answered).as_secs_f64() > DRIFT / 2.0 {
                 let kept = 1.0 - (dt / DRIFT).min(1.0);
-                s.evidence *= kept;
-                s.pace.count *= kept;
+                s.sample_weight *= kept;
+                s.work_rate.count *= kept;
             }
-            speed += s.speed * s.evidence;
-            speeds += s.evidence;
+            speed += s.speed * s.sample_weight;
+            speeds += s.sample_weight;
         }
         self.mean_price = price;
         self.mean_load = if loads > 0.01 { load / loads } else { 0.0 };
         self.mean_speed = if speeds > 0.0 { speed / speeds } else { 1.0 };
         let flows: Vec<f64> = self
-            .markets
+            .allocations
             .iter_mut()
             .map(|m| m.arrivals.add(now, 0.0))
             .collect();
@@ -244,123 +246,135 @@
         let paces: f64 = self
             .ready
             .iter()
-            .map(|&i| self.pace(&self.servers[i], KIND_PRIOR))
+            .map(|&i| self.work_rate(&self.backends[i], KIND_PRIOR))
             .sum();
-        self.mean_pace = paces / n;
-        let own_price = if self.blind { OWN } else { 0.0 };
-        let own = self.ready.iter().map(|&i| &self.servers[i]);
+        self.mean_work_rate = paces / n;
+        let own_price = if self.capacity_unknown { OWN } else { 0.0 };
+        let own = self.ready.iter().map(|&i| &self.backends[i]);
         let (out, shares) = own.fold((0.0, 1e-9), |sum, s| {
-            (sum.0 + s.out.len() as f64, sum.1 + s.share)
+            (sum.0 + s.in_flight.len() as f64, sum.1 + s.share)
         });
-        let lines = self.ready.iter().map(|&i| {
-            let s = &self.servers[i];
-            // A weight tells a server's size, an answer the pace of one of its cores.
+        let inputs = self.ready.iter().map(|&i| {
+            let s = &self.backends[i];
+            // A weight tells a backend's size, an answer the pace of one of its cores.
             let speed = match (
                 self.settings.endpoint_weights_given,
                 self.settings.throughput_reported,
             ) {
                 (true, true) => s.weight / weight,
-                (true, false) => s.weight / weight * self.pace(s, KIND_PRIOR) / self.mean_pace,
+                (true, false) => {
+                    s.weight / weight * self.work_rate(s, KIND_PRIOR) / self.mean_work_rate
+                }
                 (false, true) => {
-                    (s.speed / self.mean_speed * s.evidence + PRIOR) / (s.evidence + PRIOR)
+                    (s.speed / self.mean_speed * s.sample_weight + PRIOR)
+                        / (s.sample_weight + PRIOR)
                 }
-                (false, false) => self.pace(s, KIND_PRIOR) / self.mean_pace,
+                (false, false) => self.work_rate(s, KIND_PRIOR) / self.mean_work_rate,
             };
-            // No node asks more of a server than its part of what that can do (the paper's local
-            // constraint, eq. 10): else shares gather on one cheap server and break it.
+            // No node asks more of a backend than its part of what that can do (the paper's local
+            // constraint, eq. 10): else shares gather on one cheap backend and break it.
             let mut most = f64::INFINITY;
             if known {
-                let capacity = if s.evidence > 0.0 {
+                let capacity = if s.sample_weight > 0.0 {
                     s.speed
                 } else {
                     self.mean_speed * UNKNOWN
                 };
-                most = ADMIT * capacity * self.part * n / asked;
+                most = ADMIT * capacity * self.traffic_fraction * n / asked;
             }
-            // A cold server falls over when all nodes together rush it: its share stays within a
+            // A cold backend falls over when all nodes together rush it: its share stays within a
             // part of what the rule allows it, measured by what a warm peer of its speed takes.
-            let warmth = s.warmth(&self.settings.protocol_limits, now);
-            if warmth < 1.0 {
+            let available_capacity = s.available_capacity(&self.settings.protocol_limits, now);
+            if available_capacity < 1.0 {
                 most = most.min(
                     speed.min(FAST)
-                        * warmth
+                        * available_capacity
                         * self.settings.protocol_limits.overload_multiple
                         * COLD_PART,
                 );
             }
             // Reports lag; what this node itself has out beyond the usual is known at once.
             let usual = out * s.share / shares;
-            let price = s.price + own_price * (s.out.len() as f64 - usual) / (usual + 1.0);
-            // Where new connections fail, a server without an open one is dearer.
+            let price = s.price + own_price * (s.in_flight.len() as f64 - usual) / (usual + 1.0);
+            // Where new connections fail, a backend without an open one is dearer.
             let shut = if known || s.connected(now, self.settings.idle_timeout) {
                 0.0
             } else {
-                self.refused
+                self.connect_failure_fraction
             };
-            Line {
+            ShareInput {
                 price: price + shut,
                 speed: speed.max(0.01),
-                most,
+                max_share: most,
             }
         });
-        let lines: Vec<Line> = lines.collect();
+        let inputs: Vec<ShareInput> = inputs.collect();
         let floor = if known { FLOOR } else { 0.0 };
-        self.trade(&lines, &flows, floor, now, dt.min(1.0));
+        self.allocate_shares(&inputs, &flows, floor, now, dt.min(1.0));
         if known {
-            self.learn_part(now, dt);
+            self.update_traffic_fraction(now, dt);
         }
     }
 
-    /// Solves each class's shares over its open servers. Bounds are on a server's whole flow: a
+    /// Solves each class's shares over its open backends. Bounds are on a backend's whole flow: a
     /// class gets as much of them as of the flow that equal shares would bring there.
-    fn trade(&mut self, lines: &[Line], flows: &[f64], floor: f64, now: Time, dt: f64) {
-        let (n, asked) = (lines.len() as f64, flows.iter().sum::<f64>().max(1e-9));
-        let mut open = self.placed();
+    fn allocate_shares(
+        &mut self,
+        inputs: &[ShareInput],
+        flows: &[f64],
+        floor: f64,
+        now: Time,
+        dt: f64,
+    ) {
+        let (n, asked) = (inputs.len() as f64, flows.iter().sum::<f64>().max(1e-9));
+        let mut open = self.allowed();
         let (mut density, mut taken) = (
-            vec![0.0; lines.len()],
-            vec![vec![0.0; lines.len()]; flows.len()],
+            vec![0.0; inputs.len()],
+            vec![vec![0.0; inputs.len()]; flows.len()],
         );
         let works: Vec<f64> = self
-            .markets
+            .allocations
             .iter()
             .zip(flows)
             .map(|(m, flow)| m.work * flow)
             .collect();
-        for (c, placed) in open.iter().enumerate() {
-            let count = placed.len() as f64;
-            placed
+        for (c, allowed) in open.iter().enumerate() {
+            let count = allowed.len() as f64;
+            allowed
                 .iter()
                 .for_each(|&k| density[k] += flows[c] / asked * n / count);
-            // What more tightly placed classes bring to a server is no longer there for the others.
+            // What more tightly allowed classes bring to a backend is no longer there for the
+            // others.
             for (g, tight) in open
                 .iter()
                 .enumerate()
-                .filter(|g| g.1.len() < placed.len() && works[c] > 0.0)
+                .filter(|g| g.1.len() < allowed.len() && works[c] > 0.0)
             {
-                let speeds: f64 = tight.iter().map(|&k| lines[k].speed).sum();
+                let speeds: f64 = tight.iter().map(|&k| inputs[k].speed).sum();
                 let brought = works[g] / works[c] * count / speeds;
                 tight
                     .iter()
-                    .for_each(|&k| taken[c][k] += brought * lines[k].speed);
+                    .for_each(|&k| taken[c][k] += brought * inputs[k].speed);
             }
         }
-        // A blind node deals with as many servers as it can hear of in time. Without reports closed
-        // ones, and what cold ones can't take, make room: else all that would fall on the few that
-        // are well.
+        // A blind node deals with as many backends as it can hear of in time. Without reports
+        // closed ones, and what cold ones can't take, make room: else all that would fall on the
+        // few that are well.
         let untold = self.settings.load_reporting == LoadReporting::Absent;
         let few: Vec<f64> = self
-            .markets
+            .allocations
             .iter_mut()
             .map(|m| (NEWS * m.steady.young(now)).max(LEAST_OPEN).ceil())
             .collect();
-        for (open, few) in open.iter_mut().zip(few).filter(|_| self.blind) {
+        for (open, few) in open.iter_mut().zip(few).filter(|_| self.capacity_unknown) {
             let mut sum = 0.0;
-            let takes =
-                |k: usize| match self.servers[self.ready[k]].price > self.going_price + CLOSED {
-                    _ if !untold => 1.0,
-                    true => 0.0,
-                    false => lines[k].most.min(1.0),
-                };
+            let takes = |k: usize| match self.backends[self.ready[k]].price
+                > self.traffic_weighted_price + CLOSED
+            {
+                _ if !untold => 1.0,
+                true => 0.0,
+                false => inputs[k].max_share.min(1.0),
+            };
             open.retain(|&k| {
                 let before = sum;
                 sum += takes(k);
@@ -370,40 +384,42 @@
         let kept = 0.95f64.powf(dt / TICK);
         self.ready
             .iter()
-            .for_each(|&i| self.servers[i].share *= kept);
+            .for_each(|&i| self.backends[i].share *= kept);
         let (mut going, mut sums) = (0.0, vec![(0.0, 0.0); flows.len()]);
         for (c, open) in open.iter().enumerate() {
-            let m = &mut self.markets[c];
-            m.open = open.len() as f64;
+            let m = &mut self.allocations[c];
+            m.eligible_backends = open.len() as f64;
             m.shares.clear();
-            m.shares.resize(lines.len(), 0.0);
-            let left = |k: usize| lines[k].speed / (1.0 + taken[c][k]);
-            let mean = open.iter().map(|&k| left(k)).sum::<f64>() / m.open;
-            let most = |k: usize| lines[k].most / density[k].max(1e-9);
-            let own = |&k: &usize| Line {
-                price: lines[k].price,
+            m.shares.resize(inputs.len(), 0.0);
+            let left = |k: usize| inputs[k].speed / (1.0 + taken[c][k]);
+            let mean = open.iter().map(|&k| left(k)).sum::<f64>() / m.eligible_backends;
+            let most = |k: usize| inputs[k].max_share / density[k].max(1e-9);
+            let own = |&k: &usize| ShareInput {
+                price: inputs[k].price,
                 speed: left(k) / mean,
-                most: most(k),
+                max_share: most(k),
             };
-            let own: Vec<Line> = open.iter().map(own).collect();
+            let own: Vec<ShareInput> = open.iter().map(own).collect();
             let mut shares = Vec::new();
             m.lambda = solve_shares(&own, floor, m.lambda, &mut shares);
             let part = flows[c] / asked;
             for (k, share) in open.iter().zip(&shares) {
                 m.shares[*k] = *share;
-                self.servers[self.ready[*k]].share += part * share / m.open * dt / TICK;
-                going += part * self.servers[self.ready[*k]].price * share / m.open;
+                self.backends[self.ready[*k]].share +=
+                    part * share / m.eligible_backends * dt / TICK;
+                going += part * self.backends[self.ready[*k]].price * share / m.eligible_backends;
             }
-            let leader = &mut sums[m.leader];
-            leader.0 += part * (1.0 - shares.iter().sum::<f64>() / m.open.max(1.0));
-            leader.1 += part;
+            let placement_group = &mut sums[m.placement_group];
+            placement_group.0 +=
+                part * (1.0 - shares.iter().sum::<f64>() / m.eligible_backends.max(1.0));
+            placement_group.1 += part;
         }
-        self.going_price = going;
+        self.traffic_weighted_price = going;
         for (c, (refused, part)) in sums.into_iter().enumerate() {
-            let m = &mut self.markets[c];
-            if c == m.leader {
-                m.refused *= 1.0 - (dt / RECOVER).min(1.0);
-                let refused = m.refused.max(refused / part.max(1e-9));
+            let m = &mut self.allocations[c];
+            if c == m.placement_group {
+                m.shed_fraction *= 1.0 - (dt / RECOVER).min(1.0);
+                let refused = m.shed_fraction.max(refused / part.max(1e-9));
                 self.set_thresholds(c, refused);
             }
         }
@@ -411,27 +427,27 @@
 
     /// Sets the thresholds that turn away a part of recent arrivals: over all of a placement, and
     /// by class.
-    fn set_thresholds(&mut self, leader: usize, refused: f64) {
-        let worths = &self.markets[leader].worths;
-        let all = threshold(worths.iter().map(|w| w.1), refused);
+    fn set_thresholds(&mut self, placement_group: usize, refused: f64) {
+        let recent_weights = &self.allocations[placement_group].recent_weights;
+        let all = threshold(recent_weights.iter().map(|w| w.1), refused);
         let own = |c: usize| {
             threshold(
-                worths
+                recent_weights
                     .iter()
                     .filter(|w| usize::from(w.0 .0) == c)
                     .map(|w| w.1),
                 refused,
             )
         };
-        let own: Vec<f64> = (0..self.markets.len()).map(own).collect();
-        self.markets[leader].threshold = all;
+        let own: Vec<f64> = (0..self.allocations.len()).map(own).collect();
+        self.allocations[placement_group].shed_threshold = all;
         for (m, own) in self
-            .markets
+            .allocations
             .iter_mut()
             .zip(own)
-            .filter(|m| m.0.leader == leader)
+            .filter(|m| m.0.placement_group == placement_group)
         {
-            m.own_threshold = own;
+            m.class_shed_threshold = own;
         }
     }
 
@@ -439,29 +455,29 @@
     /// over the rest worth decides between them too. Where it alone did, a class of little worth
     /// got hardly anything.
     fn shed_chance(&self, class: ClassId, worth: f64) -> f64 {
-        let m = &self.markets[usize::from(class.0)];
+        let m = &self.allocations[usize::from(class.0)];
         let chance = |threshold: f64| (threshold / worth.max(1e-9)).min(1.0);
-        CLASS_PART * chance(m.own_threshold)
-            + (1.0 - CLASS_PART) * chance(self.markets[m.leader].threshold)
+        CLASS_PART * chance(m.class_shed_threshold)
+            + (1.0 - CLASS_PART) * chance(self.allocations[m.placement_group].shed_threshold)
     }
 
-    /// Takes in a server's word on its load.
-    fn report(&mut self, now: Time, server: BackendId, report: &LoadReport) {
-        let Some(&i) = self.index.get(&server) else {
+    /// Takes in a backend's word on its load.
+    fn record_load_report(&mut self, now: Time, backend: BackendId, report: &LoadReport) {
+        let Some(&i) = self.index.get(&backend) else {
             return;
         };
         let usable = |v: Option<f64>| v.filter(|v| v.is_finite() && *v >= 0.0);
         let Some(busy) = usable(report.utilization).map(|b| b.min(LOAD_MOST)) else {
             return;
         };
-        self.step(i, now);
+        self.update_price(i, now);
         let aims = self
             .settings
             .classes
             .iter()
             .map(|c| c.latency_objective.as_secs_f64());
         let aim = aims.fold(f64::INFINITY, f64::min);
-        let s = &mut self.servers[i];
+        let s = &mut self.backends[i];
         s.report = *report;
         let waiting = usable(report.queue_depth).unwrap_or(0.0);
         let held = usable(report.in_flight).filter(|_| report.queue_depth.is_none());
@@ -469,9 +485,9 @@
         let mut load = busy + waiting * self.latency / aim;
         // Held beyond what goes with its busy part waits.
         if let Some(held) = held {
-            self.usual_held
+            self.in_flight_baseline
                 .learn(busy > LEAST_BUSY && busy < SATURATED, held, busy);
-            load = load.max(self.usual_held.load(held));
+            load = load.max(self.in_flight_baseline.load(held));
         }
         // Where a report tells what waits, nothing beyond the busy part is left to guess.
         let full = if report.queue_depth.is_some() {
@@ -485,19 +501,19 @@
             s.learn(now, s.rate / busy, 1.0); // The latest says more than all before it.
         }
         let gap = (now - std::mem::replace(&mut s.reported, now)).as_secs_f64();
-        if self.blind {
+        if self.capacity_unknown {
             self.report_life += (gap.clamp(REPORT_LIFE, REPORT_LONGEST) - self.report_life) / 64.0;
         }
     }
 
-    fn answered(&mut self, now: Time, server: BackendId, latency: f64, work: Option<f64>) {
+    fn record_response(&mut self, now: Time, backend: BackendId, latency: f64, work: Option<f64>) {
         let latency = latency.max(1e-6);
-        // A quantile, not a mean: answers of servers in trouble must not pass for usual.
+        // A quantile, not a mean: answers of backends in trouble must not pass for usual.
         self.latency *= if latency > self.latency { 1.012 } else { 0.992 };
-        let Some(&i) = self.index.get(&server) else {
+        let Some(&i) = self.index.get(&backend) else {
             return;
         };
-        let s = &mut self.servers[i];
+        let s = &mut self.backends[i];
         s.note_answer(false, FAILURES);
         if !self.settings.throughput_reported {
             let work = work.unwrap_or(if self.mean_work > 0.0 {
@@ -505,27 +521,28 @@
             } else {
                 1.0
             });
-            s.pace.learn(work, latency, MEMORY);
+            s.work_rate.learn(work, latency, MEMORY);
             s.answered = now;
-            // A cold server's answers tell its age, not its kind.
-            if s.warmth(&self.settings.protocol_limits, now) >= 1.0 {
-                self.kinds
-                    .entry(s.kind)
-                    .or_default()
-                    .learn(work, latency, KIND_MEMORY);
+            // A cold backend's answers tell its age, not its kind.
+            if s.available_capacity(&self.settings.protocol_limits, now) >= 1.0 {
+                self.machine_type_rates.entry(s.kind).or_default().learn(
+                    work,
+                    latency,
+                    KIND_MEMORY,
+                );
             }
         }
     }
 
     /// Failures cost: failing fast would look idle. To a blind node full or timed out is at the
     /// limit.
-    fn failed(&mut self, now: Time, server: BackendId, outcome: AttemptOutcome) {
-        let Some(&i) = self.index.get(&server) else {
+    fn record_failure(&mut self, now: Time, backend: BackendId, outcome: AttemptOutcome) {
+        let Some(&i) = self.index.get(&backend) else {
             return;
         };
-        self.step(i, now);
-        let s = &mut self.servers[i];
-        let full = self.blind && outcome == AttemptOutcome::Rejected;
+        self.update_price(i, now);
+        let s = &mut self.backends[i];
+        let full = self.capacity_unknown && outcome == AttemptOutcome::Rejected;
         let answer = matches!(
             outcome,
             AttemptOutcome::ServerError | AttemptOutcome::ConnectionReset
@@ -536,33 +553,34 @@
             1.0
         };
         if !full {
-            s.price = (s.price + FAILED_PRICE * failing).min(self.going_price + PRICE_MOST);
+            s.price =
+                (s.price + FAILED_PRICE * failing).min(self.traffic_weighted_price + PRICE_MOST);
             self.solved = None;
         }
         // One that answers well for the most part goes on by its load.
         if failing < 0.5 {
             return;
         }
-        let spent = full || self.blind && outcome == AttemptOutcome::TimedOut;
+        let spent = full || self.capacity_unknown && outcome == AttemptOutcome::TimedOut;
         s.load = spent.then(|| s.load.unwrap_or(0.0).max(1.0 + EXCESS));
         s.reported = if spent { now } else { s.reported };
     }
 
     /// Moves the shed part of a class's arrivals by what one attempt met; without news it drifts
     /// back slowly.
-    fn weigh(&mut self, now: Time, class: usize, load: f64) {
-        let leader = self.markets[class].leader;
+    fn update_shed_fraction(&mut self, now: Time, class: usize, load: f64) {
+        let placement_group = self.allocations[class].placement_group;
         let untold = self.settings.load_reporting == LoadReporting::Absent;
         let most = if untold { SHED_UNTOLD } else { SHED };
-        let m = &mut self.markets[leader];
-        let time = (now - m.weighed).as_secs_f64().min(SHED_TIME);
-        m.weighed = now;
-        m.refused = 1.0 - (1.0 - m.refused) * (-SHED_STEP * time * (load - most)).exp();
-        m.refused = m.refused.clamp(0.0, SHED_MOST);
+        let m = &mut self.allocations[placement_group];
+        let time = (now - m.shed_updated).as_secs_f64().min(SHED_TIME);
+        m.shed_updated = now;
+        m.shed_fraction = 1.0 - (1.0 - m.shed_fraction) * (-SHED_STEP * time * (load - most)).exp();
+        m.shed_fraction = m.shed_fraction.clamp(0.0, SHED_MOST);
     }
 
     // ---- requests ----
-    fn arrival(&mut self, now: Time, a: &RequestArrival, actions: &mut Vec<Action>) {
+    fn on_request_arrived(&mut self, now: Time, a: &RequestArrival, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&a.request) {
             return;
         }
@@ -575,22 +593,24 @@
             arrived: now,
             ends,
             work,
-            coming: a.body_pending,
+            body_pending: a.body_pending,
             open: true,
             begun: false,
             attempts,
-            asked,
+            candidates: asked,
         };
         self.requests.insert(a.request, r);
         self.retry_budget = (self.retry_budget + RETRY_EARN).min(RETRY_MOST);
-        self.markets[usize::from(class.0)].arrivals.add(now, 1.0);
+        self.allocations[usize::from(class.0)]
+            .arrivals
+            .add(now, 1.0);
         let worth = self.worth(now, class, a.tenant);
-        self.solve(now);
+        self.refresh_allocation(now);
         let shed = self.shed_chance(class, worth);
         // Work beyond the aim can only be late, and takes room from work that can be in time.
-        let hopeless = work.is_some_and(|w| w > self.aim(class, work));
+        let hopeless = work.is_some_and(|w| w > self.latency_objective(class, work));
         if let (Some(w), false) = (work, hopeless) {
-            self.markets[usize::from(class.0)].learn_work(w);
+            self.allocations[usize::from(class.0)].learn_work(w);
             self.mean_work += (w - self.mean_work)
                 * if self.mean_work > 0.0 {
                     1.0 / 32.0
@@ -605,12 +625,12 @@
             false => (self.random() < shed).then_some(GiveUpReason::LoadShed),
         };
         if let Some(reason) = reason {
-            self.finish(a.request, reason, actions);
+            self.give_up(a.request, reason, actions);
         } else {
             if let Some(rate) = self.tenants.get_mut(usize::from(a.tenant.0)) {
                 rate.add(now, 1.0);
             }
-            self.place(now, a.request, actions);
+            self.dispatch(now, a.request, actions);
         }
     }
 
@@ -626,33 +646,34 @@
             worth *=
                 within.min(WORTH_MOST) + (1.0 - within).max(0.0) * self.settings.over_quota_weight;
         }
-        let leader = self.markets[usize::from(class.0)].leader;
-        self.markets[leader].note_worth(class, worth, WORTHS);
+        let placement_group = self.allocations[usize::from(class.0)].placement_group;
+        self.allocations[placement_group].note_worth(class, worth, WORTHS);
         worth
     }
 
-    /// Whether a request's next attempt may go to this server, by any rule; every send passes here.
-    fn open(&self, now: Time, r: &Request, s: &Server) -> bool {
+    /// Whether a request's next attempt may go to this backend, by any rule; every send passes
+    /// here.
+    fn is_eligible(&self, now: Time, r: &Request, s: &Backend) -> bool {
         let class = &self.settings.classes[usize::from(r.class.0)];
         let rules = &self.settings.protocol_limits;
-        let warmth = s.warmth(rules, now);
-        // One heavy request can spend a cold server's whole budget. Without a time for it there is
+        let available_capacity = s.available_capacity(rules, now);
+        // One heavy request can spend a cold backend's whole budget. Without a time for it there is
         // none.
         let within = if rules.overload_duration.is_zero() {
             f64::INFINITY
         } else {
             rules.overload_duration.as_secs_f64()
         };
-        let budget = HEAVY_PART * rules.overload_multiple * within * warmth;
+        let budget = HEAVY_PART * rules.overload_multiple * within * available_capacity;
         if s.state != EndpointState::Active
-            || !placed(class, s)
-            || r.attempts.iter().any(|a| a.server == s.id)
+            || !allowed(class, s)
+            || r.attempts.iter().any(|a| a.backend == s.id)
             || (!self.settings.hedging_allowed && !r.idle())
-            || (warmth < 1.0 && r.work.unwrap_or(0.0) >= budget)
+            || (available_capacity < 1.0 && r.work.unwrap_or(0.0) >= budget)
         {
             return false;
         }
-        let Some(risky) = r.attempts.iter().find(|a| a.risky()) else {
+        let Some(risky) = r.attempts.iter().find(|a| a.may_have_executed()) else {
             return true;
         };
         match class.idempotency {
@@ -674,20 +695,24 @@
         }
     }
 
-    /// Draws a server by share among those open to this request. What closed servers leave goes to
-    /// warm ones: a cold server keeps its share and no more, since its bound holds for that.
-    fn draw(&mut self, now: Time, id: RequestId, warm_only: bool) -> Option<usize> {
-        self.solve(now);
+    /// Draws a backend by share among those open to this request. What closed backends leave goes
+    /// to warm ones: a cold backend keeps its share and no more, since its bound holds for that.
+    fn pick_backend(&mut self, now: Time, id: RequestId, warm_only: bool) -> Option<usize> {
+        self.refresh_allocation(now);
         let mark = self.random();
         let r = self.requests.get(&id)?;
-        let m = &self.markets[usize::from(r.class.0)];
+        let m = &self.allocations[usize::from(r.class.0)];
         let (mut cold, mut warm, mut cold_sum, mut warm_sum) = (Vec::new(), Vec::new(), 0.0, 0.0);
         for (&i, &share) in self.ready.iter().zip(&m.shares) {
-            let s = &self.servers[i];
-            if share <= 0.0 || r.asked.iter().any(|a| a.0 == s.id) || !self.open(now, r, s) {
+            let s = &self.backends[i];
+            if share <= 0.0
+                || r.candidates.iter().any(|a| a.0 == s.id)
+                || !self.is_eligible(now, r, s)
+            {
                 continue;
             }
-            let (list, sum) = match s.warmth(&self.settings.protocol_limits, now) < 1.0 {
+            let (list, sum) = match s.available_capacity(&self.settings.protocol_limits, now) < 1.0
+            {
                 true if warm_only => continue,
                 true => (&mut cold, &mut cold_sum),
                 false => (&mut warm, &mut warm_sum),
@@ -696,8 +721,12 @@
             list.push((i, *sum));
         }
         // The threshold has turned away already what bounds leave without a place on a first try.
-        let first = r.attempts.is_empty() && r.asked.is_empty();
-        let whole = if first { m.shares.iter().sum() } else { m.open };
+        let first = r.attempts.is_empty() && r.candidates.is_empty();
+        let whole = if first {
+            m.shares.iter().sum()
+        } else {
+            m.eligible_backends
+        };
         type Marks = [(usize, f64)];
         let pick = |l: &Marks, at: f64| l.iter().find(|m| m.1 > at).or(l.last()).map(|m| m.0);
         match mark * whole {
@@ -706,39 +735,46 @@
         }
     }
 
-    /// Finds a server for a request's next attempt: by probes where load is told only to them.
-    fn place(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    /// Finds a backend for a request's next attempt: by probes where load is told only to them.
+    fn dispatch(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         if self.settings.load_reporting == LoadReporting::OnProbe
             && self.settings.load_probes_allowed
         {
-            return self.ask(now, id, actions);
+            return self.probe_candidates(now, id, actions);
         }
-        let server = self.draw(now, id, false);
-        self.send(now, id, server, actions);
-        server.is_some()
+        let backend = self.pick_backend(now, id, false);
+        self.start_attempt(now, id, backend, actions);
+        backend.is_some()
     }
 
     /// How long an attempt may take. Where no report tells load, that it takes the whole aim does:
-    /// if it can earn nothing any more, it ends, and its server is known to be past what it can do.
+    /// if it can earn nothing any more, it ends, and its backend is known to be past what it can
+    /// do.
     fn patience(&self, now: Time, r: &Request) -> Duration {
         let untold = self.settings.load_reporting == LoadReporting::Absent;
         if untold && self.settings.classes[usize::from(r.class.0)].late_weight == 0.0 {
             r.ends
-                .min(r.arrived + Duration::from_secs_f64(self.aim(r.class, r.work)))
+                .min(r.arrived + Duration::from_secs_f64(self.latency_objective(r.class, r.work)))
                 - now
         } else {
             r.ends - now
         }
     }
 
-    fn send(&mut self, now: Time, id: RequestId, server: Option<usize>, actions: &mut Vec<Action>) {
+    fn start_attempt(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        backend: Option<usize>,
+        actions: &mut Vec<Action>,
+    ) {
         let fits = |i: &usize| {
             self.requests
                 .get(&id)
-                .is_some_and(|r| self.open(now, r, &self.servers[*i]))
+                .is_some_and(|r| self.is_eligible(now, r, &self.backends[*i]))
         };
-        let Some(i) = server.filter(fits) else {
-            return self.finish(id, GiveUpReason::NoEligibleBackend, actions);
+        let Some(i) = backend.filter(fits) else {
+            return self.give_up(id, GiveUpReason::NoEligibleBackend, actions);
         };
         let Some(limit) = self.requests.get(&id).map(|r| self.patience(now, r)) else {
             return;
@@ -746,37 +782,39 @@
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        let s = &mut self.servers[i];
-        let fresh = !s.connected(now, self.settings.idle_timeout);
-        // Until the request is whole the server has nothing to work on.
-        if !r.coming {
-            s.out.push(now);
+        let s = &mut self.backends[i];
+        let new_connection = !s.connected(now, self.settings.idle_timeout);
+        // Until the request is whole the backend has nothing to work on.
+        if !r.body_pending {
+            s.in_flight.push(now);
         }
         s.held = s.held.map(|held| held + 1.0);
         self.sends.add(now, 1.0);
         self.sent_since += 1.0;
-        self.markets[usize::from(r.class.0)].steady.add(now, 1.0);
-        let (server, zone, cell) = (s.id, s.zone, s.cell);
+        self.allocations[usize::from(r.class.0)]
+            .steady
+            .add(now, 1.0);
+        let (backend, zone, cell) = (s.id, s.zone, s.cell);
         r.attempts.push(Attempt {
-            server,
+            backend,
             zone,
             cell,
             sent: now,
             ended: false,
             may_have_run: false,
-            fresh,
+            new_connection,
         });
         actions.push(Action::StartAttempt {
             request: id,
-            backend: server,
+            backend,
             timeout: Some(limit),
         });
     }
 
-    fn ended(&mut self, now: Time, end: &AttemptResult, actions: &mut Vec<Action>) {
+    fn on_attempt_ended(&mut self, now: Time, end: &AttemptResult, actions: &mut Vec<Action>) {
         end.load_report
             .iter()
-            .for_each(|report| self.report(now, end.backend, report));
+            .for_each(|report| self.record_load_report(now, end.backend, report));
         let Some(r) = self.requests.get_mut(&end.request) else {
             return;
         };
@@ -789,20 +827,20 @@
         };
         a.ended = true;
         a.may_have_run = !end.outcome.never_executed();
-        let (server, sent, fresh) = (a.server, a.sent, a.fresh);
+        let (backend, sent, new_connection) = (a.backend, a.sent, a.new_connection);
         r.open &= !end.request_closed;
         let (streamed, over) = (r.begun, !r.open || !r.idle());
         let (class, work) = (usize::from(r.class.0), r.work);
-        self.returned(server, sent);
-        self.learn_connection(now, server, fresh, end.outcome);
+        self.release_in_flight(backend, sent);
+        self.learn_connection(now, backend, new_connection, end.outcome);
         if let (AttemptOutcome::Success, None, false) = (end.outcome, work, streamed) {
-            self.markets[class].learn_work(end.latency.as_secs_f64());
+            self.allocations[class].learn_work(end.latency.as_secs_f64());
         }
-        let aim = self.aim(ClassId(class as u8), work);
+        let aim = self.latency_objective(ClassId(class as u8), work);
         let load = end
             .load_report
-            .and(self.index.get(&server))
-            .and_then(|&i| self.servers[i].load);
+            .and(self.index.get(&backend))
+            .and_then(|&i| self.backends[i].load);
         let latency = end.latency.as_secs_f64();
         let load = match end.outcome {
             AttemptOutcome::Rejected => Some(1.0 + EXCESS),
@@ -815,23 +853,25 @@
             }
             _ => load,
         };
-        if let (Some(load), true) = (load, self.blind) {
-            self.weigh(now, class, load);
+        if let (Some(load), true) = (load, self.capacity_unknown) {
+            self.update_shed_fraction(now, class, load);
         }
         match end.outcome {
-            AttemptOutcome::Success if !streamed => self.answered(now, server, latency, work),
+            AttemptOutcome::Success if !streamed => {
+                self.record_response(now, backend, latency, work)
+            }
             AttemptOutcome::Success | AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
-            outcome => self.failed(now, server, outcome),
+            outcome => self.record_failure(now, backend, outcome),
         }
         if over {
-            return self.forget(end.request);
+            return self.remove_if_finished(end.request);
         }
         // Another attempt where class, time and the retry budget allow; the budget keeps collapses
         // unfed.
         let Some(r) = self.requests.get(&end.request) else {
             return;
         };
-        let left = self.aim(r.class, r.work) - (now - r.arrived).as_secs_f64();
+        let left = self.latency_objective(r.class, r.work) - (now - r.arrived).as_secs_f64();
         let tries = (r.attempts.len() as u32) < self.settings.max_attempts;
         let reason = match () {
             () if left < 0.5 * self.latency || r.ends <= now => {
@@ -841,15 +881,15 @@
             () => (self.retry_budget < 1.0).then_some(GiveUpReason::RetryBudgetExhausted),
         };
         if let Some(reason) = reason {
-            self.finish(end.request, reason, actions);
-        } else if self.place(now, end.request, actions) {
+            self.give_up(end.request, reason, actions);
+        } else if self.dispatch(now, end.request, actions) {
             self.retry_budget -= 1.0;
         }
     }
 
     /// The final answer of a request that is given up: refused where that is true to its class,
     /// else failed.
-    fn finish(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut Vec<Action>) {
+    fn give_up(&mut self, id: RequestId, reason: GiveUpReason, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.open && !r.begun) else {
             return;
         };
@@ -861,10 +901,10 @@
                 scope: KeyScope::All,
                 ..
             } => true,
-            _ => !r.attempts.iter().any(Attempt::risky),
+            _ => !r.attempts.iter().any(Attempt::may_have_executed),
         };
         // Back once a place is free and while its answer still counts, the later the more is shed.
-        let shed = self.markets[self.markets[class].leader].refused;
+        let shed = self.allocations[self.allocations[class].placement_group].shed_fraction;
         let back = self.settings.classes[class].latency_objective.mul_f64(shed);
         let back = back.max(Duration::from_secs_f64(self.latency));
         let wait = self.settings.max_retry_after.map(|most| most.min(back));
@@ -880,37 +920,39 @@
                 reason,
             }
         });
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
     // ---- probes ----
-    /// Probes a few servers drawn by share; only the first may be cold, lest the best-of draw rush
+    /// Probes a few backends drawn by share; only the first may be cold, lest the best-of draw rush
     /// it. What was heard a moment ago, or is being asked already, is not asked again.
-    fn ask(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
+    fn probe_candidates(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let wait = PROBE_WAIT * self.probe_latency;
         for k in 0..PROBES {
-            let Some(i) = self.draw(now, id, k > 0) else {
+            let Some(i) = self.pick_backend(now, id, k > 0) else {
                 break;
             };
-            let s = &mut self.servers[i];
+            let s = &mut self.backends[i];
             let Some(r) = self.requests.get_mut(&id) else {
                 break;
             };
-            let fresh = s
+            let new_connection = s
                 .held
                 .filter(|_| (now - s.heard).as_secs_f64() < FRESH * self.latency);
-            r.asked.push((s.id, fresh));
-            if fresh.is_none() && s.probing.is_none_or(|at| (now - at).as_secs_f64() >= wait) {
+            r.candidates.push((s.id, new_connection));
+            if new_connection.is_none()
+                && s.probing.is_none_or(|at| (now - at).as_secs_f64() >= wait)
+            {
                 s.probing = Some(now);
                 actions.push(Action::SendLoadProbe { backend: s.id });
             }
         }
-        let Some(r) = self.requests.get(&id).filter(|r| !r.asked.is_empty()) else {
-            self.finish(id, GiveUpReason::NoEligibleBackend, actions);
+        let Some(r) = self.requests.get(&id).filter(|r| !r.candidates.is_empty()) else {
+            self.give_up(id, GiveUpReason::NoEligibleBackend, actions);
             return false;
         };
-        if r.asked.iter().all(|a| a.1.is_some()) {
-            self.choose(now, id, true, actions);
+        if r.candidates.iter().all(|a| a.1.is_some()) {
+            self.select_candidate(now, id, true, actions);
             return true;
         }
         let wait = wait.min((r.ends - now).as_secs_f64());
@@ -919,27 +961,27 @@
         true
     }
 
-    fn probed(&mut self, now: Time, p: &LoadProbeResult, actions: &mut Vec<Action>) {
+    fn on_load_probe_ended(&mut self, now: Time, p: &LoadProbeResult, actions: &mut Vec<Action>) {
         let mut load = f64::INFINITY;
         if let Some(&i) = self.index.get(&p.backend) {
-            self.servers[i].probing = None;
+            self.backends[i].probing = None;
         }
         match p.outcome {
             AttemptOutcome::Success => {
                 self.probe_latency += (p.latency.as_secs_f64() - self.probe_latency) / 32.0;
                 let report = p.load_report.unwrap_or_default();
-                self.report(now, p.backend, &report);
+                self.record_load_report(now, p.backend, &report);
                 load = report
                     .in_flight
                     .or(report.utilization)
                     .filter(|h| h.is_finite() && *h >= 0.0)
                     .unwrap_or(load);
                 if let (Some(&i), true) = (self.index.get(&p.backend), load.is_finite()) {
-                    (self.servers[i].held, self.servers[i].heard) = (Some(load), now);
+                    (self.backends[i].held, self.backends[i].heard) = (Some(load), now);
                 }
             }
-            AttemptOutcome::NotSent => {} // The node's own shortage says nothing of the server.
-            outcome => self.failed(now, p.backend, outcome),
+            AttemptOutcome::NotSent => {} // The node's own shortage says nothing of the backend.
+            outcome => self.record_failure(now, p.backend, outcome),
         }
         for k in (0..self.choosing.len()).rev() {
             let id = self.choosing[k].0;
@@ -947,52 +989,58 @@
                 continue;
             };
             if let Some(a) = r
-                .asked
+                .candidates
                 .iter_mut()
                 .find(|a| a.0 == p.backend && a.1.is_none())
             {
                 a.1 = Some(load);
-                self.choose(now, id, false, actions);
+                self.select_candidate(now, id, false, actions);
             }
         }
     }
 
-    /// Sends to the best of the servers asked, once all have answered or the wait is over.
-    fn choose(&mut self, now: Time, id: RequestId, late: bool, actions: &mut Vec<Action>) {
+    /// Sends to the best of the backends asked, once all have answered or the wait is over.
+    fn select_candidate(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        late: bool,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(r) = self.requests.get_mut(&id) else {
             return;
         };
-        if !late && r.asked.iter().any(|a| a.1.is_none()) {
+        if !late && r.candidates.iter().any(|a| a.1.is_none()) {
             return;
         }
-        let asked = std::mem::take(&mut r.asked);
+        let asked = std::mem::take(&mut r.candidates);
         let (work, class, left) = (r.work.unwrap_or(self.mean_work), r.class, r.ends - now);
         self.choosing.retain(|c| c.0 != id);
         // Other requests of this node may have gone there since.
         let answers = asked.iter().filter_map(|a| {
             let (load, &i) = (a.1.filter(|l| l.is_finite())?, self.index.get(&a.0)?);
-            Some((self.servers[i].held.unwrap_or(load), i))
+            Some((self.backends[i].held.unwrap_or(load), i))
         });
-        let shut = self.refused * self.settings.connect_timeout.as_secs_f64();
+        let shut = self.connect_failure_fraction * self.settings.connect_timeout.as_secs_f64();
         let best = answers
-            .filter(|b| self.servers[b.1].state == EndpointState::Active)
+            .filter(|b| self.backends[b.1].state == EndpointState::Active)
             .map(|(load, i)| {
-                let open = self.servers[i].connected(now, self.settings.idle_timeout);
+                let open = self.backends[i].connected(now, self.settings.idle_timeout);
                 (load * self.mean_work + if open { 0.0 } else { shut }, i)
             })
             .min_by(|a, b| a.0.total_cmp(&b.0));
-        let server = match best {
+        let backend = match best {
             // What would be answered too late only takes room from work that can still be in time.
-            Some(b) if b.0 / IN_TIME + work > self.aim(class, Some(work)) => None,
+            Some(b) if b.0 / IN_TIME + work > self.latency_objective(class, Some(work)) => None,
             Some(b) => Some(b.1),
-            None => self.draw(now, id, false),
+            None => self.pick_backend(now, id, false),
         };
-        self.send(now, id, server.filter(|_| !left.is_zero()), actions);
+        self.start_attempt(now, id, backend.filter(|_| !left.is_zero()), actions);
     }
 }
 
-/// Whether a class may ever go to a server: its placement, by zone and kind.
-pub(crate) fn placed(class: &RequestClass, s: &Server) -> bool {
+/// Whether a class may ever go to a backend: its placement, by zone and kind.
+pub(crate) fn allowed(class: &RequestClass, s: &Backend) -> bool {
     class
         .allowed_zones
         .as_ref()
@@ -1005,15 +1053,15 @@
 
 /// The worth below which arrivals are turned away in part, so that of those like these such a part
 /// is.
-fn threshold(worths: impl Iterator<Item = f64> + Clone, refused: f64) -> f64 {
+fn threshold(recent_weights: impl Iterator<Item = f64> + Clone, refused: f64) -> f64 {
     if refused <= 1e-3 {
         return 0.0;
     }
-    let wanted = refused * worths.clone().count() as f64;
-    let (mut low, mut high) = (0.0, 2.0 * worths.clone().fold(0.0, f64::max));
+    let wanted = refused * recent_weights.clone().count() as f64;
+    let (mut low, mut high) = (0.0, 2.0 * recent_weights.clone().fold(0.0, f64::max));
     while high - low > 1e-3 * high {
         let middle = f64::midpoint(low, high);
-        let turned: f64 = worths
+        let turned: f64 = recent_weights
             .clone()
             .map(|w| (middle / w.max(1e-9)).min(1.0))
             .sum();
@@ -1022,22 +1070,22 @@
     high
 }
 
-/// share = [1/(price + lambda) − 1/speed]₊, at most `most`, of sum n: the maximum of Σ ln(1 +
+/// share = [1/(price + lambda) − 1/speed]₊, at most `max_share`, of sum n: the maximum of Σ ln(1 +
 /// share·speed) − price·share. Newton steps on lambda, kept inside a shrinking bracket. Returns
 /// lambda.
-fn solve_shares(lines: &[Line], floor: f64, start: f64, shares: &mut Vec<f64>) -> f64 {
-    let n = lines.len() as f64;
-    let share = |l: &Line, lambda: f64| match l.price + lambda {
-        dear if dear > 0.0 => (1.0 / dear - 1.0 / l.speed).clamp(0.0, l.most),
-        _ => l.most, // Cheaper than any share can make it: its bound alone holds.
+fn solve_shares(inputs: &[ShareInput], floor: f64, start: f64, shares: &mut Vec<f64>) -> f64 {
+    let n = inputs.len() as f64;
+    let share = |l: &ShareInput, lambda: f64| match l.price + lambda {
+        dear if dear > 0.0 => (1.0 / dear - 1.0 / l.speed).clamp(0.0, l.max_share),
+        _ => l.max_share, // Cheaper than any share can make it: its bound alone holds.
     };
-    // Where the bounds leave no room for n the rest is refused: lower, even dear servers would fill
-    // up. A bounded server that stays cheap, as an idle cold one does, doesn't count: it would
-    // close the others.
+    // Where the bounds leave no room for n the rest is refused: lower, even dear backends would
+    // fill up. A bounded backend that stays cheap, as an idle cold one does, doesn't count: it
+    // would close the others.
     let least = |bounded: bool| {
-        lines
+        inputs
             .iter()
-            .filter(move |l| l.most.is_finite() == bounded)
+            .filter(move |l| l.max_share.is_finite() == bounded)
             .map(|l| l.price)
     };
     let least = |bounded| least(bounded).fold(f64::INFINITY, f64::min);
@@ -1047,7 +1095,7 @@
         least(true)
     };
     let mut low = floor - cheapest;
-    let mut high = lines.iter().map(|l| l.speed - l.price).fold(low, f64::max);
+    let mut high = inputs.iter().map(|l| l.speed - l.price).fold(low, f64::max);
     let mut lambda = if start > low && start < high {
         start
     } else {
@@ -1055,10 +1103,10 @@
     };
     for _ in 0..60 {
         let (mut sum, mut slope) = (0.0, 0.0);
-        for l in lines {
+        for l in inputs {
             let s = share(l, lambda);
             sum += s;
-            if s > 0.0 && s < l.most {
+            if s > 0.0 && s < l.max_share {
                 slope -= 1.0 / (l.price + lambda).powi(2);
             }
         }
@@ -1074,7 +1122,7 @@
         };
     }
     shares.clear();
-    shares.extend(lines.iter().map(|l| share(l, lambda)));
+    shares.extend(inputs.iter().map(|l| share(l, lambda)));
     lambda
 }
 
--- a/crates/balancer/src/logic_tests.rs
+++ b/crates/balancer/src/logic_tests.rs
@@ -7,52 +7,50 @@
 use crate::*;
 use common::{arrival, at, ended, entry, list, ms, report, settings};
 
-fn line(price: f64, speed: f64) -> Line {
-    Line {
+fn input(price: f64, speed: f64) -> ShareInput {
+    ShareInput {
         price,
         speed,
-        most: f64::INFINITY,
+        max_share: f64::INFINITY,
     }
 }
 
-fn solved(lines: &[Line]) -> Vec<f64> {
+fn solved(inputs: &[ShareInput]) -> Vec<f64> {
     let mut shares = vec![];
-    solve_shares(lines, 0.0, 0.5, &mut shares);
+    solve_shares(inputs, 0.0, 0.5, &mut shares);
     shares
 }
 
-fn utility(lines: &[Line], shares: &[f64]) -> f64 {
-    lines
+fn utility(inputs: &[ShareInput], shares: &[f64]) -> f64 {
+    inputs
         .iter()
         .zip(shares)
         .map(|(l, s)| (1.0 + s * l.speed).ln() - l.price * s)
         .sum()
 }
 
-/// The share of a server in a class.
-fn share(b: &Balancer, class: usize, server: u32) -> f64 {
+/// The share of a backend in a class.
+fn share(b: &Balancer, class: usize, backend: u32) -> f64 {
     let k = b
         .ready
         .iter()
-        .position(|&i| b.servers[i].id == BackendId(server))
+        .position(|&i| b.backends[i].id == BackendId(backend))
         .expect("ready");
-    b.markets[class].shares[k]
+    b.allocations[class].shares[k]
 }
 
-fn balancer(servers: u32) -> Balancer {
+fn balancer(backends: u32) -> Balancer {
     let mut b = Balancer::new(settings(), 7, at(0)).expect("sound settings");
-    b.handle(at(0), list(servers), &mut vec![]);
+    b.handle(at(0), list(backends), &mut vec![]);
     b
 }
 
-/// Sends one request and returns its server.
+/// Sends one request and returns its backend.
 fn sent(b: &mut Balancer, now: Time, id: u64) -> Option<BackendId> {
     let mut actions = vec![];
     b.handle(now, arrival(id, 0), &mut actions);
     actions.iter().find_map(|a| match a {
-        Action::StartAttempt {
-            backend: server, ..
-        } => Some(*server),
+        Action::StartAttempt { backend, .. } => Some(*backend),
         _ => None,
     })
 }
@@ -61,15 +59,15 @@
 fn shares_are_feasible_and_optimal() {
     let mut rng = Balancer::new(settings(), 3, at(0)).expect("sound settings");
     for n in 1..30usize {
-        let lines: Vec<Line> = (0..n)
-            .map(|_| line(rng.random() * 2.0, 0.1 + 2.0 * rng.random()))
+        let inputs: Vec<ShareInput> = (0..n)
+            .map(|_| input(rng.random() * 2.0, 0.1 + 2.0 * rng.random()))
             .collect();
-        let shares = solved(&lines);
+        let shares = solved(&inputs);
         assert!((shares.iter().sum::<f64>() - n as f64).abs() < 1e-4 * n as f64);
         assert!(shares.iter().all(|s| *s >= 0.0));
-        // Independent check: no small move of share from one server to another raises the sum of
+        // Independent check: no small move of share from one backend to another raises the sum of
         // utility less price.
-        let best = utility(&lines, &shares);
+        let best = utility(&inputs, &shares);
         for from in 0..n {
             for to in 0..n {
                 let mut other = shares.clone();
@@ -77,7 +75,7 @@
                 other[from] -= moved;
                 other[to] += moved;
                 assert!(
-                    utility(&lines, &other) <= best + 1e-6,
+                    utility(&inputs, &other) <= best + 1e-6,
                     "{from} to {to} of {n}"
                 );
             }
@@ -85,16 +83,16 @@
     }
 }
 
-/// A cold server gets little, is idle and grows cheap. The others must still get all that it can't
+/// A cold backend gets little, is idle and grows cheap. The others must still get all that it can't
 /// take, however dear they are beside it: on days of releases half of the requests were refused for
 /// want of shares.
 #[test]
 fn a_cheap_bounded_server_does_not_close_the_others() {
-    let cold = Line {
-        most: 0.1,
-        ..line(0.0, 1.0)
+    let cold = ShareInput {
+        max_share: 0.1,
+        ..input(0.0, 1.0)
     };
-    let shares = solved(&[cold, line(1.5, 1.0), line(1.6, 1.0), line(1.7, 1.0)]);
+    let shares = solved(&[cold, input(1.5, 1.0), input(1.6, 1.0), input(1.7, 1.0)]);
     assert!(
         (shares.iter().sum::<f64>() - 4.0).abs() < 1e-3,
         "{shares:?}"
@@ -107,12 +105,12 @@
 
 #[test]
 fn shares_bear_extreme_prices_and_speeds() {
-    assert!((solved(&[line(5.0, 1.0)])[0] - 1.0).abs() < 1e-5);
+    assert!((solved(&[input(5.0, 1.0)])[0] - 1.0).abs() < 1e-5);
     let shares = solved(&[
-        line(1e9, 1.0),
-        line(0.0, 1e6),
-        line(0.0, 0.01),
-        line(3.0, 1.0),
+        input(1e9, 1.0),
+        input(0.0, 1e6),
+        input(0.0, 0.01),
+        input(3.0, 1.0),
     ]);
     assert!(
         (shares.iter().sum::<f64>() - 4.0).abs() < 1e-3,
@@ -120,16 +118,16 @@
     );
     assert_eq!(shares[0], 0.0);
     // Bounds that leave no room: what is left over is not forced on anyone.
-    let tight: Vec<Line> = (0..4)
-        .map(|_| Line {
-            most: 0.5,
-            ..line(0.1, 1.0)
+    let tight: Vec<ShareInput> = (0..4)
+        .map(|_| ShareInput {
+            max_share: 0.5,
+            ..input(0.1, 1.0)
         })
         .collect();
     assert_eq!(solved(&tight), vec![0.5; 4]);
-    let closed = [Line {
-        most: 0.0,
-        ..line(0.0, 1.0)
+    let closed = [ShareInput {
+        max_share: 0.0,
+        ..input(0.0, 1.0)
     }];
     assert_eq!(solved(&closed), vec![0.0]);
 }
@@ -138,21 +136,21 @@
 fn price_follows_the_projected_step() {
     let mut b = balancer(4);
     b.mean_load = 1.0;
-    b.report(at(0), BackendId(1), &report(0.8, 10.0));
-    b.report(at(0), BackendId(2), &report(0.1, 10.0));
+    b.record_load_report(at(0), BackendId(1), &report(0.8, 10.0));
+    b.record_load_report(at(0), BackendId(2), &report(0.1, 10.0));
     let i = b.index[&BackendId(1)];
-    b.step(i, at(200));
-    assert!((b.servers[i].price - STEP * 0.2 * (0.8 - LOAD_FACTOR)).abs() < 1e-9);
+    b.update_price(i, at(200));
+    assert!((b.backends[i].price - STEP * 0.2 * (0.8 - LOAD_FACTOR)).abs() < 1e-9);
     let k = b.index[&BackendId(2)];
-    b.step(k, at(200));
-    assert_eq!(b.servers[k].price, 0.0, "projected at zero");
+    b.update_price(k, at(200));
+    assert_eq!(b.backends[k].price, 0.0, "projected at zero");
     // A report moves the price for its life only.
-    b.going_price = b.servers[i].price;
-    b.step(i, at(600));
-    let price = b.servers[i].price;
-    b.going_price = price;
-    b.step(i, at(5000));
-    assert!((b.servers[i].price - price).abs() < 1e-9);
+    b.traffic_weighted_price = b.backends[i].price;
+    b.update_price(i, at(600));
+    let price = b.backends[i].price;
+    b.traffic_weighted_price = price;
+    b.update_price(i, at(5000));
+    assert!((b.backends[i].price - price).abs() < 1e-9);
 }
 
 #[test]
@@ -168,14 +166,14 @@
         },
         &mut vec![],
     );
-    assert_eq!(b.servers[b.index[&BackendId(9)]].price, 0.4);
+    assert_eq!(b.backends[b.index[&BackendId(9)]].price, 0.4);
 }
 
 #[test]
 fn draws_follow_shares() {
     let mut b = balancer(4);
-    b.markets[0].shares = vec![0.4, 0.8, 1.2, 1.6];
-    b.markets[0].open = 4.0;
+    b.allocations[0].shares = vec![0.4, 0.8, 1.2, 1.6];
+    b.allocations[0].eligible_backends = 4.0;
     b.solved = Some(at(1));
     let mut counts = [0.0; 4];
     let asked = Vec::new();
@@ -185,15 +183,17 @@
         arrived: at(1),
         ends: at(900),
         work: None,
-        coming: false,
+        body_pending: false,
         open: true,
         begun: false,
         attempts,
-        asked,
+        candidates: asked,
     };
     b.requests.insert(RequestId(1), r);
     for _ in 0..40_000 {
-        counts[b.draw(at(1), RequestId(1), false).expect("all are ready")] += 1.0;
+        counts[b
+            .pick_backend(at(1), RequestId(1), false)
+            .expect("all are ready")] += 1.0;
     }
     for (i, count) in counts.iter().enumerate() {
         assert!(
@@ -203,11 +203,11 @@
     }
 }
 
-/// Many nodes together: a cold server's intake stays far inside its budget from its first second
+/// Many nodes together: a cold backend's intake stays far inside its budget from its first second
 /// on.
 #[test]
 fn cold_servers_are_not_rushed() {
-    let (nodes, servers, rate) = (40u64, 20u32, 2.0);
+    let (nodes, backends, rate) = (40u64, 20u32, 2.0);
     let rules = settings().protocol_limits;
     let started = at(1000);
     let mut all: Vec<Balancer> = (0..nodes)
@@ -224,7 +224,7 @@
         })
         .collect();
     for b in &mut all {
-        b.handle(at(0), list(servers), &mut vec![]);
+        b.handle(at(0), list(backends), &mut vec![]);
         let entries = vec![entry(0, EndpointState::Active, Some(started))];
         b.handle(
             started,
@@ -235,7 +235,7 @@
             &mut vec![],
         );
     }
-    // Each node sends once every 1/rate of 50 ms; warm peers take total / servers a second.
+    // Each node sends once every 1/rate of 50 ms; warm peers take total / backends a second.
     let (mut id, mut cold) = (0, vec![]);
     for tick in 0..400u64 {
         let now = at(1000 + tick * 10);
@@ -246,23 +246,23 @@
             }
         }
     }
-    let peer = nodes as f64 * 100.0 / f64::from(servers) * rate / 2.0;
+    let peer = nodes as f64 * 100.0 / f64::from(backends) * rate / 2.0;
     for from in (0..3000u64).step_by(100) {
         let window = cold
             .iter()
             .filter(|t| (from..from + 1000).contains(t))
             .count() as f64;
-        let warmth = rules.slow_start_initial_capacity
+        let available_capacity = rules.slow_start_initial_capacity
             + (1.0 - rules.slow_start_initial_capacity) * from as f64 / 20_000.0;
         assert!(
-            window < 0.5 * rules.overload_multiple * warmth * peer,
+            window < 0.5 * rules.overload_multiple * available_capacity * peer,
             "{window} at {from}"
         );
     }
     assert!(!cold.is_empty(), "it must get work to warm up");
 }
 
-/// Altiplano big-2: with dispersed prices up to ten of n shares gathered on one server and broke
+/// Altiplano big-2: with dispersed prices up to ten of n shares gathered on one backend and broke
 /// it.
 #[test]
 fn no_server_is_asked_for_more_than_its_part() {
@@ -271,78 +271,87 @@
         let now = at(k * 10);
         b.handle(now, arrival(k, 0), &mut vec![]);
         for s in 0..4 {
-            b.report(now, BackendId(s), &report(0.9, 22.5));
+            b.record_load_report(now, BackendId(s), &report(0.9, 22.5));
         }
     }
-    // Capacity 25 a second and server; this node's part of it is a quarter, it asks for 100.
+    // Capacity 25 a second and backend; this node's part of it is a quarter, it asks for 100.
     for s in 1..4 {
-        b.failed(at(2000), BackendId(s), AttemptOutcome::ServerError);
+        b.record_failure(at(2000), BackendId(s), AttemptOutcome::ServerError);
     }
-    b.solve(at(2000));
-    let most = ADMIT * 25.0 * b.part * 4.0 / b.markets[0].arrivals.add(at(2000), 0.0);
+    b.refresh_allocation(at(2000));
+    let most =
+        ADMIT * 25.0 * b.traffic_fraction * 4.0 / b.allocations[0].arrivals.add(at(2000), 0.0);
     assert!(
-        b.markets[0].shares.iter().all(|s| *s <= most * 1.01),
+        b.allocations[0].shares.iter().all(|s| *s <= most * 1.01),
         "{:?} above {most}",
-        b.markets[0].shares
+        b.allocations[0].shares
     );
     assert!(
-        b.markets[0].threshold > 0.0,
+        b.allocations[0].shed_threshold > 0.0,
         "what finds no place is turned away"
     );
 }
 
-/// A server that fails fast reports little load; its failures must make it dear all the same.
+/// A backend that fails fast reports little load; its failures must make it dear all the same.
 #[test]
 fn fast_failing_server_grows_dear() {
     let mut b = balancer(4);
     for s in 0..4 {
-        b.report(at(0), BackendId(s), &report(0.5, 10.0));
+        b.record_load_report(at(0), BackendId(s), &report(0.5, 10.0));
     }
-    b.solve(at(50));
+    b.refresh_allocation(at(50));
     let i = b.index[&BackendId(2)];
     let before = share(&b, 0, 2);
-    b.failed(at(60), BackendId(2), AttemptOutcome::ServerError);
-    b.failed(at(60), BackendId(2), AttemptOutcome::ServerError);
-    b.solve(at(120));
-    assert!(b.servers[i].price > 0.9);
-    assert!(share(&b, 0, 2) < 0.2 * before, "{:?}", b.markets[0].shares);
+    b.record_failure(at(60), BackendId(2), AttemptOutcome::ServerError);
+    b.record_failure(at(60), BackendId(2), AttemptOutcome::ServerError);
+    b.refresh_allocation(at(120));
+    assert!(b.backends[i].price > 0.9);
+    assert!(
+        share(&b, 0, 2) < 0.2 * before,
+        "{:?}",
+        b.allocations[0].shares
+    );
 }
 
-/// Incident inc3826: three answers in a hundred could not be read, at every server, and each closed
-/// its server for seconds, while the others were crowded. A server is as dear as the part of its
-/// answers that fail.
+/// Incident inc3826: three answers in a hundred could not be read, at every backend, and each
+/// closed its backend for seconds, while the others were crowded. A backend is as dear as the part
+/// of its answers that fail.
 #[test]
 fn a_rare_broken_answer_does_not_close_its_server() {
     let mut b = balancer(4);
     for k in 0..100u64 {
         for s in 0..4 {
-            b.report(at(k), BackendId(s), &report(0.5, 10.0));
-            b.answered(at(k), BackendId(s), 0.05, None);
+            b.record_load_report(at(k), BackendId(s), &report(0.5, 10.0));
+            b.record_response(at(k), BackendId(s), 0.05, None);
         }
     }
-    b.solve(at(150));
+    b.refresh_allocation(at(150));
     let before = share(&b, 0, 2);
-    b.failed(at(160), BackendId(2), AttemptOutcome::ConnectionReset);
-    b.solve(at(220));
-    assert!(share(&b, 0, 2) > 0.8 * before, "{:?}", b.markets[0].shares);
+    b.record_failure(at(160), BackendId(2), AttemptOutcome::ConnectionReset);
+    b.refresh_allocation(at(220));
     assert!(
-        b.servers[b.index[&BackendId(2)]].load.is_some(),
+        share(&b, 0, 2) > 0.8 * before,
+        "{:?}",
+        b.allocations[0].shares
+    );
+    assert!(
+        b.backends[b.index[&BackendId(2)]].load.is_some(),
         "its load still counts"
     );
     for _ in 0..8 {
-        b.failed(at(230), BackendId(2), AttemptOutcome::ConnectionReset);
+        b.record_failure(at(230), BackendId(2), AttemptOutcome::ConnectionReset);
     }
-    b.solve(at(300));
+    b.refresh_allocation(at(300));
     assert!(
         share(&b, 0, 2) < 0.2 * before,
         "failing on and on closes it: {:?}",
-        b.markets[0].shares
+        b.allocations[0].shares
     );
 }
 
-/// A large fleet, join+vast: the list gave every server the same weight, while the kinds differ
-/// three times in speed, and a node met a single server too seldom to learn it. What answers of a
-/// kind's other servers tell counts for it.
+/// A large fleet, join+vast: the list gave every backend the same weight, while the kinds differ
+/// three times in speed, and a node met a single backend too seldom to learn it. What answers of a
+/// kind's other backends tell counts for it.
 #[test]
 fn a_server_never_met_is_valued_by_its_kind() {
     let settings = Settings {
@@ -352,32 +361,36 @@
     };
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(5), &mut vec![]);
-    // Kinds go by id modulo 3. One server of each of two is met, the second at three times the time
-    // for its work.
+    // Kinds go by id modulo 3. One backend of each of two is met, the second at three times the
+    // time for its work.
     for k in 0..40u64 {
-        b.answered(at(k), BackendId(0), 0.02, Some(0.02));
-        b.answered(at(k), BackendId(1), 0.06, Some(0.02));
+        b.record_response(at(k), BackendId(0), 0.02, Some(0.02));
+        b.record_response(at(k), BackendId(1), 0.06, Some(0.02));
     }
-    b.solve(at(100));
+    b.refresh_allocation(at(100));
     assert!(
         share(&b, 0, 4) < 0.7 * share(&b, 0, 3),
         "{:?}",
-        b.markets[0].shares
+        b.allocations[0].shares
     );
     assert!(
         (share(&b, 0, 0) / share(&b, 0, 3) - 1.0).abs() < 0.05,
         "{:?}",
-        b.markets[0].shares
+        b.allocations[0].shares
     );
-    // A heavy request's long answer does not tell of a slow server.
+    // A heavy request's long answer does not tell of a slow backend.
     let before = share(&b, 0, 0);
-    (0..40).for_each(|_| b.answered(at(100), BackendId(0), 0.2, Some(0.2)));
-    b.solve(at(200));
-    assert!(share(&b, 0, 0) > 0.95 * before, "{:?}", b.markets[0].shares);
+    (0..40).for_each(|_| b.record_response(at(100), BackendId(0), 0.2, Some(0.2)));
+    b.refresh_allocation(at(200));
+    assert!(
+        share(&b, 0, 0) > 0.95 * before,
+        "{:?}",
+        b.allocations[0].shares
+    );
 }
 
-/// join+vast: eighteen of sixty servers came cold within seconds and idled at a fifth of their
-/// fellows' attempts, since the bound was the same for fast and slow. It follows a server's speed,
+/// join+vast: eighteen of sixty backends came cold within seconds and idled at a fifth of their
+/// fellows' attempts, since the bound was the same for fast and slow. It follows a backend's speed,
 /// and stays within what it can do by then.
 #[test]
 fn a_cold_servers_bound_follows_its_speed() {
@@ -393,8 +406,8 @@
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(5), &mut vec![]);
     for k in 0..40u64 {
-        b.answered(at(k), BackendId(0), 0.02, Some(0.02));
-        b.answered(at(k), BackendId(1), 0.04, Some(0.02));
+        b.record_response(at(k), BackendId(0), 0.02, Some(0.02));
+        b.record_response(at(k), BackendId(1), 0.04, Some(0.02));
     }
     let entries = [3, 4]
         .map(|s| entry(s, EndpointState::Active, Some(at(90))))
@@ -410,21 +423,22 @@
     (0..20).for_each(|k| b.handle(at(100 + 50 * k), arrival(k, 0), &mut vec![]));
     let (fast, slow) = (share(&b, 0, 3), share(&b, 0, 4));
     assert!(fast > 1.5 * slow && slow > 0.0, "{fast} and {slow}");
-    let warmth = b.servers[b.index[&BackendId(3)]].warmth(&rules, at(1050));
+    let available_capacity =
+        b.backends[b.index[&BackendId(3)]].available_capacity(&rules, at(1050));
     assert!(
-        fast <= FAST * warmth * 1.01 && fast < 0.5 * fall * warmth,
-        "{fast} at {warmth}"
+        fast <= FAST * available_capacity * 1.01 && fast < 0.5 * fall * available_capacity,
+        "{fast} at {available_capacity}"
     );
 }
 
-/// A hung server reports nothing: its oldest unanswered send makes it dear.
+/// A hung backend reports nothing: its oldest unanswered send makes it dear.
 #[test]
 fn hung_server_grows_dear_and_comes_back() {
     let mut b = balancer(4);
     let hung = sent(&mut b, at(0), 1).expect("sent");
     let i = b.index[&hung];
-    b.step(i, at(3000));
-    let dear = b.servers[i].price;
+    b.update_price(i, at(3000));
+    let dear = b.backends[i].price;
     assert!(dear > 0.5, "{dear}");
     // Once it is answered the price drifts back: no lasting avoidance.
     b.handle(
@@ -433,16 +447,16 @@
         &mut vec![],
     );
     for k in 0..400 {
-        b.step(i, at(3000 + 50 * k));
+        b.update_price(i, at(3000 + 50 * k));
     }
-    assert!(b.servers[i].price < 0.1);
+    assert!(b.backends[i].price < 0.1);
 }
 
 #[test]
 fn shedding_turns_away_the_least_worth_first() {
     let mut b = balancer(2);
-    b.markets[0]
-        .worths
+    b.allocations[0]
+        .recent_weights
         .extend([1.0, 1.0, 10.0, 10.0].map(|worth| (ClassId(0), worth)));
     b.set_thresholds(0, 0.3);
     let turned = |w: f64| b.shed_chance(ClassId(0), w);
@@ -450,15 +464,18 @@
     assert!((f64::midpoint(turned(1.0), turned(10.0)) - 0.3).abs() < 0.02);
     b.set_thresholds(0, 0.0);
     assert_eq!(
-        (b.markets[0].threshold, b.shed_chance(ClassId(0), 0.01)),
+        (
+            b.allocations[0].shed_threshold,
+            b.shed_chance(ClassId(0), 0.01)
+        ),
         (0.0, 0.0)
     );
 }
 
-/// Of classes whose worths differ tenfold the cheapest was shed nearly whole before the dearest was
-/// touched: with six in ten turned away a class of worth 1 beside others of 2 and 10 was let in at
-/// one in ten. What is let in goes to all classes alike for the most part; over the rest worth
-/// decides, and no more is let in for that.
+/// Of classes whose recent_weights differ tenfold the cheapest was shed nearly whole before the
+/// dearest was touched: with six in ten turned away a class of worth 1 beside others of 2 and 10
+/// was let in at one in ten. What is let in goes to all classes alike for the most part; over the
+/// rest worth decides, and no more is let in for that.
 #[test]
 fn no_class_is_shed_whole_for_the_others() {
     for refused in [0.2, 0.4, 0.6, 0.8] {
@@ -476,7 +493,7 @@
         let (mut asked, mut let_in) = ([0.0; 3], [0.0; 3]);
         for k in 0..6000u64 {
             let class = [0, 1, 0, 2, 0, 1, 0, 1, 0, 1][k as usize % 10];
-            (b.markets[0].refused, b.solved) = (refused, None);
+            (b.allocations[0].shed_fraction, b.solved) = (refused, None);
             let mut actions = vec![];
             let Event::RequestArrived(a) = arrival(k, class) else {
                 unreachable!("an arrival")
@@ -528,8 +545,8 @@
         let asked: Vec<BackendId> = actions
             .iter()
             .filter_map(|a| {
-                if let Action::SendLoadProbe { backend: server } = a {
-                    Some(*server)
+                if let Action::SendLoadProbe { backend } = a {
+                    Some(*backend)
                 } else {
                     None
                 }
@@ -537,13 +554,13 @@
             .collect();
         assert_eq!(asked.len(), PROBES);
         actions.clear();
-        for (k, server) in asked.iter().enumerate() {
+        for (k, backend) in asked.iter().enumerate() {
             let report = Some(LoadReport {
                 in_flight: Some(held(k)),
                 ..report(0.5, 0.0)
             });
             let p = LoadProbeResult {
-                backend: *server,
+                backend: *backend,
                 outcome: AttemptOutcome::Success,
                 latency: ms(1),
                 load_report: report,
@@ -554,7 +571,7 @@
     };
     let (asked, actions) = probed(&|k| if k == 3 { 0.0 } else { 2.0 });
     assert!(
-        matches!(actions[..], [Action::StartAttempt { backend: server, .. }] if server == asked[3]),
+        matches!(actions[..], [Action::StartAttempt { backend, .. }] if backend == asked[3]),
         "{actions:?}"
     );
     let (_, actions) = probed(&|_| 9.0);
@@ -565,7 +582,7 @@
 }
 
 /// An estimated wait is an average, and what is late by a little is worth nothing and still takes
-/// its room. A request's own work is no such guess: at an idle server a heavy one can be in time.
+/// its room. A request's own work is no such guess: at an idle backend a heavy one can be in time.
 #[test]
 fn long_waits_are_taken_for_longer() {
     let probing = Settings {
@@ -590,13 +607,13 @@
         };
         b.handle(at(1), Event::RequestArrived(arrival), &mut actions);
         actions.clear();
-        for server in 0..3 {
+        for backend in 0..3 {
             let report = Some(LoadReport {
                 in_flight: Some(held),
                 ..report(0.5, 0.0)
             });
             let p = LoadProbeResult {
-                backend: BackendId(server),
+                backend: BackendId(backend),
                 outcome: AttemptOutcome::Success,
                 latency: ms(1),
                 load_report: report,
@@ -611,9 +628,9 @@
     assert!(!sent(aim / 10, 8.5));
 }
 
-/// A probe costs the server and the node, and is no use where its answer is known. What the node
+/// A probe costs the backend and the node, and is no use where its answer is known. What the node
 /// itself has sent since is not in that answer and must be counted in, or all requests of a moment
-/// go to one server.
+/// go to one backend.
 #[test]
 fn what_was_just_heard_is_not_asked_again() {
     let probing = Settings {
@@ -648,13 +665,13 @@
     assert_eq!(probes(&arrive(&mut b, at(1), 1)), 3);
     assert_eq!(probes(&arrive(&mut b, at(1), 2)), 0, "asked already");
     actions.clear();
-    for server in 0..3 {
+    for backend in 0..3 {
         let report = Some(LoadReport {
             in_flight: Some(0.0),
             ..report(0.1, 0.0)
         });
         let p = LoadProbeResult {
-            backend: BackendId(server),
+            backend: BackendId(backend),
             outcome: AttemptOutcome::Success,
             latency: ms(1),
             load_report: report,
@@ -663,11 +680,8 @@
     }
     actions.extend(arrive(&mut b, at(3), 3));
     let sent = |a: &Action| {
-        if let Action::StartAttempt {
-            backend: server, ..
-        } = a
-        {
-            Some(*server)
+        if let Action::StartAttempt { backend, .. } = a {
+            Some(*backend)
         } else {
             None
         }
@@ -710,7 +724,7 @@
     assert_eq!(bad(|_| ()), "");
 }
 
-/// A rule without a time binds nobody: a fleet of cold servers serves all the same.
+/// A rule without a time binds nobody: a fleet of cold backends serves all the same.
 #[test]
 fn without_a_fall_time_cold_servers_serve() {
     let mut settings = settings();
@@ -854,7 +868,7 @@
     }
 }
 
-/// A process that knows no server to send to can't serve before its first list: it asks soon,
+/// A process that knows no backend to send to can't serve before its first list: it asks soon,
 /// however seldom lists have to be asked for. One that knows some keeps to them, and its call stays
 /// spread out.
 #[test]
@@ -932,15 +946,15 @@
     assert!(*most < NODES / 8, "{most} of {NODES} within 50 ms");
 }
 
-/// Placement: shares are solved over the open servers only, and nothing else is drawn, also when
+/// Placement: shares are solved over the open backends only, and nothing else is drawn, also when
 /// all of those are down or were tried.
 #[test]
 fn bound_classes_keep_to_their_servers() {
     let mut b = Balancer::new(common::bound(), 7, at(0)).expect("sound settings");
     b.handle(at(0), list(9), &mut vec![]);
-    b.solve(at(0));
-    let m = &b.markets[1];
-    assert_eq!(m.open, 6.0);
+    b.refresh_allocation(at(0));
+    let m = &b.allocations[1];
+    assert_eq!(m.eligible_backends, 6.0);
     assert!(
         (m.shares.iter().sum::<f64>() - 6.0).abs() < 1e-3,
         "{:?}",
@@ -948,7 +962,7 @@
     );
     let open = (0..9).filter(|&s| share(&b, 1, s) > 0.0);
     assert_eq!(open.filter(|s| s % 3 != 1).count(), 6, "{:?}", m.shares);
-    // Class 2 has server 4 only: once that has turned it away nothing is left, and it is refused.
+    // Class 2 has backend 4 only: once that has turned it away nothing is left, and it is refused.
     let mut actions = vec![];
     b.handle(at(1), arrival(1, 2), &mut actions);
     assert!(
@@ -978,20 +992,20 @@
         matches!(actions[..], [Action::Reject { .. }]),
         "{actions:?}"
     );
-    // The last gate holds whatever chose the server.
+    // The last gate holds whatever chose the backend.
     actions.clear();
     b.handle(at(4), arrival(3, 1), &mut vec![]);
     let request = b.requests.get_mut(&RequestId(3)).expect("held");
     request.attempts.clear();
     let wrong = b.index[&BackendId(1)];
-    b.send(at(4), RequestId(3), Some(wrong), &mut actions);
+    b.start_attempt(at(4), RequestId(3), Some(wrong), &mut actions);
     assert!(
         matches!(actions[..], [Action::Reject { .. }]),
         "{actions:?}"
     );
 }
 
-/// What tried or closed servers leave goes to warm ones: a cold server's chance does not grow.
+/// What tried or closed backends leave goes to warm ones: a cold backend's chance does not grow.
 #[test]
 fn cold_servers_do_not_take_what_others_leave() {
     let mut b = balancer(4);
@@ -1013,19 +1027,19 @@
             continue;
         };
         for a in &mut r.attempts {
-            (a.ended, a.server) = (true, BackendId(1 + (k % 2) as u32));
+            (a.ended, a.backend) = (true, BackendId(1 + (k % 2) as u32));
         }
-        if let Some(i) = b.draw(at(1000), id, false) {
-            counts[b.servers[i].id.0 as usize] += 1;
+        if let Some(i) = b.pick_backend(at(1000), id, false) {
+            counts[b.backends[i].id.0 as usize] += 1;
         }
         b.requests.remove(&id);
     }
     let i = b
         .ready
         .iter()
-        .position(|&i| b.servers[i].id == BackendId(0))
+        .position(|&i| b.backends[i].id == BackendId(0))
         .expect("ready");
-    let share = b.markets[0].shares[i] / 4.0;
+    let share = b.allocations[0].shares[i] / 4.0;
     assert!(share > 0.005, "{share}");
     assert!(
         (f64::from(counts[0]) / 20_000.0 - share).abs() < 0.005,
@@ -1044,7 +1058,7 @@
     b
 }
 
-/// O, split+mass: a cut, or servers slowed by their own load, left a node with two or three of its
+/// O, split+mass: a cut, or backends slowed by their own load, left a node with two or three of its
 /// few, which then took all its traffic and slowed down as well, while it knew of hundreds. Servers
 /// that are closed make room for others among the few; once they answer well they are enough again.
 /// The same holds for what cold ones can't take. Where reports tell load the few stay as they are:
@@ -1058,15 +1072,15 @@
     };
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(40), &mut vec![]);
-    // The most servers dealt with, once it has settled, and those that are sent to.
+    // The most backends dealt with, once it has settled, and those that are sent to.
     let settle = |b: &mut Balancer, from: u64, bad: &[BackendId]| {
         let (mut most, mut used) = (0.0f64, std::collections::BTreeSet::new());
         for k in 0..400 {
             let (now, id) = (at(from + k * 100), from + k);
-            let Some(server) = sent(b, now, id) else {
+            let Some(backend) = sent(b, now, id) else {
                 continue;
             };
-            let outcome = if bad.contains(&server) {
+            let outcome = if bad.contains(&backend) {
                 AttemptOutcome::ConnectFailed
             } else {
                 AttemptOutcome::Success
@@ -1075,12 +1089,12 @@
                 request_closed: true,
                 latency: ms(50),
                 load_report: None,
-                ..plain_end(id, server, outcome)
+                ..plain_end(id, backend, outcome)
             };
             b.handle(now, Event::AttemptEnded(end), &mut vec![]);
             if k >= 200 {
-                most = most.max(b.markets[0].open);
-                used.insert(server);
+                most = most.max(b.allocations[0].eligible_backends);
+                used.insert(backend);
             }
         }
         (most, used)
@@ -1113,9 +1127,9 @@
     );
     cold.handle(at(1), arrival(1, 0), &mut vec![]);
     assert!(
-        cold.markets[0].open > 2.0 * LEAST_OPEN,
+        cold.allocations[0].eligible_backends > 2.0 * LEAST_OPEN,
         "{}",
-        cold.markets[0].open
+        cold.allocations[0].eligible_backends
     );
 }
 
@@ -1136,7 +1150,7 @@
         let mut actions = vec![];
         b.handle(at(5), arrival(1, 0), &mut actions);
         let Some(&Action::StartAttempt {
-            backend: server,
+            backend,
             timeout: first,
             ..
         }) = actions.first()
@@ -1146,7 +1160,7 @@
         actions.clear();
         b.handle(
             at(105),
-            ended(1, 0, server, AttemptOutcome::ServerError, None),
+            ended(1, 0, backend, AttemptOutcome::ServerError, None),
             &mut actions,
         );
         let Some(&Action::StartAttempt {
@@ -1173,9 +1187,9 @@
     );
 }
 
-/// Etichete big-1: every node opened connections to every server, whose tables filled up, and heard
-/// of each too rarely to price it. A node deals with few servers, by an order of its own, and with
-/// more as it sends more.
+/// Etichete big-1: every node opened connections to every backend, whose tables filled up, and
+/// heard of each too rarely to price it. A node deals with few backends, by an order of its own,
+/// and with more as it sends more.
 #[test]
 fn nodes_deal_with_as_many_servers_as_they_hear_of() {
     let mut b = blind();
@@ -1183,18 +1197,18 @@
         for k in 0..200 {
             // Answered at once: one that answers nothing would make room for others.
             let (now, id) = (at(from + k * gap), from + k);
-            let server = sent(b, now, id).expect("an idle server");
+            let backend = sent(b, now, id).expect("an idle backend");
             b.handle(
                 now,
-                Event::AttemptEnded(plain_end(id, server, AttemptOutcome::Success)),
+                Event::AttemptEnded(plain_end(id, backend, AttemptOutcome::Success)),
                 &mut vec![],
             );
         }
-        b.markets[0].open
+        b.allocations[0].eligible_backends
     };
     let slow = dealt(&mut b, 1, 500);
     assert_eq!(slow, LEAST_OPEN);
-    // Ten times as many requests: it hears of more servers in time.
+    // Ten times as many requests: it hears of more backends in time.
     let fast = dealt(&mut b, 200_000, 50);
     assert!(fast > 2.0 * slow, "{fast}");
     let mut other = Balancer::new(b.settings.clone(), 8, at(0)).expect("sound settings");
@@ -1202,13 +1216,14 @@
     let first = |b: &Balancer| {
         b.ready[..5]
             .iter()
-            .map(|&i| b.servers[i].id)
+            .map(|&i| b.backends[i].id)
             .collect::<Vec<_>>()
     };
     assert_ne!(first(&b), first(&other));
 }
 
-/// Etichete quiet: proofs preferred the fast servers, the only ones for bookings, and crowded them.
+/// Etichete quiet: proofs preferred the fast backends, the only ones for bookings, and crowded
+/// them.
 #[test]
 fn bound_classes_leave_less_speed_to_the_others() {
     let mut settings = Settings {
@@ -1219,7 +1234,7 @@
     settings.classes[1].allowed_machine_types = Some(vec![MachineTypeId(0)]);
     let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(3), &mut vec![]);
-    for m in &mut b.markets {
+    for m in &mut b.allocations {
         m.work = 0.01;
     }
     for k in 0..100 {
@@ -1228,13 +1243,13 @@
     assert!(
         share(&b, 0, 0) < 0.1,
         "bookings fill it: {:?}",
-        b.markets[0].shares
+        b.allocations[0].shares
     );
     assert!((share(&b, 1, 0) - 1.0).abs() < 1e-3);
     assert!((share(&b, 0, 1) - share(&b, 0, 2)).abs() < 0.1);
 }
 
-/// Incident ie8f519: servers slowed by their own load answered nothing in time and so reported
+/// Incident ie8f519: backends slowed by their own load answered nothing in time and so reported
 /// nothing. What the node's own attempts meet sheds arrivals, stays shed without news, and lets
 /// them in again.
 #[test]
@@ -1244,10 +1259,10 @@
         for k in 0..100 {
             let id = from + k;
             let now = at(from + 20 * k);
-            if let Some(server) = sent(b, now, id) {
+            if let Some(backend) = sent(b, now, id) {
                 let end = AttemptResult {
                     latency: ms(900),
-                    ..plain_end(id, server, outcome)
+                    ..plain_end(id, backend, outcome)
                 };
                 let quick = AttemptResult {
                     latency: ms(100),
@@ -1261,14 +1276,17 @@
                 b.handle(now, Event::AttemptEnded(end), &mut vec![]);
             }
         }
-        b.markets[0].refused
+        b.allocations[0].shed_fraction
     };
     assert_eq!(shed(&mut b, 0, AttemptOutcome::Success), 0.0);
     let most = shed(&mut b, 10_000, AttemptOutcome::TimedOut);
     assert!(most > 0.6, "{most}");
     b.solved = None;
-    b.solve(at(13_000));
-    assert!(b.markets[0].refused > 0.8 * most, "no news leaves it");
+    b.refresh_allocation(at(13_000));
+    assert!(
+        b.allocations[0].shed_fraction > 0.8 * most,
+        "no news leaves it"
+    );
     let mut after = most;
     for round in 0..5 {
         after = shed(&mut b, 20_000 + 3000 * round, AttemptOutcome::Success);
@@ -1277,7 +1295,7 @@
 }
 
 /// Incident inc3539: a report of a request or two waiting counted as that many capacities of load,
-/// so that half-idle servers were dear and most arrivals were shed. What waits counts by the time
+/// so that half-idle backends were dear and most arrivals were shed. What waits counts by the time
 /// that it takes.
 #[test]
 fn a_short_queue_at_a_half_idle_server_sheds_nothing() {
@@ -1286,10 +1304,10 @@
         b.latency = 0.05;
         for k in 0..200 {
             let now = at(20 * k);
-            let Some(server) = sent(&mut b, now, k) else {
+            let Some(backend) = sent(&mut b, now, k) else {
                 continue;
             };
-            let end = plain_end(k, server, AttemptOutcome::Success);
+            let end = plain_end(k, backend, AttemptOutcome::Success);
             let report = Some(LoadReport {
                 queue_depth: Some(waiting),
                 ..report(0.5, 0.0)
@@ -1304,7 +1322,7 @@
                 &mut vec![],
             );
         }
-        b.markets[0].refused
+        b.allocations[0].shed_fraction
     };
     assert_eq!(shed(2.0), 0.0);
     assert!(
@@ -1314,7 +1332,7 @@
 }
 
 /// Where no report tells load an answer's time is all that speaks, and by the time that it takes
-/// the whole aim the servers are long past what they can do: arrivals are shed before that. A
+/// the whole aim the backends are long past what they can do: arrivals are shed before that. A
 /// report that tells of room is believed.
 #[test]
 fn without_reports_slow_answers_shed_before_they_take_the_aim() {
@@ -1326,21 +1344,21 @@
         };
         let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
         b.handle(at(0), list(40), &mut vec![]);
-        let latency = Duration::from_secs_f64(b.aim(ClassId(0), None) * part);
+        let latency = Duration::from_secs_f64(b.latency_objective(ClassId(0), None) * part);
         for k in 0..200 {
             let now = at(20 * k);
-            let Some(server) = sent(&mut b, now, k) else {
+            let Some(backend) = sent(&mut b, now, k) else {
                 continue;
             };
             let told = (reports != LoadReporting::Absent).then(|| report(0.5, 0.0));
             let end = AttemptResult {
                 latency,
                 load_report: told,
-                ..plain_end(k, server, AttemptOutcome::Success)
+                ..plain_end(k, backend, AttemptOutcome::Success)
             };
             b.handle(now, Event::AttemptEnded(end), &mut vec![]);
         }
-        b.markets[0].refused
+        b.allocations[0].shed_fraction
     };
     assert!(
         shed(LoadReporting::Absent, 0.65) > 0.6,
@@ -1356,7 +1374,7 @@
     assert_eq!(shed(LoadReporting::WithResponses, 0.85), 0.0);
 }
 
-/// Incident inc5571: with 0.85 as the most, half of the tries were shed by servers that turned
+/// Incident inc5571: with 0.85 as the most, half of the tries were shed by backends that turned
 /// nobody away and answered in time. Arrivals are shed where busy part and wait together are more
 /// than a whole capacity.
 #[test]
@@ -1366,7 +1384,7 @@
         b.latency = 0.05;
         for k in 0..200 {
             let now = at(20 * k);
-            let Some(server) = sent(&mut b, now, k) else {
+            let Some(backend) = sent(&mut b, now, k) else {
                 continue;
             };
             let report = Some(LoadReport {
@@ -1376,11 +1394,11 @@
             let end = AttemptResult {
                 latency: ms(50),
                 load_report: report,
-                ..plain_end(k, server, AttemptOutcome::Success)
+                ..plain_end(k, backend, AttemptOutcome::Success)
             };
             b.handle(now, Event::AttemptEnded(end), &mut vec![]);
         }
-        b.markets[0].refused
+        b.allocations[0].shed_fraction
     };
     assert_eq!(shed(0.95, 0.0), 0.0);
     assert!(
@@ -1399,7 +1417,7 @@
         let mut b = blind();
         (b.settings.max_retry_after, b.latency) = (max_wait, 0.05);
         for k in 0..100 {
-            b.markets[0].refused = shed;
+            b.allocations[0].shed_fraction = shed;
             let mut actions = vec![];
             b.handle(at(20 * k), arrival(k, 0), &mut actions);
             if let Some(Action::Reject {
@@ -1431,7 +1449,7 @@
 fn busy_cores_with_nothing_waiting_are_no_overload() {
     let load = |waiting| {
         let mut b = blind();
-        b.report(
+        b.record_load_report(
             at(0),
             BackendId(3),
             &LoadReport {
@@ -1439,7 +1457,7 @@
                 ..report(1.0, 0.0)
             },
         );
-        b.servers[b.index[&BackendId(3)]].load
+        b.backends[b.index[&BackendId(3)]].load
     };
     assert_eq!(load(Some(0.0)), Some(1.0));
     assert_eq!(load(None), Some(1.0 + EXCESS));
@@ -1485,15 +1503,12 @@
             };
             let mut actions = vec![];
             b.handle(at(20 * k), Event::RequestArrived(a), &mut actions);
-            let Some(Action::StartAttempt {
-                backend: server, ..
-            }) = actions.pop()
-            else {
+            let Some(Action::StartAttempt { backend, .. }) = actions.pop() else {
                 continue;
             };
             let end = AttemptResult {
                 latency: ms(50),
-                ..plain_end(id, server, AttemptOutcome::Success)
+                ..plain_end(id, backend, AttemptOutcome::Success)
             };
             b.handle(at(20 * k), Event::AttemptEnded(end), &mut vec![]);
         }
@@ -1502,35 +1517,35 @@
     assert_eq!(worth(&mut b, 0), worth(&mut b, 1));
 }
 
-fn plain_end(id: u64, server: BackendId, outcome: AttemptOutcome) -> AttemptResult {
+fn plain_end(id: u64, backend: BackendId, outcome: AttemptOutcome) -> AttemptResult {
     let report = (outcome == AttemptOutcome::Success).then(|| report(0.3, 0.0));
-    let Event::AttemptEnded(end) = ended(id, 0, server, outcome, report) else {
+    let Event::AttemptEnded(end) = ended(id, 0, backend, outcome, report) else {
         unreachable!("an end")
     };
     end
 }
 
 /// Etichete big-1-small: reports lag by most of a second, and a node with much of the traffic chose
-/// the busier servers. What it has out itself beyond the usual makes a server dearer at once.
+/// the busier backends. What it has out itself beyond the usual makes a backend dearer at once.
 #[test]
 fn own_attempts_out_count_before_reports_do() {
     let mut b = blind();
     for k in 0..60 {
-        let server = sent(&mut b, at(k * 20), k).expect("sent");
+        let backend = sent(&mut b, at(k * 20), k).expect("sent");
         b.handle(
             at(k * 20 + 10),
-            ended(k, 0, server, AttemptOutcome::Success, None),
+            ended(k, 0, backend, AttemptOutcome::Success, None),
             &mut vec![],
         );
     }
-    let held = b.servers[b.ready[0]].id;
+    let held = b.backends[b.ready[0]].id;
     let i = b.index[&held];
     b.solved = None;
-    b.solve(at(1200));
+    b.refresh_allocation(at(1200));
     let before = share(&b, 0, held.0);
-    b.servers[i].out = vec![at(1200); 3];
+    b.backends[i].in_flight = vec![at(1200); 3];
     b.solved = None;
-    b.solve(at(1200));
+    b.refresh_allocation(at(1200));
     assert!(
         share(&b, 0, held.0) < 0.7 * before,
         "{} from {before}",
@@ -1539,78 +1554,78 @@
 }
 
 /// Incident inc3539: shares were solved once in 50 ms, in which a node sends a dozen requests and
-/// more, and all of them followed what it had out before the first: they filled one server, while
+/// more, and all of them followed what it had out before the first: they filled one backend, while
 /// others idled.
 #[test]
 fn requests_of_one_tick_do_not_gather_on_one_server() {
     let mut b = blind();
     b.handle(at(0), list(8), &mut vec![]);
     for k in 0..100 {
-        let server = sent(&mut b, at(50 * k), k).expect("sent");
+        let backend = sent(&mut b, at(50 * k), k).expect("sent");
         b.handle(
             at(50 * k),
-            ended(k, 0, server, AttemptOutcome::Success, None),
+            ended(k, 0, backend, AttemptOutcome::Success, None),
             &mut vec![],
         );
     }
     let cheap = b.ready[0];
     b.ready[1..]
         .iter()
-        .for_each(|&i| b.servers[i].price = b.servers[cheap].price + 0.6);
+        .for_each(|&i| b.backends[i].price = b.backends[cheap].price + 0.6);
     for k in 0..20 {
         sent(&mut b, at(5000), 100 + k);
     }
     assert!(
-        (2..=8).contains(&b.servers[cheap].out.len()),
+        (2..=8).contains(&b.backends[cheap].in_flight.len()),
         "{} of 20",
-        b.servers[cheap].out.len()
+        b.backends[cheap].in_flight.len()
     );
 }
 
-/// Incident ia21743: new connections failed, open ones served on, and servers that nobody reached
-/// looked idle to probes. A server without an open connection is dearer, and later, by how often
+/// Incident ia21743: new connections failed, open ones served on, and backends that nobody reached
+/// looked idle to probes. A backend without an open connection is dearer, and later, by how often
 /// new ones fail.
 #[test]
 fn open_connections_count_where_new_ones_fail() {
     let mut b = blind();
-    b.solve(at(0));
-    let (near, far) = (b.servers[b.ready[0]].id, b.servers[b.ready[1]].id);
+    b.refresh_allocation(at(0));
+    let (near, far) = (b.backends[b.ready[0]].id, b.backends[b.ready[1]].id);
     let k = b.index[&near];
-    b.servers[k].connected = Some(at(0));
+    b.backends[k].connected = Some(at(0));
     b.solved = None;
-    b.solve(at(50));
+    b.refresh_allocation(at(50));
     assert!(
         (share(&b, 0, near.0) - share(&b, 0, far.0)).abs() < 1e-3,
         "as long as new ones succeed"
     );
     for id in 0..40 {
-        if let Some(server) = sent(&mut b, at(60), id).filter(|s| *s != near) {
+        if let Some(backend) = sent(&mut b, at(60), id).filter(|s| *s != near) {
             b.handle(
                 at(61),
-                ended(id, 0, server, AttemptOutcome::ConnectFailed, None),
+                ended(id, 0, backend, AttemptOutcome::ConnectFailed, None),
                 &mut vec![],
             );
         }
     }
-    assert!(b.refused > 0.9);
-    for s in &mut b.servers {
-        (s.price, s.out) = (0.0, vec![]);
+    assert!(b.connect_failure_fraction > 0.9);
+    for s in &mut b.backends {
+        (s.price, s.in_flight) = (0.0, vec![]);
     }
     b.solved = None;
-    b.solve(at(200));
+    b.refresh_allocation(at(200));
     assert!(
         share(&b, 0, near.0) > 3.0 * share(&b, 0, far.0),
         "{:?}",
-        b.markets[0].shares
+        b.allocations[0].shares
     );
     // Once the connection has surely closed it is as far as the others.
-    b.solve(at(70_000));
+    b.refresh_allocation(at(70_000));
     let (near, far) = (share(&b, 0, near.0), share(&b, 0, far.0));
     assert!(
-        b.refused < 0.1 && near < 2.0 * far,
+        b.connect_failure_fraction < 0.1 && near < 2.0 * far,
         "{} {near} {far} {:?}",
-        b.refused,
-        b.markets[0].shares
+        b.connect_failure_fraction,
+        b.allocations[0].shares
     );
 }
 
@@ -1619,51 +1634,51 @@
 /// bounded: shares are solved once a tick.
 #[test]
 fn the_ordinary_path_follows_prices_and_shares() {
-    for servers in [6u32, 300] {
+    for backends in [6u32, 300] {
         let settings = Settings {
             nodes: 1,
             endpoint_weights_given: true,
             ..settings()
         };
         let mut b = Balancer::new(settings, 7, at(0)).expect("sound settings");
-        b.handle(at(0), list(servers), &mut vec![]);
-        let (mut drawn, mut meant) = (vec![0.0; servers as usize], vec![0.0; servers as usize]);
+        b.handle(at(0), list(backends), &mut vec![]);
+        let (mut drawn, mut meant) = (vec![0.0; backends as usize], vec![0.0; backends as usize]);
         let (mut solved, mut last) = (0, None);
         for k in 0..40_000u64 {
             let now = at(k / 4);
-            for s in 0..servers {
+            for s in 0..backends {
                 if k % 400 == 0 {
-                    b.report(
+                    b.record_load_report(
                         now,
                         BackendId(s),
                         &report(0.4 + 0.4 * f64::from(s % 2), 1000.0),
                     );
                 }
             }
-            let server = sent(&mut b, now, k).expect("nothing is refused");
+            let backend = sent(&mut b, now, k).expect("nothing is refused");
             solved += u32::from(std::mem::replace(&mut last, b.solved) != b.solved);
-            drawn[server.0 as usize] += 1.0;
-            for (&i, share) in b.ready.iter().zip(&b.markets[0].shares) {
-                meant[b.servers[i].id.0 as usize] += share / f64::from(servers);
+            drawn[backend.0 as usize] += 1.0;
+            for (&i, share) in b.ready.iter().zip(&b.allocations[0].shares) {
+                meant[b.backends[i].id.0 as usize] += share / f64::from(backends);
             }
             b.handle(
                 now,
-                ended(k, 0, server, AttemptOutcome::Success, None),
+                ended(k, 0, backend, AttemptOutcome::Success, None),
                 &mut vec![],
             );
         }
-        // Ten seconds of ticks, however many requests and servers.
-        assert!(solved <= 201, "{solved} solutions for {servers} servers");
-        for s in 0..servers as usize {
+        // Ten seconds of ticks, however many requests and backends.
+        assert!(solved <= 201, "{solved} solutions for {backends} backends");
+        for s in 0..backends as usize {
             let noise = 5.0 * meant[s].sqrt() + 5.0;
             assert!(
                 (drawn[s] - meant[s]).abs() < noise,
-                "server {s}: {} for {}",
+                "backend {s}: {} for {}",
                 drawn[s],
                 meant[s]
             );
         }
-        let price = |s: u32| b.servers[b.index[&BackendId(s)]].price;
+        let price = |s: u32| b.backends[b.index[&BackendId(s)]].price;
         assert!(
             price(1) > 0.05 && price(0) == 0.0,
             "{} {}",
@@ -1673,9 +1688,9 @@
     }
 }
 
-/// A client may take seconds to send a large body. Meanwhile nothing is out at the server: it grows
-/// neither dear nor loaded, and the request's time has not begun. When it had, one upload in four
-/// shed the rest of the traffic.
+/// A client may take seconds to send a large body. Meanwhile nothing is out at the backend: it
+/// grows neither dear nor loaded, and the request's time has not begun. When it had, one upload in
+/// four shed the rest of the traffic.
 #[test]
 fn a_request_that_is_still_coming_counts_from_its_last_byte() {
     let mut b = balancer(4);
@@ -1691,33 +1706,30 @@
         }),
         &mut actions,
     );
-    let Some(Action::StartAttempt {
-        backend: server, ..
-    }) = actions.pop()
-    else {
+    let Some(Action::StartAttempt { backend, .. }) = actions.pop() else {
         panic!("{actions:?}")
     };
-    let i = b.index[&server];
-    let price = b.servers[i].price;
-    b.step(i, at(5000));
-    assert!(b.servers[i].out.is_empty() && b.servers[i].price <= price);
+    let i = b.index[&backend];
+    let price = b.backends[i].price;
+    b.update_price(i, at(5000));
+    assert!(b.backends[i].in_flight.is_empty() && b.backends[i].price <= price);
     b.handle(
         at(5000),
         Event::RequestBodyReceived { request: a.request },
         &mut actions,
     );
-    assert_eq!(b.servers[i].out, [at(5000)]);
-    // Its first server turns it away at once: there is all the time for another.
+    assert_eq!(b.backends[i].in_flight, [at(5000)]);
+    // Its first backend turns it away at once: there is all the time for another.
     b.handle(
         at(5001),
-        ended(1, 0, server, AttemptOutcome::Rejected, None),
+        ended(1, 0, backend, AttemptOutcome::Rejected, None),
         &mut actions,
     );
     assert!(
         matches!(actions[..], [Action::StartAttempt { .. }]),
         "{actions:?}"
     );
-    assert!(b.servers[i].out.is_empty());
+    assert!(b.backends[i].in_flight.is_empty());
 }
 
 /// How long a large answer takes to pass on is the client's doing.
@@ -1729,7 +1741,7 @@
     };
     let mut b = Balancer::new(blind, 7, at(0)).expect("sound settings");
     b.handle(at(0), list(4), &mut vec![]);
-    let server = sent(&mut b, at(0), 1).expect("a server");
+    let backend = sent(&mut b, at(0), 1).expect("a backend");
     b.handle(
         at(20),
         Event::ResponseStarted {
@@ -1739,7 +1751,7 @@
         },
         &mut vec![],
     );
-    let Event::AttemptEnded(end) = ended(1, 0, server, AttemptOutcome::Success, None) else {
+    let Event::AttemptEnded(end) = ended(1, 0, backend, AttemptOutcome::Success, None) else {
         unreachable!()
     };
     let end = AttemptResult {
@@ -1748,11 +1760,11 @@
         ..end
     };
     b.handle(at(30_000), Event::AttemptEnded(end), &mut vec![]);
-    assert_eq!(b.markets[0].refused, 0.0);
+    assert_eq!(b.allocations[0].shed_fraction, 0.0);
     assert!(b.requests.is_empty());
 }
 
-/// A cold server is idle because its bound keeps requests from it. Were it cheap for that, all
+/// A cold backend is idle because its bound keeps requests from it. Were it cheap for that, all
 /// would rush it once it is warm: where backends were put back one of ten drew nine tenths of the
 /// requests.
 #[test]
@@ -1760,16 +1772,16 @@
     let mut b = balancer(4);
     let i = b.index[&BackendId(1)];
     let warm = b.settings.protocol_limits.slow_start_duration;
-    b.servers[i].started = Some(at(0));
-    (b.going_price, b.mean_load) = (1.0, 1.0);
-    b.servers[i].price = 1.0;
+    b.backends[i].started = Some(at(0));
+    (b.traffic_weighted_price, b.mean_load) = (1.0, 1.0);
+    b.backends[i].price = 1.0;
     for tick in 0..warm.as_millis() as u64 / 100 {
-        b.report(at(tick * 100), BackendId(1), &report(0.05, 10.0));
+        b.record_load_report(at(tick * 100), BackendId(1), &report(0.05, 10.0));
     }
-    assert!(b.servers[i].price >= 1.0, "{}", b.servers[i].price);
+    assert!(b.backends[i].price >= 1.0, "{}", b.backends[i].price);
     // Once it is warm its price follows its load.
     let later = at(warm.as_millis() as u64 + 100);
-    b.report(later, BackendId(1), &report(0.05, 10.0));
-    b.step(i, later + ms(400));
-    assert!(b.servers[i].price < 1.0);
+    b.record_load_report(later, BackendId(1), &report(0.05, 10.0));
+    b.update_price(i, later + ms(400));
+    assert!(b.backends[i].price < 1.0);
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,7 +1,7 @@
 //! What the decision module remembers: plain data, no decisions.
 
 use crate::logic::{
-    placed, KIND_PRIOR, PART_WINDOW, RATE_WINDOW, REPORT_LIFE, RETRY_MOST, TENANT_WINDOW,
+    allowed, KIND_PRIOR, PART_WINDOW, RATE_WINDOW, REPORT_LIFE, RETRY_MOST, TENANT_WINDOW,
 };
 use crate::{
     Action, AttemptOutcome, BackendId, BackendSnapshot, BalancerSnapshot, CellId, ClassId,
@@ -52,9 +52,9 @@
     }
 }
 
-pub(crate) struct Server {
+pub(crate) struct Backend {
     pub id: BackendId,
-    /// Place in this node's own order of servers.
+    /// Place in this node's own order of backends.
     pub rank: u64,
     pub zone: ZoneId,
     pub kind: MachineTypeId,
@@ -62,7 +62,7 @@
     pub state: EndpointState,
     pub weight: f64,
     pub started: Option<Time>,
-    /// Price over the number of ready servers.
+    /// Price over the number of ready backends.
     pub price: f64,
     /// Prices are stepped up to here.
     pub stepped: Time,
@@ -77,9 +77,9 @@
     /// Smoothed capacity in requests a second, or inverse latency where no rates are reported.
     pub speed: f64,
     /// Samples that `speed` rests on.
-    pub evidence: f64,
+    pub sample_weight: f64,
     /// Work on a standard core and time of its latest answers, where no rates are reported.
-    pub pace: Pace,
+    pub work_rate: WorkRate,
     /// When the last of them came.
     pub answered: Time,
     /// Part of its latest answers that failed, and how many it is of.
@@ -89,7 +89,7 @@
     /// When this node last had a connection to it.
     pub connected: Option<Time>,
     /// Send times of the attempts that are out.
-    pub out: Vec<Time>,
+    pub in_flight: Vec<Time>,
     /// Requests held by the latest answer to a probe, with what this node has sent and got back
     /// since.
     pub held: Option<f64>,
@@ -99,9 +99,9 @@
     pub probing: Option<Time>,
 }
 
-impl Server {
+impl Backend {
     pub(crate) fn new(entry: &Endpoint, salt: u64, price: f64, now: Time) -> Self {
-        Server {
+        Backend {
             id: entry.backend,
             rank: Xoshiro256PlusPlus::seed_from_u64(salt ^ u64::from(entry.backend.0)).next_u64(),
             zone: entry.zone,
@@ -121,13 +121,13 @@
             reported: now,
             rate: 0.0,
             speed: 0.0,
-            evidence: 0.0,
-            pace: Pace::default(),
+            sample_weight: 0.0,
+            work_rate: WorkRate::default(),
             answered: now,
             failing: (0.0, 0.0),
             share: 0.0,
             connected: None,
-            out: Vec::new(),
+            in_flight: Vec::new(),
             held: None,
             heard: now,
             probing: None,
@@ -135,7 +135,7 @@
     }
 
     /// Part of its capacity that it surely has by now.
-    pub(crate) fn warmth(&self, rules: &ProtocolLimits, now: Time) -> f64 {
+    pub(crate) fn available_capacity(&self, rules: &ProtocolLimits, now: Time) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
         };
@@ -158,8 +158,8 @@
     }
 
     pub(crate) fn learn(&mut self, now: Time, sample: f64, memory: f64) {
-        self.evidence = (self.evidence + 1.0).min(memory);
-        self.speed += (sample - self.speed) / self.evidence;
+        self.sample_weight = (self.sample_weight + 1.0).min(memory);
+        self.speed += (sample - self.speed) / self.sample_weight;
         self.answered = now;
     }
 }
@@ -167,13 +167,13 @@
 /// How fast answers come for their work: means of both over the latest ones, so that long answers
 /// count by their length.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Pace {
+pub(crate) struct WorkRate {
     work: f64,
     time: f64,
     pub count: f64,
 }
 
-impl Pace {
+impl WorkRate {
     pub(crate) fn learn(&mut self, work: f64, time: f64, memory: f64) {
         self.count = (self.count + 1.0).min(memory);
         self.work += (work - self.work) / self.count;
@@ -186,14 +186,14 @@
     }
 }
 
-/// Mean requests held and busy part of servers that are not saturated.
+/// Mean requests held and busy part of backends that are not saturated.
 #[derive(Default)]
-pub(crate) struct UsualHeld {
+pub(crate) struct InFlightBaseline {
     held: f64,
     busy: f64,
 }
 
-impl UsualHeld {
+impl InFlightBaseline {
     pub(crate) fn learn(&mut self, usual: bool, held: f64, busy: f64) {
         if usual {
             self.held += (held - self.held) / 64.0;
@@ -208,19 +208,19 @@
 }
 
 pub(crate) struct Attempt {
-    pub server: BackendId,
+    pub backend: BackendId,
     pub zone: ZoneId,
     pub cell: CellId,
     pub sent: Time,
     pub ended: bool,
     pub may_have_run: bool,
     /// It needed a new connection.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
 impl Attempt {
     /// Whether it may have run, or may yet.
-    pub(crate) fn risky(&self) -> bool {
+    pub(crate) fn may_have_executed(&self) -> bool {
         !self.ended || self.may_have_run
     }
 }
@@ -231,14 +231,14 @@
     pub ends: Time,
     pub work: Option<f64>,
     /// More of its body is to come.
-    pub coming: bool,
+    pub body_pending: bool,
     /// A final answer is owed.
     pub open: bool,
     /// A streamed answer has begun.
     pub begun: bool,
     pub attempts: Vec<Attempt>,
     /// Servers probed for it, with the load each has answered.
-    pub asked: Vec<(BackendId, Option<f64>)>,
+    pub candidates: Vec<(BackendId, Option<f64>)>,
 }
 
 impl Request {
@@ -247,55 +247,56 @@
     }
 }
 
-/// What the share solution needs of a server: `most` bounds its share.
-pub(crate) struct Line {
+/// What the share solution needs of a backend: `max_share` bounds its share.
+pub(crate) struct ShareInput {
     pub price: f64,
     pub speed: f64,
-    pub most: f64,
+    pub max_share: f64,
 }
 
-/// What a node keeps for each class: it draws from shares over the servers open to the class.
-pub(crate) struct Market {
-    /// Shares of the ready servers, of sum at most `open`; 0 where the class may not go.
+/// What a node keeps for each class: it draws from shares over the backends open to the class.
+pub(crate) struct ClassAllocation {
+    /// Shares of the ready backends, of sum at most `open`; 0 where the class may not go.
     pub shares: Vec<f64>,
-    /// Ready servers open to the class.
-    pub open: f64,
+    /// Ready backends open to the class.
+    pub eligible_backends: f64,
     pub lambda: f64,
     /// When that was last moved.
-    pub weighed: Time,
+    pub shed_updated: Time,
     /// Mean work of a request.
     pub work: f64,
-    /// Part of the arrivals that is shed for the load of these servers.
-    pub refused: f64,
+    /// Part of the arrivals that is shed for the load of these backends.
+    pub shed_fraction: f64,
     /// Worth below which arrivals of all classes of one placement are turned away, in part; kept
-    /// like `worths`.
-    pub threshold: f64,
+    /// like `recent_weights`.
+    pub shed_threshold: f64,
     /// The same for the class by itself: it turns away as much of each class.
-    pub own_threshold: f64,
-    /// Classes and worths of recent arrivals, kept for all classes of one placement by the first of
-    /// them.
-    pub worths: VecDeque<(ClassId, f64)>,
+    pub class_shed_threshold: f64,
+    /// Classes and recent_weights of recent arrivals, kept for all classes of one placement by the
+    /// first of them.
+    pub recent_weights: VecDeque<(ClassId, f64)>,
     /// The first class of the same placement.
-    pub leader: usize,
+    pub placement_group: usize,
     pub arrivals: Rate,
     /// The same over a longer time.
     pub steady: Rate,
 }
 
-impl Market {
-    fn new(now: Time, leader: usize) -> Self {
-        let (shares, worths, arrivals) = (Vec::new(), VecDeque::new(), Rate::new(now, RATE_WINDOW));
-        Market {
+impl ClassAllocation {
+    fn new(now: Time, placement_group: usize) -> Self {
+        let (shares, recent_weights, arrivals) =
+            (Vec::new(), VecDeque::new(), Rate::new(now, RATE_WINDOW));
+        ClassAllocation {
             shares,
-            open: 0.0,
+            eligible_backends: 0.0,
             lambda: 0.5,
-            weighed: now,
+            shed_updated: now,
             work: 0.0,
-            refused: 0.0,
-            threshold: 0.0,
-            own_threshold: 0.0,
-            worths,
-            leader,
+            shed_fraction: 0.0,
+            shed_threshold: 0.0,
+            class_shed_threshold: 0.0,
+            recent_weights,
+            placement_group,
             arrivals,
             steady: Rate::new(now, PART_WINDOW),
         }
@@ -306,33 +307,33 @@
         self.work += (sample - self.work) * if self.work > 0.0 { 1.0 / 64.0 } else { 1.0 };
     }
 
-    /// Keeps the worths of the last `most` arrivals.
+    /// Keeps the recent_weights of the last `most` arrivals.
     pub(crate) fn note_worth(&mut self, class: ClassId, worth: f64, most: usize) {
-        if self.worths.len() == most {
-            self.worths.pop_front();
+        if self.recent_weights.len() == most {
+            self.recent_weights.pop_front();
         }
-        self.worths.push_back((class, worth));
+        self.recent_weights.push_back((class, worth));
     }
 }
 
 /// The balancer of one node.
 pub struct Balancer {
     pub(crate) settings: Settings,
-    /// Sets this node's order of servers apart from other nodes'.
+    /// Sets this node's order of backends apart from other nodes'.
     pub(crate) salt: u64,
     pub(crate) rng: Xoshiro256PlusPlus,
-    pub(crate) servers: Vec<Server>,
+    pub(crate) backends: Vec<Backend>,
     pub(crate) index: FxHashMap<BackendId, usize>,
     pub(crate) ready: Vec<usize>,
-    pub(crate) markets: Vec<Market>,
+    pub(crate) allocations: Vec<ClassAllocation>,
     pub(crate) mean_price: f64,
-    pub(crate) going_price: f64,
+    pub(crate) traffic_weighted_price: f64,
     pub(crate) mean_load: f64,
     pub(crate) mean_speed: f64,
-    /// Paces of the machine kinds, from the answers of their warm servers.
-    pub(crate) kinds: FxHashMap<MachineTypeId, Pace>,
-    /// Mean pace of the ready servers.
-    pub(crate) mean_pace: f64,
+    /// Paces of the machine kinds, from the answers of their warm backends.
+    pub(crate) machine_type_rates: FxHashMap<MachineTypeId, WorkRate>,
+    /// Mean pace of the ready backends.
+    pub(crate) mean_work_rate: f64,
     pub(crate) solved: Option<Time>,
     /// Sends since shares were solved.
     pub(crate) sent_since: f64,
@@ -347,23 +348,23 @@
     pub(crate) latency: f64,
     pub(crate) probe_latency: f64,
     /// Part of the new connections that fail, of late.
-    pub(crate) refused: f64,
+    pub(crate) connect_failure_fraction: f64,
     /// Seconds for which a report counts as news.
     pub(crate) report_life: f64,
-    /// Mean requests held and busy part, of servers that are not saturated.
-    pub(crate) usual_held: UsualHeld,
-    /// Neither probes nor measured capacity tell how much the servers can still take.
-    pub(crate) blind: bool,
+    /// Mean requests held and busy part, of backends that are not saturated.
+    pub(crate) in_flight_baseline: InFlightBaseline,
+    /// Neither probes nor measured capacity tell how much the backends can still take.
+    pub(crate) capacity_unknown: bool,
     pub(crate) mean_work: f64,
     pub(crate) sends: Rate,
-    pub(crate) part: f64,
+    pub(crate) traffic_fraction: f64,
     pub(crate) began: Time,
     pub(crate) retry_budget: f64,
     pub(crate) tenants: Vec<Rate>,
 }
 
 impl Balancer {
-    /// Starts with no servers and no requests.
+    /// Starts with no backends and no requests.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         settings.check()?;
         let aims = settings
@@ -373,7 +374,7 @@
         let same = |a: &RequestClass, b: &RequestClass| {
             a.allowed_zones == b.allowed_zones && a.allowed_machine_types == b.allowed_machine_types
         };
-        let leader = |c: &RequestClass| {
+        let placement_group = |c: &RequestClass| {
             settings
                 .classes
                 .iter()
@@ -383,20 +384,20 @@
         Ok(Balancer {
             salt: seed.rotate_left(32),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            servers: Vec::new(),
+            backends: Vec::new(),
             index: FxHashMap::default(),
             ready: Vec::new(),
-            markets: settings
+            allocations: settings
                 .classes
                 .iter()
-                .map(|c| Market::new(now, leader(c)))
+                .map(|c| ClassAllocation::new(now, placement_group(c)))
                 .collect(),
             mean_price: 0.0,
-            going_price: 0.0,
+            traffic_weighted_price: 0.0,
             mean_load: 0.0,
             mean_speed: 1.0,
-            kinds: FxHashMap::default(),
-            mean_pace: 1.0,
+            machine_type_rates: FxHashMap::default(),
+            mean_work_rate: 1.0,
             solved: None,
             sent_since: 0.0,
             requests: FxHashMap::default(),
@@ -407,14 +408,14 @@
             list_failures: 0,
             latency: (aims.fold(f64::MAX, f64::min) / 2.0).max(1e-3),
             probe_latency: 0.003,
-            refused: 0.0,
+            connect_failure_fraction: 0.0,
             report_life: REPORT_LIFE,
-            usual_held: UsualHeld::default(),
-            blind: !settings.throughput_reported
+            in_flight_baseline: InFlightBaseline::default(),
+            capacity_unknown: !settings.throughput_reported
                 && settings.load_reporting != LoadReporting::OnProbe,
             mean_work: 0.0,
             sends: Rate::new(now, RATE_WINDOW),
-            part: 1.0 / f64::from(settings.nodes),
+            traffic_fraction: 1.0 / f64::from(settings.nodes),
             began: now,
             retry_budget: RETRY_MOST,
             tenants: settings
@@ -426,82 +427,89 @@
         })
     }
 
-    /// Brings the servers in line with a list or with changes to it.
-    pub(crate) fn take_list(&mut self, now: Time, kind: ListUpdate, entries: &[Endpoint]) {
+    /// Brings the backends in line with a list or with changes to it.
+    pub(crate) fn apply_endpoint_list(
+        &mut self,
+        now: Time,
+        kind: ListUpdate,
+        entries: &[Endpoint],
+    ) {
         if kind != ListUpdate::Delta {
-            self.servers
+            self.backends
                 .iter_mut()
                 .for_each(|s| s.state = EndpointState::Removed);
         }
         for e in entries {
-            let fresh = Server::new(e, self.salt, self.mean_price, now);
+            let new_connection = Backend::new(e, self.salt, self.mean_price, now);
             match self.index.get(&e.backend) {
                 None => {
-                    self.index.insert(e.backend, self.servers.len());
-                    self.servers.push(fresh);
+                    self.index.insert(e.backend, self.backends.len());
+                    self.backends.push(new_connection);
                 }
                 Some(&i) => {
                     // Of a restarted process nothing is known but what is still out; of others all
                     // stays.
-                    let s = &mut self.servers[i];
+                    let s = &mut self.backends[i];
                     if e.started_at.is_some() && e.started_at != s.started {
-                        *s = Server {
-                            out: std::mem::take(&mut s.out),
-                            ..fresh
+                        *s = Backend {
+                            in_flight: std::mem::take(&mut s.in_flight),
+                            ..new_connection
                         };
                     } else {
-                        (s.state, s.weight) = (e.state, fresh.weight);
+                        (s.state, s.weight) = (e.state, new_connection.weight);
                         (s.zone, s.kind, s.cell) = (e.zone, e.machine_type, e.cell);
                     }
                 }
             }
         }
-        self.servers
-            .retain(|s| s.state != EndpointState::Removed || !s.out.is_empty());
+        self.backends
+            .retain(|s| s.state != EndpointState::Removed || !s.in_flight.is_empty());
         self.index = self
-            .servers
+            .backends
             .iter()
             .enumerate()
             .map(|(i, s)| (s.id, i))
             .collect();
-        self.ready = (0..self.servers.len())
-            .filter(|&i| self.servers[i].state == EndpointState::Active)
+        self.ready = (0..self.backends.len())
+            .filter(|&i| self.backends[i].state == EndpointState::Active)
             .collect();
-        self.ready.sort_by_key(|&i| self.servers[i].rank);
+        self.ready.sort_by_key(|&i| self.backends[i].rank);
     }
 
-    /// Pace expected of a server: its own answers', as far as there are any, beside those of its
-    /// kind. A node of a large fleet meets a single server seldom, its kind often.
-    pub(crate) fn pace(&self, s: &Server, prior: f64) -> f64 {
+    /// WorkRate expected of a backend: its own answers', as far as there are any, beside those of
+    /// its kind. A node of a large fleet meets a single backend seldom, its kind often.
+    pub(crate) fn work_rate(&self, s: &Backend, prior: f64) -> f64 {
         let kind = self
-            .kinds
+            .machine_type_rates
             .get(&s.kind)
-            .and_then(Pace::speed)
-            .unwrap_or(self.mean_pace);
-        let own = s.pace.speed().unwrap_or(kind);
-        (own * s.pace.count + kind * prior) / (s.pace.count + prior)
+            .and_then(WorkRate::speed)
+            .unwrap_or(self.mean_work_rate);
+        let own = s.work_rate.speed().unwrap_or(kind);
+        (own * s.work_rate.count + kind * prior) / (s.work_rate.count + prior)
     }
 
-    /// Learns this node's part of all traffic from its own sends and the rates that servers report.
-    pub(crate) fn learn_part(&mut self, now: Time, dt: f64) {
+    /// Learns this node's part of all traffic from its own sends and the rates that backends
+    /// report.
+    pub(crate) fn update_traffic_fraction(&mut self, now: Time, dt: f64) {
         let usual = self.mean_speed * self.mean_load.min(1.0);
-        let rates = self.ready.iter().map(|&i| self.servers[i].rate);
+        let rates = self.ready.iter().map(|&i| self.backends[i].rate);
         let taken: f64 = rates.map(|r| if r > 0.0 { r } else { usual }).sum();
         let sent = self.sends.add(now, 0.0);
         // Only while nothing is refused do sends and reported rates describe the same traffic.
-        if self.markets.iter().all(|m| m.threshold == 0.0)
+        if self.allocations.iter().all(|m| m.shed_threshold == 0.0)
             && taken > 0.0
             && (now - self.began).as_secs_f64() > 4.0 * RATE_WINDOW
         {
-            self.part += (sent / taken - self.part) * (dt / PART_WINDOW).min(1.0);
+            self.traffic_fraction +=
+                (sent / taken - self.traffic_fraction) * (dt / PART_WINDOW).min(1.0);
         }
     }
 
-    /// Ready servers open to each class, as positions in `ready`, in this node's order.
-    pub(crate) fn placed(&self) -> Vec<Vec<usize>> {
+    /// Ready backends open to each class, as positions in `ready`, in this node's order.
+    pub(crate) fn allowed(&self) -> Vec<Vec<usize>> {
         let open = |c| {
             (0..self.ready.len())
-                .filter(|&k| placed(c, &self.servers[self.ready[k]]))
+                .filter(|&k| allowed(c, &self.backends[self.ready[k]]))
                 .collect()
         };
         self.settings.classes.iter().map(open).collect()
@@ -509,83 +517,83 @@
 
     /// The request is whole from now on: its time begins, and so does that of the attempt that is
     /// out.
-    pub(crate) fn uploaded(&mut self, now: Time, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.coming) else {
+    pub(crate) fn on_request_body_received(&mut self, now: Time, id: RequestId) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.body_pending) else {
             return;
         };
-        r.coming = false;
+        r.body_pending = false;
         r.ends = now + (r.ends - r.arrived);
         r.arrived = now;
         for a in r.attempts.iter_mut().filter(|a| !a.ended) {
             a.sent = now;
-            let Some(&i) = self.index.get(&a.server) else {
+            let Some(&i) = self.index.get(&a.backend) else {
                 continue;
             };
-            self.servers[i].out.push(now);
+            self.backends[i].in_flight.push(now);
         }
     }
 
     /// Takes in that a streamed answer has begun, and says from where, and of which class and work.
     /// Of a class that is streamed always the work tells nothing of the first bytes.
-    pub(crate) fn begun(
+    pub(crate) fn on_response_started(
         &mut self,
         id: RequestId,
         attempt: u32,
     ) -> Option<(BackendId, ClassId, Option<f64>)> {
         let r = self.requests.get_mut(&id)?;
-        let (server, sent) = r
+        let (backend, sent) = r
             .attempts
             .get(attempt as usize)
-            .map(|a| (a.server, a.sent))?;
+            .map(|a| (a.backend, a.sent))?;
         r.begun = true;
         let (class, work) = (r.class, r.work);
-        self.returned(server, sent);
+        self.release_in_flight(backend, sent);
         Some((
-            server,
+            backend,
             class,
             work.filter(|_| !self.settings.classes[usize::from(class.0)].streaming),
         ))
     }
 
-    /// Learns from an attempt which servers it has connections to, and how often new ones fail.
+    /// Learns from an attempt which backends it has connections to, and how often new ones fail.
     pub(crate) fn learn_connection(
         &mut self,
         now: Time,
-        server: BackendId,
-        fresh: bool,
+        backend: BackendId,
+        new_connection: bool,
         outcome: AttemptOutcome,
     ) {
         if outcome == AttemptOutcome::NotSent {
             return;
         }
-        if fresh {
+        if new_connection {
             let failed = f64::from(u8::from(outcome == AttemptOutcome::ConnectFailed));
-            self.refused += (failed - self.refused) / 8.0;
+            self.connect_failure_fraction += (failed - self.connect_failure_fraction) / 8.0;
         }
-        let Some(&i) = self.index.get(&server) else {
+        let Some(&i) = self.index.get(&backend) else {
             return;
         };
         let held = !matches!(
             outcome,
             AttemptOutcome::ConnectFailed | AttemptOutcome::ConnectionReset
         );
-        self.servers[i].connected = held.then_some(now).or(self.servers[i].connected);
+        self.backends[i].connected = held.then_some(now).or(self.backends[i].connected);
     }
 
     /// One send less is out.
-    pub(crate) fn returned(&mut self, server: BackendId, sent: Time) {
-        let Some(&i) = self.index.get(&server) else {
+    pub(crate) fn release_in_flight(&mut self, backend: BackendId, sent: Time) {
+        let Some(&i) = self.index.get(&backend) else {
             return;
         };
-        let s = &mut self.servers[i];
-        if let Some(at) = s.out.iter().position(|t| *t == sent) {
-            s.out.remove(at);
+        let s = &mut self.backends[i];
+        if let Some(at) = s.in_flight.iter().position(|t| *t == sent) {
+            s.in_flight.remove(at);
             s.held = s.held.map(|held| (held - 1.0).max(0.0));
         }
     }
 
     /// Drops a request that is answered and has nothing out.
-    pub(crate) fn forget(&mut self, id: RequestId) {
+    pub(crate) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|r| !r.open && r.idle()) {
             self.requests.remove(&id);
             self.choosing.retain(|c| c.0 != id);
@@ -593,15 +601,15 @@
     }
 
     /// Nothing is owed to a client that has left.
-    pub(crate) fn client_gone(&mut self, id: RequestId) {
+    pub(crate) fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(r) = self.requests.get_mut(&id) {
             r.open = false;
-            self.forget(id);
+            self.remove_if_finished(id);
         }
     }
 
     /// Seconds in which an answer earns the full worth.
-    pub(crate) fn aim(&self, class: ClassId, work: Option<f64>) -> f64 {
+    pub(crate) fn latency_objective(&self, class: ClassId, work: Option<f64>) -> f64 {
         let class = &self.settings.classes[usize::from(class.0)];
         class.latency_objective.as_secs_f64() + class.objective_work_factor * work.unwrap_or(0.0)
     }
@@ -613,40 +621,40 @@
         let tenants = tenants
             .map(|(rate, t)| rate.read(now) * nodes / t.quota_per_second)
             .collect();
-        let shares = self.markets.first().map_or(&[][..], |m| &m.shares);
-        let servers = self.ready.iter().enumerate().map(|(k, &i)| {
-            let s = &self.servers[i];
+        let shares = self.allocations.first().map_or(&[][..], |m| &m.shares);
+        let backends = self.ready.iter().enumerate().map(|(k, &i)| {
+            let s = &self.backends[i];
             let speed = match self.settings.throughput_reported {
-                true if s.evidence > 0.0 => s.speed / self.mean_speed,
+                true if s.sample_weight > 0.0 => s.speed / self.mean_speed,
                 true => 1.0,
-                false => self.pace(s, KIND_PRIOR) / self.mean_pace,
+                false => self.work_rate(s, KIND_PRIOR) / self.mean_work_rate,
             };
             let share = shares.get(k).copied().unwrap_or(0.0);
-            let (load, out, warmth) = (
+            let (load, out, available_capacity) = (
                 s.load,
-                s.out.len(),
-                s.warmth(&self.settings.protocol_limits, now),
+                s.in_flight.len(),
+                s.available_capacity(&self.settings.protocol_limits, now),
             );
-            let (server, weight, price, report) = (s.id, s.weight, s.price, s.report);
+            let (backend, weight, price, report) = (s.id, s.weight, s.price, s.report);
             BackendSnapshot {
-                backend: server,
+                backend,
                 weight,
                 price,
                 load,
                 load_report: report,
-                available_capacity: warmth,
+                available_capacity: available_capacity,
                 speed,
                 share,
                 in_flight: out,
             }
         });
         BalancerSnapshot {
-            shed_fraction: self.markets.first().map_or(0.0, |m| m.refused),
+            shed_fraction: self.allocations.first().map_or(0.0, |m| m.shed_fraction),
             mean_load: self.mean_load,
             typical_latency: self.latency,
             retry_budget: self.retry_budget,
             quota_usage: tenants,
-            backends: servers.collect(),
+            backends: backends.collect(),
         }
     }
 
