--- a/crates/balancer/src/logic_tests.rs
+++ b/crates/balancer/src/logic_tests.rs
@@ -472,7 +472,7 @@
     );
 }
 
-/// Of classes whose recent_weights differ tenfold the cheapest was shed nearly whole before the
+/// Of classes whose weights differ tenfold the cheapest was shed nearly whole before the
 /// dearest was touched: with six in ten turned away a class of worth 1 beside others of 2 and 10
 /// was let in at one in ten. What is let in goes to all classes alike for the most part; over the
 /// rest worth decides, and no more is let in for that.
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -272,7 +272,7 @@
     pub shed_threshold: f64,
     /// The same for the class by itself: it turns away as much of each class.
     pub class_shed_threshold: f64,
-    /// Classes and recent_weights of recent arrivals, kept for all classes of one placement by the
+    /// Classes and weights of recent arrivals, kept for all classes of one placement by the
     /// first of them.
     pub recent_weights: VecDeque<(ClassId, f64)>,
     /// The first class of the same placement.
@@ -307,7 +307,7 @@
         self.work += (sample - self.work) * if self.work > 0.0 { 1.0 / 64.0 } else { 1.0 };
     }
 
-    /// Keeps the recent_weights of the last `most` arrivals.
+    /// Keeps the weights of the last `most` arrivals.
     pub(crate) fn note_worth(&mut self, class: ClassId, worth: f64, most: usize) {
         if self.recent_weights.len() == most {
             self.recent_weights.pop_front();
@@ -476,7 +476,7 @@
         self.ready.sort_by_key(|&i| self.backends[i].rank);
     }
 
-    /// WorkRate expected of a backend: its own answers', as far as there are any, beside those of
+    /// Rate of work expected of a backend: its own answers', as far as there are any, beside those of
     /// its kind. A node of a large fleet meets a single backend seldom, its kind often.
     pub(crate) fn work_rate(&self, s: &Backend, prior: f64) -> f64 {
         let kind = self
