--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,10 +1,14 @@
-//! The balancer makes the decisions of a reverse proxy that spreads requests over servers.
+//! The balancer makes the decisions of a reverse proxy that spreads requests over backends.
 //!
-//! Each node keeps a price per server, moved by a projected dual step on reported load, and draws
-//! servers from the shares that maximise concave, speed-valued utility minus price. The crate does
-//! no I/O, reads no clock, starts no threads and keeps no globals: the node feeds [`Event`]s with
-//! its own time and carries out the [`Action`]s. The same settings, seed and events give the same
-//! actions.
+//! Each node keeps a price per backend, moved by a projected dual step on reported load, and draws
+//! backends from the shares that maximise concave, speed-valued utility minus price. Prices, shares
+//! and speeds are relative to the number n of active backends: with the paper's symbols, price =
+//! φ/n, lambda = λ/n, speed = ζ/n (mean 1) and share = η·n (sum n), so that no constant depends on
+//! the size of the fleet.
+//!
+//! The crate does no I/O, reads no clock, starts no threads and keeps no globals: the node feeds
+//! [`Event`]s with its own time and carries out the [`Action`]s. The same settings, seed and events
+//! give the same actions.
 //!
 //! ```
 //! use balancer::*;
@@ -83,20 +87,42 @@
 
 #![forbid(unsafe_code)]
 
-#[cfg(test)]
-extern crate self as balancer;
-
 mod actions;
+mod admission;
+mod backend;
+mod backend_table;
+mod balancer;
+mod endpoint_list;
+mod estimators;
 mod events;
+mod fleet;
 mod ids;
+mod load_probing;
 mod load_report;
-mod logic;
+mod pricing;
+mod random;
+mod rate;
+mod request;
+mod retry_policy;
+mod selection;
 mod settings;
+mod share_allocation;
+mod share_solver;
+mod slow_start;
 mod snapshot;
-mod state;
+mod speed_estimates;
 mod time;
+mod timers;
+mod traffic_fraction;
+
+#[cfg(test)]
+#[path = "../tests/common/mod.rs"]
+mod test_common;
+#[cfg(test)]
+mod test_support;
 
 pub use actions::{Action, GiveUpReason};
+pub use balancer::Balancer;
 pub use events::{
     AttemptOutcome, AttemptResult, Endpoint, EndpointState, Event, ListUpdate, LoadProbeResult,
     RequestArrival,
@@ -108,5 +134,4 @@
     Tenant,
 };
 pub use snapshot::{BackendSnapshot, BalancerSnapshot};
-pub use state::Balancer;
 pub use time::Time;
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,11 +1,11 @@
 //! What a balancer is configured with, and the check of it.
 
-use crate::ids::{MachineTypeId, ZoneId};
+use crate::ids::{ClassId, MachineTypeId, ZoneId};
 use std::time::Duration;
 
 /// Smallest latency objective and deadline, in seconds.
 const SHORTEST_DURATION: f64 = 1e-9;
-/// Classes that [`ClassId`](crate::ClassId) can name.
+/// Classes that [`ClassId`] can name.
 const MAX_CLASSES: usize = 256;
 
 /// Which backends deduplicate requests with the same idempotency key.
@@ -223,9 +223,33 @@
         }
         Ok(())
     }
+
+    /// A class by its id.
+    pub(crate) fn class(&self, class: ClassId) -> &RequestClass {
+        &self.classes[usize::from(class.0)]
+    }
+
+    /// Whether neither load probes nor measured capacity tell how much more the backends can take.
+    pub(crate) fn is_capacity_unknown(&self) -> bool {
+        !self.throughput_reported && self.load_reporting != LoadReporting::OnProbe
+    }
+
+    /// The shortest latency objective of any class, in seconds.
+    pub(crate) fn shortest_latency_objective(&self) -> f64 {
+        self.classes
+            .iter()
+            .map(|class| class.latency_objective.as_secs_f64())
+            .fold(f64::INFINITY, f64::min)
+    }
 }
 
 impl RequestClass {
+    /// Seconds in which a response earns the full priority weight, given the request's own work in
+    /// seconds.
+    pub(crate) fn objective_seconds(&self, work: Option<f64>) -> f64 {
+        self.latency_objective.as_secs_f64() + self.objective_work_factor * work.unwrap_or(0.0)
+    }
+
     fn check(&self) -> Result<(), SettingsError> {
         let objective = self.latency_objective.as_secs_f64();
         check_range(
@@ -264,3 +288,7 @@
         Err(SettingsError::OutOfRange { setting, value })
     }
 }
+
+#[cfg(test)]
+#[path = "settings_tests.rs"]
+mod tests;
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -4,7 +4,7 @@
 
 mod common;
 use balancer::*;
-use common::{at, entry, ms, settings};
+use common::{at, endpoint, endpoint_list, ms, settings};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 use std::time::Duration;
@@ -66,14 +66,11 @@
     let started = at(REPLACED);
     let before = |b: &mut Balancer| {
         let entries = (0..servers)
-            .map(|s| entry(s, EndpointState::Active, None))
+            .map(|s| endpoint(s, EndpointState::Active, None))
             .collect();
         b.handle(
             at(0),
-            Event::EndpointList {
-                update: ListUpdate::Snapshot,
-                endpoints: entries,
-            },
+            endpoint_list(ListUpdate::Snapshot, entries),
             &mut vec![],
         );
     };
@@ -148,13 +145,10 @@
         for (when, node, event) in todo {
             if !knows[node] && when >= heard[node] {
                 knows[node] = true;
-                let old = (0..staying).map(|s| entry(s, EndpointState::Active, None));
+                let old = (0..staying).map(|s| endpoint(s, EndpointState::Active, None));
                 let new = (servers..2 * servers - staying)
-                    .map(|s| entry(s, EndpointState::Active, Some(started)));
-                let list = Event::EndpointList {
-                    update: ListUpdate::Snapshot,
-                    endpoints: old.chain(new).collect(),
-                };
+                    .map(|s| endpoint(s, EndpointState::Active, Some(started)));
+                let list = endpoint_list(ListUpdate::Snapshot, old.chain(new).collect());
                 fleet[node].handle(at(when), list, &mut vec![]);
             }
             let arrived = matches!(event, Event::RequestArrived(_));
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,8 +1,17 @@
 //! Settings for tests, and an observer of rules one to three and of legal actions. It checks; it
 //! simulates nothing.
+//!
+//! Integration tests and unit tests both include this file: the balancer's public items have to be
+//! at their crate's root.
+
 #![allow(dead_code)]
 
-use balancer::*;
+use crate::{
+    Action, AttemptOutcome, AttemptResult, BackendId, Balancer, CellId, ClassId, Endpoint,
+    EndpointState, Event, Idempotency, KeyScope, ListUpdate, LoadReport, LoadReporting,
+    MachineTypeId, ProtocolLimits, RequestArrival, RequestClass, RequestId, Settings, TenantId,
+    Time, TimerId, ZoneId,
+};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -70,7 +79,7 @@
     }
 }
 
-pub fn entry(server: u32, state: EndpointState, started: Option<Time>) -> Endpoint {
+pub fn endpoint(server: u32, state: EndpointState, started: Option<Time>) -> Endpoint {
     Endpoint {
         backend: BackendId(server),
         zone: ZoneId((server % 2) as u8),
@@ -82,9 +91,9 @@
     }
 }
 
-pub fn list(count: u32) -> Event {
+pub fn endpoint_snapshot(count: u32) -> Event {
     let entries = (0..count)
-        .map(|s| entry(s, EndpointState::Active, None))
+        .map(|s| endpoint(s, EndpointState::Active, None))
         .collect();
     Event::EndpointList {
         update: ListUpdate::Snapshot,
@@ -92,18 +101,28 @@
     }
 }
 
-pub fn arrival(request: u64, class: u8) -> Event {
-    Event::RequestArrived(RequestArrival {
-        request: RequestId(request),
+/// An endpoint list, or changes to it.
+pub fn endpoint_list(update: ListUpdate, endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointList { update, endpoints }
+}
+
+/// A request that its client waits a second for.
+pub fn request(id: u64, class: u8) -> RequestArrival {
+    RequestArrival {
+        request: RequestId(id),
         class: ClassId(class),
         tenant: TenantId(0),
         remaining: ms(1000),
         work: None,
         body_pending: false,
-    })
+    }
+}
+
+pub fn request_arrived(id: u64, class: u8) -> Event {
+    Event::RequestArrived(request(id, class))
 }
 
-pub fn report(busy: f64, rate: f64) -> LoadReport {
+pub fn load_report(busy: f64, rate: f64) -> LoadReport {
     LoadReport {
         utilization: Some(busy),
         throughput: Some(rate),
@@ -111,7 +130,7 @@
     }
 }
 
-pub fn ended(
+pub fn attempt_ended(
     request: u64,
     attempt: u32,
     server: BackendId,
@@ -144,7 +163,7 @@
 }
 
 /// The same with classes bound to a zone, to kinds, to both, and to nothing that exists.
-pub fn bound() -> Settings {
+pub fn placed_settings() -> Settings {
     let mut bound = settings();
     bound.classes[0].allowed_zones = Some(vec![ZoneId(1)]);
     bound.classes[1].allowed_machine_types = Some(vec![MachineTypeId(0), MachineTypeId(2)]);
@@ -421,7 +440,7 @@
                 }
                 (_, Some(o)) if o.0 <= until => {
                     self.now = self.now.max(o.0);
-                    self.feed(ended(
+                    self.feed(attempt_ended(
                         o.1 .0,
                         o.2 as u32,
                         o.3,
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -82,7 +82,7 @@
 
 fn play(settings: Settings, ops: &[Op], seed: u64) -> Result<Vec<Action>, String> {
     let mut w = Watched::new(settings, seed);
-    w.feed(list(8))?;
+    w.feed(endpoint_snapshot(8))?;
     let mut id = 0;
     for op in ops {
         match *op {
@@ -123,7 +123,7 @@
                     let outcome = outcome(o);
                     let closed = outcome == AttemptOutcome::Success
                         || (closed && !w.observer.requests[&RequestId(id)].open);
-                    let report = Some(report(busy, busy * 100.0));
+                    let report = Some(load_report(busy, busy * 100.0));
                     let (request, latency) = (RequestId(id), ms(30));
                     w.feed(Event::AttemptEnded(AttemptResult {
                         request,
@@ -145,7 +145,7 @@
                     let server = w.observer.probes.remove(which % w.observer.probes.len());
                     let report = Some(LoadReport {
                         in_flight: Some(busy),
-                        ..report(busy, 0.0)
+                        ..load_report(busy, 0.0)
                     });
                     w.feed(Event::LoadProbeEnded(LoadProbeResult {
                         backend: server,
@@ -161,11 +161,8 @@
                 state: s,
                 started,
             } => {
-                let entries = vec![entry(server, state(s), started.then_some(w.now))];
-                w.feed(Event::EndpointList {
-                    update: ListUpdate::Delta,
-                    endpoints: entries,
-                })?;
+                let entries = vec![endpoint(server, state(s), started.then_some(w.now))];
+                w.feed(endpoint_list(ListUpdate::Delta, entries))?;
             }
             Op::Whole { count, kind } => {
                 let kind = [
@@ -176,12 +173,9 @@
                 ][usize::from(kind % 4)];
                 let count = if kind == ListUpdate::Failed { 0 } else { count };
                 let entries = (0..count)
-                    .map(|s| entry(s % 7, EndpointState::Active, None))
+                    .map(|s| endpoint(s % 7, EndpointState::Active, None))
                     .collect();
-                w.feed(Event::EndpointList {
-                    update: kind,
-                    endpoints: entries,
-                })?;
+                w.feed(endpoint_list(kind, entries))?;
             }
             Op::Leave { which } => {
                 let ids: Vec<_> = w.observer.requests.keys().copied().collect();
@@ -191,12 +185,12 @@
             }
             // Events about what the balancer does not hold are passed over.
             Op::Stray(n) => {
-                let none = w.feed(ended(
+                let none = w.feed(attempt_ended(
                     n | 1 << 60,
                     0,
                     BackendId(n as u32),
                     AttemptOutcome::ServerError,
-                    Some(report(0.5, 1.0)),
+                    Some(load_report(0.5, 1.0)),
                 ))?;
                 assert!(none.is_empty());
                 assert!(w
@@ -255,12 +249,19 @@
         ..settings()
     };
     let placed_probing = Settings {
-        classes: bound().classes,
+        classes: placed_settings().classes,
         max_attempts: 5,
         hedging_allowed: true,
         ..probing.clone()
     };
-    vec![plain, probing, silent, weighed, bound(), placed_probing]
+    vec![
+        plain,
+        probing,
+        silent,
+        weighed,
+        placed_settings(),
+        placed_probing,
+    ]
 }
 
 proptest! {
@@ -294,9 +295,9 @@
     };
     let start = || {
         let mut o = Observer::new(settings());
-        o.event(at(0), &list(8));
+        o.event(at(0), &endpoint_snapshot(8));
         for class in 0..5 {
-            o.event(at(0), &arrival(u64::from(class), class));
+            o.event(at(0), &request_arrived(u64::from(class), class));
             o.action(at(0), &send(u64::from(class), 0))
                 .expect("a first send is fine");
         }
@@ -343,7 +344,7 @@
         );
         o.event(
             at(1),
-            &ended(request, 0, BackendId(0), AttemptOutcome::ServerError, None),
+            &attempt_ended(request, 0, BackendId(0), AttemptOutcome::ServerError, None),
         );
         assert_eq!(
             o.action(at(when), &send(request, server)).is_ok(),
@@ -353,7 +354,7 @@
         let mut o = start();
         o.event(
             at(1),
-            &ended(request, 0, BackendId(0), AttemptOutcome::ServerError, None),
+            &attempt_ended(request, 0, BackendId(0), AttemptOutcome::ServerError, None),
         );
         assert_eq!(
             o.action(at(1), &refuse(request)).is_ok(),
@@ -371,16 +372,16 @@
         (3, 0, false),
     ] {
         for tried in [false, true] {
-            let mut o = Observer::new(bound());
-            o.event(at(0), &list(8));
-            o.event(at(0), &arrival(1, class));
+            let mut o = Observer::new(placed_settings());
+            o.event(at(0), &endpoint_snapshot(8));
+            o.event(at(0), &request_arrived(1, class));
             if tried {
                 if let Some(first) = [5, 3, 4].get(usize::from(class)) {
                     o.action(at(0), &send(1, *first))
                         .expect("open to the class");
                     o.event(
                         at(1),
-                        &ended(1, 0, BackendId(*first), AttemptOutcome::Rejected, None),
+                        &attempt_ended(1, 0, BackendId(*first), AttemptOutcome::Rejected, None),
                     );
                 }
             }
@@ -394,15 +395,9 @@
     // Rule 3: a send after the grace.
     for (when, fine) in [(260, true), (261, false)] {
         let mut o = start();
-        let entries = vec![entry(5, EndpointState::Draining, None)];
-        o.event(
-            at(10),
-            &Event::EndpointList {
-                update: ListUpdate::Delta,
-                endpoints: entries,
-            },
-        );
-        o.event(at(11), &arrival(9, 0));
+        let entries = vec![endpoint(5, EndpointState::Draining, None)];
+        o.event(at(10), &endpoint_list(ListUpdate::Delta, entries));
+        o.event(at(11), &request_arrived(9, 0));
         assert_eq!(o.action(at(when), &send(9, 5)).is_ok(), fine);
     }
 }
--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -14,8 +14,6 @@
 /// Files that are still to be split, to which the limits on lines do not apply until then. An entry
 /// that is no longer needed fails the test.
 const NOT_YET_SPLIT: &[&str] = &[
-    "balancer/src/logic.rs",
-    "balancer/src/state.rs",
     "proxy/src/config.rs",
     "proxy/src/discovery/client.rs",
     "proxy/src/downstream/listener.rs",
