--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -15,13 +15,10 @@
 /// that is no longer needed fails the test.
 const NOT_YET_SPLIT: &[&str] = &[
     "proxy/src/config.rs",
-    "proxy/src/discovery/client.rs",
     "proxy/src/downstream/listener.rs",
-    "proxy/src/http1/head_filter.rs",
     "proxy/src/node.rs",
     "proxy/src/requests/dispatcher.rs",
     "proxy/src/upstream/backend_registry.rs",
-    "settings/src/lib.rs",
     "simulator-adapter/src/host.rs",
     "soak-test/src/judge.rs",
     "soak-test/src/play.rs",
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,9 +1,11 @@
 //! The operators' side: a listener of its own, with places of its own, and the calls that it takes.
 
-use crate::downstream::listener::{accept_failed, discard, Phase, MOST_LINGERING};
-use crate::http1::head_filter::{self, Problem};
-use crate::operator_state::store::{Keeper, Word};
-use crate::requests::dispatcher::Engine;
+use crate::downstream::listener::{accept_failed, discard, ShutdownPhase, MOST_LINGERING};
+use crate::http1::error::MessageError;
+use crate::http1::framing::parse_request_head;
+use crate::http1::limits::MAX_HEAD_BYTES;
+use crate::operator_state::store::{OperatorState, OperatorStateStore};
+use crate::requests::dispatcher::Dispatcher;
 use crate::socket::Socket;
 use bytes::BytesMut;
 use hyper::StatusCode;
@@ -31,10 +33,10 @@
 const LOGGED: usize = 128;
 
 /// See the module's own words.
-pub struct Console {
-    engine: Rc<Engine>,
-    phase: Rc<watch::Sender<Phase>>,
-    keeper: Rc<Keeper>,
+pub struct AdminServer {
+    engine: Rc<Dispatcher>,
+    phase: Rc<watch::Sender<ShutdownPhase>>,
+    keeper: Rc<OperatorStateStore>,
     warm_up: Duration,
     /// The latest look at what another process was told has failed.
     look_failed: Cell<bool>,
@@ -43,16 +45,16 @@
 /// What a call is answered with.
 type Reply = (StatusCode, &'static str);
 
-impl Console {
+impl AdminServer {
     /// For this node, which goes at once by what the keeper holds. Backends that were put back into
     /// use are warm after `warm_up`.
     pub fn new(
-        engine: Rc<Engine>,
-        phase: Rc<watch::Sender<Phase>>,
-        keeper: Rc<Keeper>,
+        engine: Rc<Dispatcher>,
+        phase: Rc<watch::Sender<ShutdownPhase>>,
+        keeper: Rc<OperatorStateStore>,
         warm_up: Duration,
     ) -> Rc<Self> {
-        let console = Rc::new(Console {
+        let console = Rc::new(AdminServer {
             engine,
             phase,
             keeper,
@@ -68,24 +70,31 @@
     /// been.
     pub async fn look(&self) {
         let warm = |name: &String| self.engine.warmed_up(name, self.warm_up);
-        let settled = self.keeper.word().returned.keys().any(warm);
+        let settled = self
+            .keeper
+            .state()
+            .returned_from_maintenance
+            .keys()
+            .any(warm);
         if settled && self.keeper.may_write() {
-            let forget = |word: &mut Word| word.returned.retain(|name, _| !warm(name));
+            let forget = |word: &mut OperatorState| {
+                word.returned_from_maintenance.retain(|name, _| !warm(name))
+            };
             if let Err(error) = self.keeper.change(forget).await {
                 self.engine.log(format_args!("{error}"));
             }
         }
-        let looked = self.keeper.look();
+        let looked = self.keeper.refresh();
         let failed_before = self.look_failed.replace(looked.is_err());
         match looked {
             Ok(false) => {}
             Ok(true) => {
                 self.apply();
-                let word = self.keeper.word();
+                let word = self.keeper.state();
                 self.engine.log(format_args!(
                     "told beside draining={} left_out={}",
                     word.draining,
-                    word.out.len()
+                    word.in_maintenance.len()
                 ));
             }
             Err(_) if failed_before => {} // It is logged once for a row of failures.
@@ -95,22 +104,22 @@
 
     /// Puts the operators' word in force.
     fn apply(&self) {
-        let word = self.keeper.word();
-        self.engine.heed(&word);
+        let word = self.keeper.state();
+        self.engine.apply_operator_state(&word);
         self.phase.send_if_modified(|phase| {
             let drained = if word.draining {
-                Phase::Draining
+                ShutdownPhase::Draining
             } else {
-                Phase::Serving
+                ShutdownPhase::Serving
             };
-            let turns = *phase <= Phase::Draining && *phase != drained;
+            let turns = *phase <= ShutdownPhase::Draining && *phase != drained;
             *phase = if turns { drained } else { *phase };
             turns
         });
     }
 
     /// Changes the operators' word, for every process of this node, and puts it in force.
-    async fn say<T>(&self, change: impl FnOnce(&mut Word) -> T) -> Result<T, Reply> {
+    async fn say<T>(&self, change: impl FnOnce(&mut OperatorState) -> T) -> Result<T, Reply> {
         match self.keeper.change(change).await {
             Ok(said) => {
                 self.apply();
@@ -151,9 +160,10 @@
         let (call, (status, text)) = match call {
             Ok(Some(Ok((method, path)))) => {
                 let reply = self.carry_out(&method, &path).await;
-                (format!("{method} {path}"), reply.unwrap_or_else(|no| no))
+                let (status, text) = reply.unwrap_or_else(|no| no);
+                (format!("{method} {path}"), (status, text.to_owned()))
             }
-            Ok(Some(Err(problem))) => ("unreadable".to_owned(), problem),
+            Ok(Some(Err(error))) => ("unreadable".to_owned(), (error.status(), error.to_string())),
             // It left, or finished no call.
             Ok(None) | Err(_) => return,
         };
@@ -190,15 +200,15 @@
             .and_then(|rest| rest.rsplit_once('/'));
         Ok(match (method, path, backend) {
             ("GET", "/healthcheck", _) => match *self.phase.borrow() {
-                Phase::Serving | Phase::Draining if !self.engine.ready() => {
+                ShutdownPhase::Serving | ShutdownPhase::Draining if !self.engine.ready() => {
                     (StatusCode::SERVICE_UNAVAILABLE, "no list of backends")
                 }
-                Phase::Serving => (StatusCode::OK, "ready"),
-                Phase::Draining => (StatusCode::OK, "ready, draining"),
+                ShutdownPhase::Serving => (StatusCode::OK, "ready"),
+                ShutdownPhase::Draining => (StatusCode::OK, "ready, draining"),
                 _ => (StatusCode::SERVICE_UNAVAILABLE, "leaving"),
             },
             ("POST", "/healthcheck/fail" | "/healthcheck/ok", _) => {
-                if *self.phase.borrow() > Phase::Draining {
+                if *self.phase.borrow() > ShutdownPhase::Draining {
                     return Err((StatusCode::CONFLICT, "the process is leaving"));
                 }
                 let draining = path == "/healthcheck/fail";
@@ -210,16 +220,18 @@
             }
             ("POST", _, Some((id, "maint"))) => {
                 let known = self.engine.knows(id);
-                let out = |word: &mut Word| {
-                    let known = known || word.out.contains(id);
-                    known.then(|| word.out.insert(id.to_owned())).is_some()
+                let out = |word: &mut OperatorState| {
+                    let known = known || word.in_maintenance.contains(id);
+                    known
+                        .then(|| word.in_maintenance.insert(id.to_owned()))
+                        .is_some()
                 };
                 known_backend(self.say(out).await?, "left out")
             }
             ("POST", _, Some((id, "ready"))) => {
                 let known = self.engine.knows(id);
-                let back = |word: &mut Word| {
-                    if word.out.remove(id) {
+                let back = |word: &mut OperatorState| {
+                    if word.in_maintenance.remove(id) {
                         word.mark_returned(id, SystemTime::now());
                         true
                     } else {
@@ -246,19 +258,16 @@
 }
 
 /// Reads a call's method and path, or what is wrong with it. None: nothing came.
-async fn read_call(stream: &mut Socket) -> Option<Result<(String, String), Problem>> {
+async fn read_call(stream: &mut Socket) -> Option<Result<(String, String), MessageError>> {
     let mut held = BytesMut::with_capacity(1 << 10);
     loop {
         let read = stream.read_buf(&mut held).await.ok()?;
-        match head_filter::request_head(&held) {
-            Err(problem) => return Some(Err(problem)),
+        match parse_request_head(&held) {
+            Err(error) => return Some(Err(error)),
             Ok(Some(_)) => break,
             Ok(None) if read == 0 => return None,
-            Ok(None) if held.len() >= head_filter::MOST_HEAD => {
-                return Some(Err((
-                    StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-                    "the head is too long",
-                )));
+            Ok(None) if held.len() >= MAX_HEAD_BYTES => {
+                return Some(Err(MessageError::HeadTooLong));
             }
             Ok(None) => {}
         }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start: the `GW_*` variables and the JSON file that one of them names.
 
-use crate::discovery::client::ServerList;
+use crate::discovery::wire::EndpointList;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
         /// The file.
         path: String,
         /// What is wrong, and where.
-        source: settings::ConfigError,
+        source: settings::ParseError,
     },
     /// The settings can be read but don't make sense.
     #[error("{path}: {source}")]
@@ -41,7 +41,7 @@
         /// The file.
         path: String,
         /// What makes no sense.
-        source: balancer::SettingsError,
+        source: settings::InvalidSettings,
     },
     /// A value that is given neither as a variable nor in the file.
     #[error("neither {variable} nor the configuration's `{key}` is given")]
@@ -84,9 +84,9 @@
     /// Memory that it may use, in bytes.
     pub memory: usize,
     /// The servers as last known, if they are.
-    pub known: Option<ServerList>,
+    pub known: Option<EndpointList>,
     /// The site's settings.
-    pub site: settings::Config,
+    pub site: settings::InstanceSettings,
 }
 
 #[derive(Deserialize)]
@@ -99,7 +99,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<ServerList>,
+    known: Option<EndpointList>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
@@ -173,7 +173,7 @@
             .check()
             .map_err(|source| ConfigError::Figures {
                 path: path(),
-                source,
+                source: source.into(),
             })?;
         // Both are checked wherever they are given: what is not used now may be at the next
         // reading.
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,20 +1,27 @@
 //! The clients' side: takes connections and requests, checks them, and writes the final answers.
 
-use crate::http1::head_filter::{self, Gate, Guard, Head, Next, Problem, MOST_BODY};
-use crate::http1::streaming::{hold, BodyError, Outgoing, Upload, STALL};
-use crate::metrics::Stats;
-use crate::requests::dispatcher::{Answer, Engine, Incoming};
-use crate::resizable_semaphore::Places;
-use crate::send_invariants::{self, Rule};
+use crate::downstream::request_head::{RequestError, RequestHead, MAX_TIMEOUT};
+use crate::http1::body::{buffer_body, BodyError, BufferedPart};
+use crate::http1::error::MessageError;
+use crate::http1::framing::{parse_request_head, Expected, Head};
+use crate::http1::head_filter::{HeadFilter, MessagePolicy};
+use crate::http1::hop_by_hop::end_to_end_headers;
+use crate::http1::limits::{MAX_BODY_BYTES, STALL_TIMEOUT};
+use crate::http1::upload::{RequestBody, Upload};
+use crate::metrics::Metrics;
+use crate::requests::dispatcher::{Dispatcher, FinalResponse, ForwardRequest};
+use crate::resizable_semaphore::ResizableSemaphore;
+use crate::send_invariants::{self, Invariant};
+use crate::socket::{is_closed_by_peer, is_open_and_drained};
 use crate::transient_errors;
-use crate::upstream::backend_registry::{AnswerBody, MOST_BUFFERED};
-use balancer::{ClassId, Idempotency, TenantId};
+use crate::upstream::backend_registry::{ResponseBody, MOST_BUFFERED};
+use balancer::Idempotency;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body as _, Frame, Incoming as Body, SizeHint};
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode, Uri};
+use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
@@ -72,31 +79,12 @@
 const SPARE_PART: usize = 4;
 /// For what is on its way on a connection that is to end, or to the listener.
 const LAST_CHANCE: Duration = Duration::from_millis(100);
-/// No client waits for longer.
-const LONGEST_WAIT: Duration = Duration::from_secs(3600);
 /// `accept` that failed for want of resources is not tried again at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
-const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
-const COST: HeaderName = HeaderName::from_static("x-cost");
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Headers that belong to one connection, not to the message.
-const HOP_BY_HOP: [HeaderName; 8] = [
-    header::CONNECTION,
-    HeaderName::from_static("keep-alive"),
-    HeaderName::from_static("proxy-connection"),
-    header::TE,
-    header::TRAILER,
-    header::TRANSFER_ENCODING,
-    header::UPGRADE,
-    header::EXPECT,
-];
-
 /// How far the node's end has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// It serves.
     Serving,
     /// It serves, and asks clients to go elsewhere until the drain ends.
@@ -110,26 +98,26 @@
 }
 
 /// What a connection needs to know.
-pub struct Frontend {
-    engine: Rc<Engine>,
+pub struct Listener {
+    engine: Rc<Dispatcher>,
     effects: Vec<Idempotency>,
-    phase: watch::Receiver<Phase>,
-    slots: Places,
+    phase: watch::Receiver<ShutdownPhase>,
+    slots: ResizableSemaphore,
     /// A connection has ended.
     ended: Notify,
     /// Connections may have come since then.
     listening_since: Instant,
-    clients: RefCell<FxHashMap<u64, Rc<Client>>>,
+    clients: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
     next_client: Cell<u64>,
 }
 
 /// One connection.
-struct Client {
+struct ClientConnection {
     socket: Rc<TcpStream>,
-    stage: Cell<Stage>,
+    stage: Cell<ConnectionState>,
     since: Cell<Instant>,
     /// Why the head under way is turned down, once it is.
-    problem: Cell<Option<Problem>>,
+    problem: Cell<Option<MessageError>>,
     /// Its last request was malformed: more of it may still come.
     malformed: Cell<bool>,
     /// It has had its answer before its request was read to the end.
@@ -142,13 +130,13 @@
     /// Since when the connection may have waited to be accepted, if bytes had come on it by then.
     waiting_since: Cell<Option<Instant>>,
     /// Where it stood when it was to close.
-    left: Cell<Stage>,
+    left: Cell<ConnectionState>,
     wake: Notify,
 }
 
 /// Where a connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum ConnectionState {
     /// Nothing has come yet.
     New,
     /// A head has begun: since the connecting on the first request, since its first bytes on
@@ -159,7 +147,7 @@
     /// A request is in hand.
     Busy,
     /// A large answer is passed on, and something of it was taken at last then.
-    Passing,
+    StreamingResponse,
     /// It waits for the next request.
     Idle,
     /// It is to close.
@@ -168,19 +156,19 @@
     Gone,
 }
 
-impl Stage {
+impl ConnectionState {
     /// For the counters: what went for others.
     fn evicted(self) -> &'static str {
         match self {
-            Stage::New => "for places: nothing came",
-            Stage::Head | Stage::Late => "for places: a head under way",
-            _ => "for places: idle",
+            ConnectionState::New => "evicted: no request received",
+            ConnectionState::Head | ConnectionState::Late => "evicted: head incomplete",
+            _ => "evicted: idle",
         }
     }
 }
 
-impl Client {
-    fn enter(&self, stage: Stage) {
+impl ClientConnection {
+    fn enter(&self, stage: ConnectionState) {
         self.stage.set(stage);
         self.since.set(Instant::now());
     }
@@ -192,64 +180,78 @@
     /// Whether it may be closed for others that need its place.
     fn in_the_way(&self) -> bool {
         let least = match self.stage.get() {
-            Stage::New => FIRST_LEAST,
-            Stage::Head | Stage::Late => HEAD_LEAST,
-            Stage::Idle => IDLE_LEAST,
-            Stage::Busy | Stage::Passing | Stage::Leaving | Stage::Gone => return false,
+            ConnectionState::New => FIRST_LEAST,
+            ConnectionState::Head | ConnectionState::Late => HEAD_LEAST,
+            ConnectionState::Idle => IDLE_LEAST,
+            ConnectionState::Busy
+            | ConnectionState::StreamingResponse
+            | ConnectionState::Leaving
+            | ConnectionState::Gone => return false,
         };
         self.age() >= least && self.may_close().is_ok()
     }
 
     /// Whether the rules let it be closed at this moment for having nothing to say.
-    fn may_close(&self) -> Result<(), Rule> {
-        let in_hand = matches!(self.stage.get(), Stage::Busy | Stage::Passing);
-        send_invariants::may_close(in_hand, !head_filter::quiet(&self.socket))
+    fn may_close(&self) -> Result<(), Invariant> {
+        let in_hand = matches!(
+            self.stage.get(),
+            ConnectionState::Busy | ConnectionState::StreamingResponse
+        );
+        send_invariants::may_close(in_hand, !is_open_and_drained(&self.socket))
     }
 
     fn leave(&self) {
         self.left.set(self.stage.get());
-        self.enter(Stage::Leaving);
+        self.enter(ConnectionState::Leaving);
         self.wake.notify_one();
     }
 
     /// Whether bytes have come since it was to close for having nothing to say.
     fn crossed(&self) -> bool {
-        matches!(self.left.get(), Stage::New | Stage::Head | Stage::Idle)
-            && self.may_close().is_err()
+        matches!(
+            self.left.get(),
+            ConnectionState::New | ConnectionState::Head | ConnectionState::Idle
+        ) && self.may_close().is_err()
     }
 
     /// Ends what has taken too long.
-    fn sweep(&self, phase: Phase, stats: &Stats) {
+    fn sweep(&self, phase: ShutdownPhase, stats: &Metrics) {
         let (stage, age) = (self.stage.get(), self.age());
         // In a drain each answer says to close: who is idle has been so since before.
         let idle = match phase {
-            Phase::Serving => IDLE,
-            Phase::Draining | Phase::Leaving | Phase::HandingOver => IDLE_LEAST,
-            Phase::Closing => Duration::ZERO,
+            ShutdownPhase::Serving => IDLE,
+            ShutdownPhase::Draining | ShutdownPhase::Leaving | ShutdownPhase::HandingOver => {
+                IDLE_LEAST
+            }
+            ShutdownPhase::Closing => Duration::ZERO,
         };
         match stage {
             // What comes with a connection needs a moment. A request that has begun is answered,
             // and told to close.
-            Stage::New
-                if phase == Phase::Closing && age >= LAST_CHANCE && self.may_close().is_ok() =>
+            ConnectionState::New
+                if phase == ShutdownPhase::Closing
+                    && age >= LAST_CHANCE
+                    && self.may_close().is_ok() =>
             {
                 self.leave();
             }
             // Never one on which a request has come that was not read yet.
-            Stage::New if age >= FIRST => {
-                stats.turned_down("nothing came");
+            ConnectionState::New if age >= FIRST => {
+                stats.count_rejected_message("no request received");
                 self.leave();
             }
             // Who has closed waits for nothing. Hyper sees that only where nothing stands before
             // it.
-            Stage::Busy | Stage::Passing if head_filter::left(&self.socket) => {
-                self.stage.set(Stage::Gone);
+            ConnectionState::Busy | ConnectionState::StreamingResponse
+                if is_closed_by_peer(&self.socket) =>
+            {
+                self.stage.set(ConnectionState::Gone);
                 self.wake.notify_one();
             }
-            Stage::Passing if age >= STALL => self.leave(),
-            Stage::Idle if age >= idle && self.may_close().is_ok() => self.leave(),
-            Stage::Head if age >= FIRST => {
-                self.stage.set(Stage::Late);
+            ConnectionState::StreamingResponse if age >= STALL_TIMEOUT => self.leave(),
+            ConnectionState::Idle if age >= idle && self.may_close().is_ok() => self.leave(),
+            ConnectionState::Head if age >= FIRST => {
+                self.stage.set(ConnectionState::Late);
                 self.wake.notify_one();
             }
             _ => {}
@@ -259,31 +261,35 @@
 
 /// A request that takes the place of one that was turned down, in the row of answers on its
 /// connection. No client can send one of this method.
-const TURNED_DOWN: &str = "TURNED-DOWN";
+const REJECTED_METHOD: &str = "REJECTED";
 
-impl Guard for Rc<Client> {
-    const BETWEEN: Next = Next::Head;
+impl MessagePolicy for Rc<ClientConnection> {
+    const BETWEEN_MESSAGES: Expected = Expected::Head;
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        head_filter::request_head(bytes)
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, MessageError> {
+        parse_request_head(bytes)
     }
 
-    fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
+    fn reject(&self, problem: MessageError) -> std::io::Result<&'static [u8]> {
         self.problem.set(Some(problem));
-        Ok(b"TURNED-DOWN / HTTP/1.1\r\n\r\n")
+        Ok(b"REJECTED / HTTP/1.1\r\n\r\n")
     }
 
-    fn begun(&self) -> Result<(), Problem> {
+    fn head_started(&self) -> Result<(), MessageError> {
         match self.stage.get() {
-            Stage::New => self.stage.set(Stage::Head),
-            Stage::Idle => self.enter(Stage::Head),
-            Stage::Late => return Err((StatusCode::REQUEST_TIMEOUT, "the head took too long")),
-            Stage::Head | Stage::Busy | Stage::Passing | Stage::Leaving | Stage::Gone => {}
+            ConnectionState::New => self.stage.set(ConnectionState::Head),
+            ConnectionState::Idle => self.enter(ConnectionState::Head),
+            ConnectionState::Late => return Err(MessageError::HeadTimeout),
+            ConnectionState::Head
+            | ConnectionState::Busy
+            | ConnectionState::StreamingResponse
+            | ConnectionState::Leaving
+            | ConnectionState::Gone => {}
         }
         Ok(())
     }
 
-    fn passed(&self, whole_at: Option<Instant>) {
+    fn head_accepted(&self, whole_at: Option<Instant>) {
         self.taken.set(true);
         // What had come before the connection was accepted may have come as long ago as that may
         // have been made.
@@ -292,25 +298,25 @@
             .set(whole_at.map(|at| waiting_since.unwrap_or(at)));
     }
 
-    fn busy(&self) -> bool {
+    fn awaits_response(&self) -> bool {
         self.taken.get()
     }
 }
 
-impl Frontend {
+impl Listener {
     /// Takes at most `connections` at a time. They may have been made since `listening_since`.
     pub fn new(
-        engine: Rc<Engine>,
+        engine: Rc<Dispatcher>,
         effects: Vec<Idempotency>,
         connections: usize,
         listening_since: Instant,
-        phase: watch::Receiver<Phase>,
+        phase: watch::Receiver<ShutdownPhase>,
     ) -> Rc<Self> {
-        Rc::new(Frontend {
+        Rc::new(Listener {
             engine,
             effects,
             phase,
-            slots: Places::new(connections),
+            slots: ResizableSemaphore::new(connections),
             ended: Notify::new(),
             listening_since,
             clients: RefCell::default(),
@@ -336,12 +342,12 @@
         let mut phase = self.phase.clone();
         let mut closing = std::pin::pin!(async move {
             let ending = phase
-                .wait_for(|p| *p >= Phase::HandingOver)
+                .wait_for(|p| *p >= ShutdownPhase::HandingOver)
                 .await
-                .map_or(Phase::Closing, |p| *p);
+                .map_or(ShutdownPhase::Closing, |p| *p);
             // Whose request crosses the closing of an idle connection comes again, and finds a
             // listener.
-            if ending == Phase::Closing {
+            if ending == ShutdownPhase::Closing {
                 tokio::time::sleep(LAST_CHANCE).await;
             }
         });
@@ -351,7 +357,7 @@
             // requests, and would be lost with the socket. One that is handed over lives on, and so
             // does its queue.
             let permit = self.slot().await;
-            if *self.phase.borrow() == Phase::HandingOver {
+            if *self.phase.borrow() == ShutdownPhase::HandingOver {
                 break;
             }
             tokio::select! {
@@ -376,15 +382,19 @@
 
     /// Whether a request is in hand, or an answer on its way.
     pub fn in_hand(&self) -> bool {
-        let busy =
-            |c: &Rc<Client>| matches!(c.stage.get(), Stage::Head | Stage::Busy | Stage::Passing);
+        let busy = |c: &Rc<ClientConnection>| {
+            matches!(
+                c.stage.get(),
+                ConnectionState::Head | ConnectionState::Busy | ConnectionState::StreamingResponse
+            )
+        };
         self.clients.borrow().values().any(busy)
     }
 
     /// From now on it takes at most so many.
     pub fn resize(&self, connections: usize) {
         self.slots.resize(connections);
-        if self.slots.short() {
+        if self.slots.is_over_capacity() {
             self.evict();
         }
     }
@@ -394,12 +404,12 @@
     /// are likely to wait.
     async fn slot(&self) -> OwnedSemaphorePermit {
         loop {
-            if self.slots.free() == 0 {
+            if self.slots.available() == 0 {
                 self.evict();
             }
-            if self.slots.short() {
+            if self.slots.is_over_capacity() {
                 tokio::time::sleep(ROOM).await;
-            } else if let Ok(permit) = timeout(ROOM, self.slots.wait()).await {
+            } else if let Ok(permit) = timeout(ROOM, self.slots.acquire()).await {
                 return permit;
             }
         }
@@ -409,16 +419,19 @@
         let clients = self.clients.borrow();
         let mut going: Vec<_> = clients.values().filter(|c| c.in_the_way()).collect();
         going.sort_unstable_by_key(|c| c.since.get());
-        for client in going.iter().take(self.slots.most().div_ceil(EVICTED_PART)) {
+        for client in going
+            .iter()
+            .take(self.slots.capacity().div_ceil(EVICTED_PART))
+        {
             self.engine
                 .stats()
-                .turned_down(client.stage.get().evicted());
+                .count_rejected_message(client.stage.get().evicted());
             client.leave();
         }
     }
 
     fn scarce(&self) -> bool {
-        self.slots.free() < self.slots.most() / SPARE_PART
+        self.slots.available() < self.slots.capacity() / SPARE_PART
     }
 
     fn connected(
@@ -428,11 +441,11 @@
         permit: OwnedSemaphorePermit,
     ) {
         let _ = stream.set_nodelay(true);
-        let came_with_it = !head_filter::quiet(&stream);
-        self.engine.stats().count(|c| c.accepted += 1);
-        let client = Rc::new(Client {
+        let came_with_it = !is_open_and_drained(&stream);
+        self.engine.stats().count(|c| c.connections_accepted += 1);
+        let client = Rc::new(ClientConnection {
             socket: Rc::new(stream),
-            stage: Cell::new(Stage::New),
+            stage: Cell::new(ConnectionState::New),
             since: Cell::new(Instant::now()),
             problem: Cell::new(None),
             malformed: Cell::new(false),
@@ -440,7 +453,7 @@
             taken: Cell::new(false),
             whole_at: Cell::new(None),
             waiting_since: Cell::new(came_with_it.then_some(waiting_since)),
-            left: Cell::new(Stage::New),
+            left: Cell::new(ConnectionState::New),
             wake: Notify::new(),
         });
         let id = self.next_client.replace(self.next_client.get() + 1);
@@ -455,12 +468,12 @@
         });
     }
 
-    async fn serve_connection(self: &Rc<Self>, client: &Rc<Client>) {
+    async fn serve_connection(self: &Rc<Self>, client: &Rc<ClientConnection>) {
         let service = service_fn(|request: Request<Body>| async {
             let since = client.since.get();
-            client.enter(Stage::Busy);
+            client.enter(ConnectionState::Busy);
             let mut response = match client.problem.get() {
-                Some((status, why)) if request.method() == TURNED_DOWN => turned_down(status, why),
+                Some(error) if request.method() == REJECTED_METHOD => reject(error.into()),
                 _ => {
                     // Nobody but hyper knows where chunks end: what is behind them is not read.
                     let last = request.headers().contains_key(header::TRANSFER_ENCODING);
@@ -476,16 +489,18 @@
                 .extensions()
                 .get()
                 .iter()
-                .for_each(|why: &&TurnedDown| self.engine.stats().turned_down(why.0));
+                .for_each(|why: &&RejectedRequest| {
+                    self.engine.stats().count_rejected_message(why.0)
+                });
             // A client that is told to close goes elsewhere next. Where places run short each is:
             // many ask once and keep their connection, and until those may be closed nobody else
             // would get in.
-            if *self.phase.borrow() > Phase::Serving || self.scarce() {
-                self.engine.stats().count(|c| c.told_to_close += 1);
+            if *self.phase.borrow() > ShutdownPhase::Serving || self.scarce() {
+                self.engine.stats().count(|c| c.connection_close_sent += 1);
                 close(&mut response);
             }
-            if let AnswerBody::Passing(_) = response.body().body {
-                client.enter(Stage::Passing);
+            if let ResponseBody::StreamingResponse(_) = response.body().body {
+                client.enter(ConnectionState::StreamingResponse);
                 let _ = SockRef::from(&*client.socket).set_send_buffer_size(SEND_BUFFER);
             }
             response.body_mut().client = Some(client.clone());
@@ -496,7 +511,7 @@
             .header_read_timeout(None)
             .max_buf_size(MOST_BUFFERED)
             .serve_connection(
-                TokioIo::new(Gate::new(client.socket.clone(), client.clone())),
+                TokioIo::new(HeadFilter::new(client.socket.clone(), client.clone())),
                 service,
             );
         let mut connection = std::pin::pin!(connection);
@@ -506,12 +521,15 @@
                 _ = connection.as_mut() => break, // Its errors are the client's: it left or spoke no HTTP.
                 () = client.wake.notified() => {}
             }
-            if client.stage.get() == Stage::Gone {
+            if client.stage.get() == ConnectionState::Gone {
                 return;
             }
-            if client.stage.get() == Stage::Leaving {
+            if client.stage.get() == ConnectionState::Leaving {
                 if client.crossed() {
-                    self.engine.stats().rules.withheld(Rule::Close);
+                    self.engine
+                        .stats()
+                        .invariants
+                        .prevented(Invariant::ConnectionClose);
                     client.stage.set(client.left.get());
                     continue;
                 }
@@ -519,7 +537,10 @@
                 // Its last answer may still be on its way. A request that was read meanwhile is
                 // answered.
                 while timeout(LAST_WRITES, connection.as_mut()).await.is_err()
-                    && matches!(client.stage.get(), Stage::Busy | Stage::Passing)
+                    && matches!(
+                        client.stage.get(),
+                        ConnectionState::Busy | ConnectionState::StreamingResponse
+                    )
                 {}
                 break;
             }
@@ -531,7 +552,7 @@
             let _ = timeout(LINGER, discard(&client.socket, MOST_LINGERING)).await;
         }
         if client.unread.get() {
-            discard(&client.socket, MOST_BODY as usize).await;
+            discard(&client.socket, MAX_BODY_BYTES as usize).await;
         }
     }
 
@@ -540,11 +561,11 @@
         &self,
         request: Request<Body>,
         since: Instant,
-        client: &Client,
+        client: &ClientConnection,
     ) -> Response<ClientBody> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/health/ready") => {
-                let ready = self.engine.ready() && *self.phase.borrow() == Phase::Serving;
+                let ready = self.engine.ready() && *self.phase.borrow() == ShutdownPhase::Serving;
                 return plain(
                     if ready {
                         StatusCode::OK
@@ -560,51 +581,52 @@
             _ => {}
         }
         let (parts, mut body) = request.into_parts();
-        let order = match self.read_head(&parts.method, &parts.uri, &parts.headers) {
+        let order = match RequestHead::parse(&parts, self.engine.names(), &self.effects) {
             Ok(order) => order,
-            Err((status, why)) => return turned_down(status, why),
+            Err(error) => return reject(error),
         };
-        let margin = MARGIN.min(order.wait / MARGIN_PART);
+        let margin = MARGIN.min(order.timeout / MARGIN_PART);
         let length = body.size_hint().exact();
         let mut held = BytesMut::new();
         let whole = loop {
             let by = since + WHOLE + Duration::from_secs_f64(held.len() as f64 / LEAST_RATE);
             let before = held.len();
-            match timeout_at(by, hold(&mut held, &mut body)).await {
-                Ok(Ok(whole)) => break whole,
-                Ok(Err(_)) => return turned_down(StatusCode::BAD_REQUEST, "the body is not whole"),
+            match timeout_at(by, buffer_body(&mut held, &mut body)).await {
+                Ok(Ok(part)) => break part == BufferedPart::Complete,
+                Ok(Err(_)) => return reject(MessageError::IncompleteBody.into()),
                 Err(_) if held.len() > before => {}
-                Err(_) => {
-                    return turned_down(StatusCode::REQUEST_TIMEOUT, "the body took too long")
-                }
+                Err(_) => return reject(MessageError::BodyTimeout.into()),
             }
         };
         // The time counts from the last byte, which is here or still to come.
         let whole_at = client.whole_at.take().unwrap_or_else(Instant::now);
         let remaining = order
-            .wait
+            .timeout
             .checked_sub(margin)
             .unwrap()
             .saturating_sub(whole_at.elapsed());
         let (body, due) = if whole {
-            (Outgoing::Whole(held.freeze()), Instant::now() + remaining)
+            (
+                RequestBody::Buffered(held.freeze()),
+                Instant::now() + remaining,
+            )
         } else {
             let upload = Upload::new(held.freeze(), body, length);
-            (Outgoing::Passing(upload), Instant::now() + LONGEST_WAIT)
+            (RequestBody::Streaming(upload), Instant::now() + MAX_TIMEOUT)
         };
         let upload = body.upload().cloned();
         let mut outgoing = Request::new(body);
         *outgoing.method_mut() = parts.method;
         *outgoing.uri_mut() = order.target;
-        *outgoing.headers_mut() = end_to_end(parts.headers);
-        let Order {
+        *outgoing.headers_mut() = end_to_end_headers(parts.headers);
+        let RequestHead {
             class,
             tenant,
             work,
             id,
             ..
         } = order;
-        let taken = self.engine.arrival(Incoming {
+        let taken = self.engine.arrival(ForwardRequest {
             class,
             tenant,
             work,
@@ -616,10 +638,7 @@
             client: Rc::downgrade(&client.socket),
         });
         let Some(taken) = taken else {
-            return turned_down(
-                StatusCode::CONFLICT,
-                "a request of this X-Request-ID is open",
-            );
+            return reject(RequestError::DuplicateRequestId);
         };
         let id = taken.id();
         let over = async {
@@ -627,7 +646,7 @@
                 None => tokio::time::sleep_until(due + margin / OVERDUE).await,
                 Some(upload) => {
                     upload.ended().await;
-                    if upload.whole() {
+                    if upload.is_complete() {
                         self.engine.uploaded(id);
                     }
                     tokio::time::sleep(remaining + margin / OVERDUE).await;
@@ -635,20 +654,20 @@
             }
         };
         let answer = taken.answer(over).await;
-        if let Some(upload) = upload.filter(|upload| !upload.whole()) {
+        if let Some(upload) = upload.filter(|upload| !upload.is_complete()) {
             client.unread.set(true);
-            if let Some((status, why)) = upload.problem() {
-                return turned_down(status, why);
+            if let Some(error) = upload.error() {
+                return reject(error.into());
             }
         }
         let mut response = match answer {
-            Answer::Served(response) => {
+            FinalResponse::Served(response) => {
                 let (head, body) = response.into_parts();
                 let mut response = Response::new(ClientBody { body, client: None });
-                *response.headers_mut() = end_to_end(head.headers);
+                *response.headers_mut() = end_to_end_headers(head.headers);
                 response
             }
-            Answer::Refused(wait) => {
+            FinalResponse::Refused(wait) => {
                 let mut response = plain(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "refused: trying again is harmless",
@@ -660,7 +679,7 @@
                 }
                 response
             }
-            Answer::Failed => plain(
+            FinalResponse::Failed => plain(
                 StatusCode::GATEWAY_TIMEOUT,
                 "failed: the request may have been carried out",
             ),
@@ -670,97 +689,12 @@
         }
         response
     }
-
-    /// Reads what a request's head says of it, or why it is turned down.
-    fn read_head(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Result<Order, Problem> {
-        let bad = |why| (StatusCode::BAD_REQUEST, why);
-        let names = self.engine.names();
-        let class = uri
-            .path()
-            .trim_start_matches('/')
-            .split('/')
-            .next()
-            .unwrap_or_default();
-        let class = names
-            .classes
-            .iter()
-            .position(|c| c == class && !c.is_empty());
-        let class = class.ok_or((StatusCode::NOT_FOUND, "unknown class of requests"))?;
-        // Of two of a kind it is not known which one counts.
-        let single = [&REQUEST_ID, &TENANT, &TIMEOUT, &COST, &KEY];
-        if single
-            .iter()
-            .any(|name| headers.get_all(*name).iter().nth(1).is_some())
-        {
-            return Err(bad("a header that counts once came twice"));
-        }
-        let text = |name: &HeaderName| {
-            headers
-                .get(name)
-                .and_then(|v| v.to_str().ok())
-                .map(str::trim)
-        };
-        let id = text(&REQUEST_ID)
-            .filter(|id| !id.is_empty())
-            .ok_or(bad("X-Request-ID is missing"))?;
-        let wait = text(&TIMEOUT).and_then(parse_wait);
-        let wait = wait.ok_or(bad("X-Timeout is missing or makes no sense"))?;
-        let effect = self.effects[class];
-        if matches!(effect, Idempotency::Keyed { .. }) && text(&KEY).is_none_or(str::is_empty) {
-            return Err(bad("Idempotency-Key is missing"));
-        }
-        if (*method == Method::GET) != (effect == Idempotency::Idempotent) {
-            return Err((
-                StatusCode::METHOD_NOT_ALLOWED,
-                "another method goes with this class",
-            ));
-        }
-        let tenant = match text(&TENANT) {
-            _ if names.tenants.is_empty() => 0,
-            name => names
-                .tenants
-                .iter()
-                .position(|t| Some(t.as_str()) == name)
-                .ok_or(bad("unknown tenant"))?,
-        };
-        let target = uri
-            .path_and_query()
-            .cloned()
-            .map(Uri::from)
-            .ok_or(bad("the target has no path"))?;
-        let work = match headers
-            .get(COST)
-            .map(|v| v.to_str().unwrap_or_default().trim().parse::<f64>())
-        {
-            None => None,
-            Some(Ok(us)) if (0.0..1e12).contains(&us) => Some(Duration::from_secs_f64(us / 1e6)),
-            Some(_) => return Err(bad("X-Cost makes no sense")),
-        };
-        Ok(Order {
-            class: ClassId(u8::try_from(class).map_err(|_| bad("unknown class of requests"))?),
-            tenant: TenantId(u16::try_from(tenant).map_err(|_| bad("unknown tenant"))?),
-            work,
-            id: id.as_bytes().into(),
-            wait,
-            target,
-        })
-    }
-}
-
-/// What a request's head says.
-struct Order {
-    class: ClassId,
-    tenant: TenantId,
-    work: Option<Duration>,
-    wait: Duration,
-    id: Box<[u8]>,
-    target: Uri,
 }
 
 /// What goes to a client. Once it is gone the connection waits for the next request.
 struct ClientBody {
-    body: AnswerBody,
-    client: Option<Rc<Client>>,
+    body: ResponseBody,
+    client: Option<Rc<ClientConnection>>,
 }
 
 impl hyper::body::Body for ClientBody {
@@ -773,9 +707,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let me = self.get_mut();
         match &mut me.body {
-            AnswerBody::Whole(body) if body.is_empty() => Poll::Ready(None),
-            AnswerBody::Whole(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
-            AnswerBody::Passing(body) => {
+            ResponseBody::Whole(body) if body.is_empty() => Poll::Ready(None),
+            ResponseBody::Whole(body) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(body))))),
+            ResponseBody::StreamingResponse(body) => {
                 let polled = Pin::new(body).poll_frame(cx);
                 if polled.is_ready() {
                     me.client.iter().for_each(|c| c.since.set(Instant::now()));
@@ -786,13 +720,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(&self.body, AnswerBody::Whole(body) if body.is_empty())
+        matches!(&self.body, ResponseBody::Whole(body) if body.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            AnswerBody::Whole(body) => SizeHint::with_exact(body.len() as u64),
-            AnswerBody::Passing(body) => body.size_hint(),
+            ResponseBody::Whole(body) => SizeHint::with_exact(body.len() as u64),
+            ResponseBody::StreamingResponse(body) => body.size_hint(),
         }
     }
 }
@@ -800,11 +734,13 @@
 impl Drop for ClientBody {
     fn drop(&mut self) {
         self.client.iter().for_each(|c| c.taken.set(false));
-        let client = self
-            .client
-            .iter()
-            .filter(|c| matches!(c.stage.get(), Stage::Busy | Stage::Passing));
-        client.for_each(|c| c.enter(Stage::Idle));
+        let client = self.client.iter().filter(|c| {
+            matches!(
+                c.stage.get(),
+                ConnectionState::Busy | ConnectionState::StreamingResponse
+            )
+        });
+        client.for_each(|c| c.enter(ConnectionState::Idle));
     }
 }
 
@@ -827,9 +763,11 @@
 }
 
 /// Logs a failed `accept`, and waits where the next would fail as well.
-pub async fn accept_failed(engine: &Engine, what: &str, error: &std::io::Error) {
+pub async fn accept_failed(engine: &Dispatcher, what: &str, error: &std::io::Error) {
     if transient_errors::is_one_connections(error) {
-        return engine.stats().turned_down("ended before it was accepted");
+        return engine
+            .stats()
+            .count_rejected_message("closed before it was accepted");
     }
     engine.log(format_args!("{what}: {error}"));
     tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -843,13 +781,13 @@
 
 /// What was wrong, for the counters.
 #[derive(Clone, Copy)]
-struct TurnedDown(&'static str);
+struct RejectedRequest(RequestError);
 
 /// The answer to what is malformed. Nothing more is read on its connection: who sends one such
 /// thing is not trusted to have begun the next where it seems to.
-fn turned_down(status: StatusCode, why: &'static str) -> Response<ClientBody> {
-    let mut response = plain(status, why);
-    response.extensions_mut().insert(TurnedDown(why));
+fn reject(error: RequestError) -> Response<ClientBody> {
+    let mut response = plain(error.status(), error.to_string());
+    response.extensions_mut().insert(RejectedRequest(error));
     close(&mut response);
     response
 }
@@ -868,7 +806,7 @@
 }
 
 fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<ClientBody> {
-    let body = AnswerBody::Whole(text.into());
+    let body = ResponseBody::Whole(text.into());
     let mut response = Response::new(ClientBody { body, client: None });
     *response.status_mut() = status;
     response
@@ -876,41 +814,3 @@
         .insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
 }
-
-/// A number and a unit: `m` for milliseconds, `u` for microseconds.
-fn parse_wait(text: &str) -> Option<Duration> {
-    let digits = text.get(..text.len().checked_sub(1)?)?;
-    if !digits.bytes().all(|b| b.is_ascii_digit()) {
-        return None;
-    }
-    let number = digits.parse().ok()?;
-    let wait = match text.as_bytes().last()? {
-        b'm' => Duration::from_millis(number),
-        b'u' => Duration::from_micros(number),
-        _ => return None,
-    };
-    (wait > Duration::ZERO && wait <= LONGEST_WAIT).then_some(wait)
-}
-
-/// Leaves out the headers that belong to one connection, and the length, which goes with the body.
-fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        .collect();
-    for name in HOP_BY_HOP
-        .iter()
-        .chain(&named)
-        .chain([&header::CONTENT_LENGTH])
-    {
-        headers.remove(name);
-    }
-    headers
-}
-
-#[cfg(test)]
-#[path = "listener_tests.rs"]
-mod tests;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -2,10 +2,13 @@
 //! out.
 
 mod admin;
+mod clock;
 mod config;
 mod discovery;
 mod downstream;
+mod event_log;
 mod http1;
+mod listener_inheritance;
 mod metrics;
 mod node;
 mod operator_state;
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -4,30 +4,29 @@
 //! actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
 //! that actions bring about at once.
 
-use crate::discovery::client::{self, ServerList};
-use crate::http1::head_filter;
-use crate::http1::streaming::{Outgoing, Passed};
-use crate::metrics::Stats;
-use crate::operator_state::store::Word;
-use crate::send_invariants::{self, Earlier, Place, Rule};
+use crate::clock::Clock;
+use crate::discovery::wire::EndpointList;
+use crate::event_log::EventLog;
+use crate::http1::download::StreamOutcome;
+use crate::http1::upload::RequestBody;
+use crate::metrics::Metrics;
+use crate::operator_state::store::OperatorState;
+use crate::send_invariants::{self, BackendIdentity, Execution, Invariant, PriorAttempt};
+use crate::socket::is_closed_by_peer;
 use crate::upstream::backend_registry::{
-    AnswerBody, AttemptTerms, Backends, Exchange, Progress, Server, Source,
+    AttemptTerms, Backend, BackendRegistry, Exchange, Progress, ResponseBody, Source,
 };
 use balancer::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, EndpointState, Event,
     GiveUpReason, Idempotency, ListUpdate, LoadProbeResult, LoadReport, RequestArrival, RequestId,
-    Settings, SettingsError, TenantId, Time,
+    Settings, SettingsError, TenantId,
 };
 use hyper::{Request, Response};
-use rand_core::{RngCore, SeedableRng};
-use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashSet, VecDeque};
 use std::fmt::{self, Write as _};
 use std::future::Future;
-use std::io::Write as _;
-use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -37,39 +36,12 @@
 
 /// Most servers of which a line of counters tells each by itself.
 const SERVERS_WRITTEN: usize = 64;
-/// A call that was given up for its silence is heard for so long beside others.
-const SILENT_CALL: Duration = Duration::from_secs(6);
 /// A choice among probed servers is made within a few milliseconds: what a probe says later serves
 /// none.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// What the balancer's clock shows when the process starts: servers may have started before it.
-const PROCESS_START: Time = Time(24 * 3600 * 1_000_000_000);
-
-/// The balancer's clock. The wall clock has no part in it: that one may be stepped.
-#[derive(Clone, Copy)]
-struct Clock {
-    started: Instant,
-}
-
-impl Clock {
-    fn new() -> Self {
-        Clock {
-            started: Instant::now(),
-        }
-    }
-
-    fn now(&self) -> Time {
-        PROCESS_START + self.started.elapsed()
-    }
-
-    fn instant(&self, at: Time) -> Instant {
-        self.started + (at - PROCESS_START)
-    }
-}
-
 /// A client's request in the node's own terms.
-pub struct Incoming {
+pub struct ForwardRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -85,15 +57,15 @@
     /// Time left for it, from its last byte on.
     pub remaining: Duration,
     /// What goes on to a server.
-    pub request: Request<Outgoing>,
+    pub request: Request<RequestBody>,
     /// The connection that it came on: whoever has closed it waits for nothing.
     pub client: Weak<TcpStream>,
 }
 
 /// A final answer.
-pub enum Answer {
+pub enum FinalResponse {
     /// What a server answered.
-    Served(Response<AnswerBody>),
+    Served(Response<ResponseBody>),
     /// Trying again is harmless, best after the wait.
     Refused(Option<Duration>),
     /// Nothing is promised.
@@ -101,21 +73,21 @@
 }
 
 /// A request in hand.
-struct Entry {
+struct RequestRecord {
     id: Box<[u8]>,
     class: ClassId,
     tenant: TenantId,
     since: Instant,
     taken: Instant,
-    request: Request<Outgoing>,
+    request: Request<RequestBody>,
     due: Instant,
     client: Weak<TcpStream>,
     /// Taken by the one final answer, or by the client's leaving.
-    reply: Option<oneshot::Sender<Answer>>,
+    reply: Option<oneshot::Sender<FinalResponse>>,
     attempts: Vec<Attempt>,
 }
 
-impl Entry {
+impl RequestRecord {
     /// Whether the client has left without its answer, by what the system knows at this moment.
     fn abandoned(&self) -> bool {
         self.reply.is_some() && left(&self.client)
@@ -126,12 +98,12 @@
 fn left(client: &Weak<TcpStream>) -> bool {
     client
         .upgrade()
-        .is_none_or(|socket| head_filter::left(&socket))
+        .is_none_or(|socket| is_closed_by_peer(&socket))
 }
 
 struct Attempt {
     server: BackendId,
-    place: Place,
+    place: BackendIdentity,
     began: Instant,
     /// False once it is known that it did not run and will not.
     may_have_run: bool,
@@ -146,7 +118,7 @@
 struct State {
     balancer: Balancer,
     events: VecDeque<Event>,
-    ledger: FxHashMap<RequestId, Entry>,
+    ledger: FxHashMap<RequestId, RequestRecord>,
     /// The clients' names for what is in the ledger. Clients choose them, hence the hasher with a
     /// secret.
     ids: HashSet<Box<[u8]>>,
@@ -154,30 +126,18 @@
     /// Attempts at each server since the counters were last written, and how many of them it turned
     /// away or answered with an error, or with nothing of use.
     sent: FxHashMap<BackendId, [u32; 3]>,
-    /// The watch, or the task that keeps one open.
-    watch: Option<AbortHandle>,
-    /// The same at the address before this one. It is heard until this one has told its whole list.
-    watch_before: Option<AbortHandle>,
-    /// A call that was given up for its silence, and may still say something.
-    silent_call: Option<AbortHandle>,
 }
 
 /// See the module's own words.
-pub struct Engine {
+pub struct Dispatcher {
     /// Itself, for the tasks it starts.
-    me: Weak<Engine>,
-    name: String,
+    me: Weak<Dispatcher>,
+    log: EventLog,
     clock: Clock,
-    /// For what nodes should not do in step. The balancer's numbers are its own.
-    rng: RefCell<Xoshiro256PlusPlus>,
-    backends: Rc<Backends>,
-    stats: Rc<Stats>,
-    /// Where the list of servers is.
-    discovery: Cell<SocketAddr>,
-    /// Lists come on request of the balancer.
-    asked: bool,
-    /// The list held is not from where the list is now: changes to it are no use.
-    moved: Cell<bool>,
+    backends: Rc<BackendRegistry>,
+    stats: Rc<Metrics>,
+    /// Asks discovery for the endpoint list. Called with the state borrowed.
+    refresh_endpoint_list: Box<dyn Fn()>,
     /// Two attempts of one request may be out together.
     second_copies: bool,
     /// By class: how far its requests may be repeated.
@@ -187,23 +147,19 @@
     aims: Vec<Duration>,
     state: RefCell<State>,
     revision: Cell<u64>,
-    lists_taken: Cell<u64>,
-    tried: Cell<bool>,
-    watches: Cell<u64>,
     servers_listed: Cell<bool>,
 }
 
-impl Engine {
+impl Dispatcher {
     /// Starts with no servers and no requests.
     pub fn new(
-        name: String,
+        log: EventLog,
         settings: Settings,
         seed: u64,
-        backends: Rc<Backends>,
-        discovery: SocketAddr,
+        backends: Rc<BackendRegistry>,
+        refresh_endpoint_list: impl Fn() + 'static,
     ) -> Result<Rc<Self>, SettingsError> {
-        let clock = Clock::new();
-        let asked = settings.polled_discovery;
+        let clock = Clock::start();
         let second_copies = settings.hedging_allowed;
         let effects = settings.classes.iter().map(|c| c.idempotency).collect();
         let aims = settings
@@ -218,51 +174,35 @@
             ids: HashSet::new(),
             next_request: 0,
             sent: FxHashMap::default(),
-            watch: None,
-            watch_before: None,
-            silent_call: None,
         };
-        Ok(Rc::new_cyclic(|me| Engine {
+        Ok(Rc::new_cyclic(|me| Dispatcher {
             me: me.clone(),
-            name,
+            log,
             clock,
-            rng: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(!seed)),
             stats: backends.stats(),
             backends,
-            discovery: Cell::new(discovery),
-            asked,
-            moved: Cell::new(false),
+            refresh_endpoint_list: Box::new(refresh_endpoint_list),
             second_copies,
             effects,
             aims,
             state: RefCell::new(state),
             revision: Cell::new(0),
-            lists_taken: Cell::new(0),
-            tried: Cell::new(false),
-            watches: Cell::new(0),
             servers_listed: Cell::new(false),
         }))
     }
 
     /// A line for the node's log.
     pub fn log(&self, line: fmt::Arguments) {
-        // Nobody may be left to read it: that is no reason to stop serving, which `eprintln!` would
-        // make of it.
-        let _ = writeln!(std::io::stderr(), "{}: {line}", self.name);
-    }
-
-    /// Uniform in [0, 1).
-    pub fn random(&self) -> f64 {
-        (self.rng.borrow_mut().next_u64() >> 11) as f64 / (1u64 << 53) as f64
+        self.log.log(line);
     }
 
     /// The names that the settings give to classes, tenants and so on.
-    pub fn names(&self) -> &settings::Names {
+    pub fn names(&self) -> &settings::SettingNames {
         self.backends.names()
     }
 
     /// The node's counters.
-    pub fn stats(&self) -> &Stats {
+    pub fn stats(&self) -> &Metrics {
         &self.stats
     }
 
@@ -271,126 +211,47 @@
         self.revision.get()
     }
 
-    /// Where lists are pushed they bind from the start: whether one has come, or can't be had.
-    pub fn informed(&self) -> bool {
-        self.asked || self.lists_taken.get() > 0 || self.tried.get()
-    }
-
-    /// A first watch has been turned away: there is nothing to wait for.
-    pub fn tried(&self) {
-        self.tried.set(true);
-    }
-
-    /// A watch is open, though it may bring nothing for long.
-    pub fn watching(&self) {
-        self.watches.set(self.watches.get() + 1);
-        if self.asked {
-            self.feed(Event::EndpointList {
-                update: ListUpdate::Delta,
-                endpoints: Vec::new(),
-            });
-        }
-    }
-
-    /// A call that was not given up has told a list: one that was has nothing newer to say. Before
-    /// that it may have, since a watch that is open may end instead of telling.
-    pub fn forget_silent_call(&self) {
-        self.state
-            .borrow_mut()
-            .silent_call
-            .take()
-            .iter()
-            .for_each(AbortHandle::abort);
-    }
-
-    /// How many watches have been opened.
-    pub fn watches(&self) -> u64 {
-        self.watches.get()
-    }
-
     /// Whether a list has named a server that takes requests.
     pub fn ready(&self) -> bool {
         self.servers_listed.get()
     }
 
-    /// Where the list of servers is.
-    pub fn discovery(&self) -> SocketAddr {
-        self.discovery.get()
-    }
-
-    /// Whether a watch has to start from a whole list.
-    pub fn needs_whole_list(&self) -> bool {
-        self.moved.get()
-    }
-
     // ---- what happens ----
-    /// Starts to follow the list of servers, where that is not for the balancer to ask for.
-    pub fn follow(&self) {
-        if !self.asked {
-            self.watch(&mut self.state.borrow_mut());
-        }
-    }
-
-    /// The list of servers is elsewhere from now on. What is on its way from the old address counts
-    /// as told, and is heard until the new one has told its whole list; the servers last known stay
-    /// until then.
-    pub fn rediscover(&self, address: SocketAddr) {
-        if self.discovery.replace(address) != address {
-            self.log(format_args!("discovery is now {address}"));
-            self.moved.set(true);
-            let state = &mut *self.state.borrow_mut();
-            let before = std::mem::replace(&mut state.watch_before, state.watch.take());
-            before.iter().for_each(AbortHandle::abort);
-            self.watch(state);
-        }
-    }
-
-    /// Goes on hearing a call that was given up for its silence, beside the next one. Where there
-    /// is one already that one stays: it is the first in turn.
-    pub fn hear_beside(&self, address: SocketAddr, call: impl Future + 'static) {
-        let state = &mut *self.state.borrow_mut();
-        let held = state
-            .silent_call
-            .as_ref()
-            .is_some_and(|task| !task.is_finished());
-        if held || self.discovery.get() != address {
-            return;
-        }
-        let task = spawn_local(async move {
-            let _ = tokio::time::timeout(SILENT_CALL, call).await;
-        });
-        state.silent_call = Some(task.abort_handle());
-    }
-
     /// Takes in the list as last known before the start. The balancer is owed one, be it empty.
-    pub fn known(&self, list: Option<&ServerList>) {
+    pub fn known(&self, list: Option<&EndpointList>) {
         let entries = list
-            .map(|l| self.take_list(l, Source::Configuration))
+            .map(|l| self.apply_endpoint_list(l, Source::Configuration))
             .unwrap_or_default();
-        self.feed(Event::EndpointList {
+        self.handle_event(Event::EndpointList {
             update: ListUpdate::Cached,
             endpoints: entries,
         });
     }
 
-    /// Takes in what discovery says, at the address that it says it from.
-    pub fn list(&self, list: &ServerList, from: SocketAddr) {
-        let kind = if list.complete {
+    /// An endpoint list was asked for, and the answer has begun without one.
+    pub fn endpoint_list_unchanged(&self) {
+        self.handle_event(Event::EndpointList {
+            update: ListUpdate::Delta,
+            endpoints: Vec::new(),
+        });
+    }
+
+    /// An endpoint list was asked for, and the call has failed or ended.
+    pub fn endpoint_list_failed(&self) {
+        self.handle_event(Event::EndpointList {
+            update: ListUpdate::Failed,
+            endpoints: Vec::new(),
+        });
+    }
+
+    /// Takes in an endpoint list, or a change to it, that discovery has sent.
+    pub fn list(&self, list: &EndpointList) {
+        let kind = if list.is_snapshot {
             ListUpdate::Snapshot
         } else {
             ListUpdate::Delta
         };
-        self.lists_taken.set(self.lists_taken.get() + 1);
-        if list.complete && from == self.discovery.get() {
-            self.moved.set(false);
-            self.state
-                .borrow_mut()
-                .watch_before
-                .take()
-                .iter()
-                .for_each(AbortHandle::abort);
-        }
-        let entries = self.take_list(list, Source::Discovery);
+        let entries = self.apply_endpoint_list(list, Source::Discovery);
         // Logged where it says anything: discovery may send lists of no change.
         if !entries.is_empty() {
             let count = |state| entries.iter().filter(|e| e.state == state).count();
@@ -404,17 +265,17 @@
                 count(EndpointState::Removed)
             ));
         }
-        self.feed(Event::EndpointList {
+        self.handle_event(Event::EndpointList {
             update: kind,
             endpoints: entries,
         });
     }
 
     /// Goes by what operators have said, from now on.
-    pub fn heed(&self, word: &Word) {
-        let entries = self.backends.heed(self.clock.now(), word);
+    pub fn apply_operator_state(&self, word: &OperatorState) {
+        let entries = self.backends.apply_operator_state(self.clock.now(), word);
         if !entries.is_empty() {
-            self.feed(Event::EndpointList {
+            self.handle_event(Event::EndpointList {
                 update: ListUpdate::Delta,
                 endpoints: entries,
             });
@@ -432,9 +293,11 @@
         self.backends.warmed_up(self.clock.now(), backend, warm_up)
     }
 
-    fn take_list(&self, list: &ServerList, source: Source) -> Vec<balancer::Endpoint> {
+    fn apply_endpoint_list(&self, list: &EndpointList, source: Source) -> Vec<balancer::Endpoint> {
         self.revision.set(list.revision);
-        let entries = self.backends.take_list(self.clock.now(), list, source);
+        let entries = self
+            .backends
+            .apply_endpoint_list(self.clock.now(), list, source);
         let usable = entries.iter().any(|e| e.state == EndpointState::Active);
         self.servers_listed.set(self.servers_listed.get() || usable);
         entries
@@ -443,7 +306,7 @@
     /// Takes a client's request. The answer comes through the channel; dropping [`Taken`] is the
     /// client's leaving. None: one of that id is open or still out at a server, where a second
     /// would pass for its repeat.
-    pub fn arrival(&self, incoming: Incoming) -> Option<Taken> {
+    pub fn arrival(&self, incoming: ForwardRequest) -> Option<Taken> {
         let (reply, answer) = oneshot::channel();
         let mut state = self.state.borrow_mut();
         if !state.ids.insert(incoming.id.clone()) {
@@ -453,7 +316,7 @@
         state.next_request += 1;
         self.stats.count(|c| c.requests += 1);
         self.stats.count_class(incoming.class, |c| c.requests += 1);
-        let Incoming {
+        let ForwardRequest {
             class,
             tenant,
             work,
@@ -466,7 +329,7 @@
         } = incoming;
         let coming = request.body().upload().is_some();
         let (taken, reply, attempts) = (Instant::now(), Some(reply), Vec::new());
-        let entry = Entry {
+        let entry = RequestRecord {
             id: name,
             class,
             tenant,
@@ -480,7 +343,7 @@
         };
         state.ledger.insert(id, entry);
         drop(state);
-        self.feed(Event::RequestArrived(RequestArrival {
+        self.handle_event(Event::RequestArrived(RequestArrival {
             request: id,
             class,
             tenant,
@@ -498,17 +361,17 @@
 
     /// The last byte of a request has come that was taken before.
     pub fn uploaded(&self, request: RequestId) {
-        self.feed(Event::RequestBodyReceived { request });
+        self.handle_event(Event::RequestBodyReceived { request });
     }
 
     fn client_gone(&self, request: RequestId) {
         let mut state = self.state.borrow_mut();
         let open = state.ledger.get_mut(&request).and_then(|e| e.reply.take());
         if open.is_some() {
-            self.stats.count(|c| c.gone += 1);
+            self.stats.count(|c| c.client_disconnected += 1);
             self.withhold(&mut state, request);
             drop(state);
-            self.feed(Event::ClientDisconnected { request });
+            self.handle_event(Event::ClientDisconnected { request });
             self.settle(request);
         }
     }
@@ -528,7 +391,7 @@
             task.abort();
             let (outcome, latency) = (AttemptOutcome::NotSent, a.began.elapsed());
             (a.may_have_run, a.end) = (false, Some((outcome, latency, None)));
-            self.stats.count(|c| c.ended(outcome));
+            self.stats.count(|c| c.count_attempt_end(outcome));
             let (server, closed, report) = (a.server, true, None);
             let ended = AttemptResult {
                 request,
@@ -560,11 +423,11 @@
         let (Some(answer), Some(reply)) = (exchange.answer.take(), entry.reply.take()) else {
             return false;
         };
-        self.stats.count(|c| c.passed_on += 1);
+        self.stats.count(|c| c.streamed += 1);
         self.count_served(entry);
-        let _ = reply.send(Answer::Served(answer));
+        let _ = reply.send(FinalResponse::Served(answer));
         drop(state);
-        self.feed(Event::ResponseStarted {
+        self.handle_event(Event::ResponseStarted {
             request,
             attempt,
             latency,
@@ -581,8 +444,8 @@
         exchange.answer = None;
         let ended = if begun { passing.await.ok() } else { None };
         match ended {
-            Some(Passed::Whole) => return,
-            Some(Passed::Broken(problem)) => {
+            Some(StreamOutcome::Complete) => return,
+            Some(StreamOutcome::Broken(problem)) => {
                 (exchange.outcome, exchange.problem) =
                     (AttemptOutcome::ConnectionReset, Some(problem));
             }
@@ -590,7 +453,7 @@
         }
         exchange.connection = None;
         if begun {
-            self.stats.count(|c| c.cut += 1);
+            self.stats.count(|c| c.stream_aborted += 1);
         }
     }
 
@@ -608,7 +471,7 @@
         a.may_have_run = !exchange.outcome.never_executed();
         let (server, latency) = (a.server, since(&entry.request, a.began));
         a.end = Some((exchange.outcome, latency, exchange.report));
-        self.stats.count(|c| c.ended(exchange.outcome));
+        self.stats.count(|c| c.count_attempt_end(exchange.outcome));
         let count = state.sent.entry(server).or_default();
         match exchange.outcome {
             AttemptOutcome::Rejected => count[1] += 1,
@@ -621,25 +484,25 @@
         if let Some(problem) = exchange
             .problem
             .take()
-            .filter(|_| self.stats.single_broken())
+            .filter(|_| self.stats.may_log_error())
         {
             let id = printable(&entry.id);
             let ms = latency.as_secs_f64() * 1e3;
             self.log(format_args!(
-                "broken id={id} server={server} attempt={attempt} ms={ms:.2} {problem}"
+                "exchange_failed id={id} backend={server} attempt={attempt} ms={ms:.2} error=\"{problem}\""
             ));
         }
         if let Some(answer) = exchange.answer.take() {
             // The first answer closes the request; a later one is the copy's and is dropped.
             if let Some(reply) = entry.reply.take() {
                 self.count_served(entry);
-                let _ = reply.send(Answer::Served(answer));
+                let _ = reply.send(FinalResponse::Served(answer));
             }
         }
         // No further attempt for a client that has left.
         if entry.abandoned() {
             entry.reply = None;
-            self.stats.count(|c| c.gone += 1);
+            self.stats.count(|c| c.client_disconnected += 1);
         }
         let closed = entry.reply.is_none();
         let (outcome, report) = (exchange.outcome, exchange.report);
@@ -647,7 +510,7 @@
             self.withhold(&mut state, request);
         }
         drop(state);
-        self.feed(Event::AttemptEnded(AttemptResult {
+        self.handle_event(Event::AttemptEnded(AttemptResult {
             request,
             attempt,
             backend: server,
@@ -662,7 +525,8 @@
     /// Forgets a request that is answered and has nothing out.
     fn settle(&self, request: RequestId) {
         let state = &mut *self.state.borrow_mut();
-        let over = |e: &Entry| e.reply.is_none() && e.attempts.iter().all(|a| a.task.is_none());
+        let over =
+            |e: &RequestRecord| e.reply.is_none() && e.attempts.iter().all(|a| a.task.is_none());
         if state.ledger.get(&request).is_some_and(over) {
             let _ = state
                 .ledger
@@ -673,7 +537,7 @@
 
     // ---- what is to be done ----
     /// Gives an event to the balancer and carries out what it wants done.
-    fn feed(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
         state.events.push_back(event);
@@ -681,12 +545,12 @@
         while let Some(event) = state.events.pop_front() {
             state.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(state, action);
+                self.execute_action(state, action);
             }
         }
     }
 
-    fn carry_out(&self, state: &mut State, action: Action) {
+    fn execute_action(&self, state: &mut State, action: Action) {
         match action {
             Action::StartAttempt {
                 request,
@@ -698,26 +562,34 @@
                 retry_after: wait,
                 reason,
             } => {
-                self.finish(state, request, Answer::Refused(wait), reason);
+                self.finish(state, request, FinalResponse::Refused(wait), reason);
+            }
+            Action::Fail { request, reason } => {
+                self.finish(state, request, FinalResponse::Failed, reason)
             }
-            Action::Fail { request, reason } => self.finish(state, request, Answer::Failed, reason),
             Action::CancelAttempt { request, attempt } => Self::cancel(state, request, attempt),
             Action::SetTimer { at, timer } => {
-                let (me, at) = (self.me.clone(), self.clock.instant(at));
+                let (me, at) = (self.me.clone(), self.clock.instant_at(at));
                 spawn_local(async move {
                     tokio::time::sleep_until(at).await;
                     me.upgrade()
                         .iter()
-                        .for_each(|engine| engine.feed(Event::TimerFired { timer }));
+                        .for_each(|engine| engine.handle_event(Event::TimerFired { timer }));
                 });
             }
             Action::SendLoadProbe { backend: server } => self.probe(state, server),
-            Action::RefreshEndpointList => self.watch(state),
+            Action::RefreshEndpointList => (self.refresh_endpoint_list)(),
             Action::Log(line) => self.log(format_args!("{line}")),
         }
     }
 
-    fn finish(&self, state: &mut State, request: RequestId, answer: Answer, reason: GiveUpReason) {
+    fn finish(
+        &self,
+        state: &mut State,
+        request: RequestId,
+        answer: FinalResponse,
+        reason: GiveUpReason,
+    ) {
         // A client that has left takes no answer; nothing is owed then.
         let Some(entry) = state.ledger.get_mut(&request) else {
             return;
@@ -725,25 +597,25 @@
         let Some(reply) = entry.reply.take() else {
             return;
         };
-        let refused = matches!(answer, Answer::Refused(_));
+        let refused = matches!(answer, FinalResponse::Refused(_));
         self.stats
             .count_class(entry.class, |c| *c.given_up.entry(reason).or_default() += 1);
         self.stats.count(|c| {
             *(if refused {
-                &mut c.refused
+                &mut c.rejected
             } else {
                 &mut c.failed
             }) += 1;
         });
         let _ = reply.send(answer);
-        if self.stats.single(reason) {
-            self.log_given_up(entry, if refused { "refused" } else { "failed" }, reason);
+        if self.stats.may_log_request(reason) {
+            self.log_given_up(entry, if refused { "rejected" } else { "failed" }, reason);
         }
         self.withhold(state, request);
     }
 
     // ---- what is logged ----
-    fn count_served(&self, entry: &Entry) {
+    fn count_served(&self, entry: &RequestRecord) {
         let late = self
             .aims
             .get(usize::from(entry.class.0))
@@ -756,12 +628,12 @@
     }
 
     /// One line on a request that ends badly, with all that became of it.
-    fn log_given_up(&self, entry: &Entry, answer: &str, reason: GiveUpReason) {
+    fn log_given_up(&self, entry: &RequestRecord, answer: &str, reason: GiveUpReason) {
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
         let id = printable(&entry.id);
         let mut line = format!(
-            "request id={id} class={} tenant={} answer={answer} \
-             reason={reason:?} read_ms={:.2} age_ms={:.2} left_ms={:.0}",
+            "request id={id} class={} tenant={} response={answer} \
+             reason={reason:?} read_ms={:.2} age_ms={:.2} remaining_ms={:.0}",
             entry.class,
             entry.tenant,
             ms(entry.taken - entry.since),
@@ -774,7 +646,10 @@
             if let Some((outcome, latency, report)) = &a.end {
                 let _ = write!(line, ":{outcome:?}:{:.2}", ms(*latency));
                 let report = report.unwrap_or_default();
-                let figures = [("util", report.utilization), ("queue", report.queue_depth)];
+                let figures = [
+                    ("utilization", report.utilization),
+                    ("queue_depth", report.queue_depth),
+                ];
                 for (name, figure) in figures.iter().filter_map(|f| Some((f.0, f.1?))) {
                     let _ = write!(line, ":{name}={figure:.2}");
                 }
@@ -785,8 +660,8 @@
 
     /// The counters since they were last written, and what the balancer goes by.
     pub fn log_stats(&self) {
-        for (why, count) in self.stats.take_turned_down() {
-            self.log(format_args!("turned_down count={count} why=\"{why}\""));
+        for (reason, count) in self.stats.take_rejected_messages() {
+            self.log(format_args!("rejected count={count} reason=\"{reason}\""));
         }
         let Some((c, time)) = self.stats.take() else {
             return;
@@ -794,33 +669,33 @@
         let mut state = self.state.borrow_mut();
         let sent = std::mem::take(&mut state.sent);
         let view = state.balancer.snapshot(self.clock.now());
-        let (clients, open) = (c.accepted, self.backends.connections());
+        let (clients, open) = (c.connections_accepted, self.backends.connections());
         let mut line = format!(
-            "stats s={:.1} requests={} served={} refused={} failed={} gone={} \
-             unlogged={} in_hand={} attempts={} \
-             errors={} turned_away={} timed_out={} unreachable={} broken={} unsent={} passed_on={} \
-             cut={} accepted={clients} told_to_close={} upstream_new={} \
-             upstream_open={open} left_out={} shed={:.3} \
+            "stats seconds={:.1} requests={} served={} rejected={} failed={} client_disconnected={} \
+             unlogged={} in_flight={} attempts={} server_errors={} attempts_rejected={} \
+             timed_out={} connect_failed={} connection_reset={} not_sent={} streamed={} \
+             stream_aborted={} connections_accepted={clients} connection_close_sent={} \
+             backend_connects={} backend_connections={open} in_maintenance={} shed={:.3} \
              load={:.2} latency_ms={:.1} retry_budget={:.1}",
             time.as_secs_f64(),
             c.requests,
             c.served,
-            c.refused,
+            c.rejected,
             c.failed,
-            c.gone,
-            c.suppressed,
+            c.client_disconnected,
+            c.unlogged,
             state.ledger.len(),
             c.attempts,
-            c.errors,
-            c.turned_away,
+            c.server_errors,
+            c.attempts_rejected,
             c.timed_out,
-            c.unreachable,
-            c.broken,
-            c.unsent,
-            c.passed_on,
-            c.cut,
-            c.told_to_close,
-            c.connects,
+            c.connect_failed,
+            c.connection_reset,
+            c.not_sent,
+            c.streamed,
+            c.stream_aborted,
+            c.connection_close_sent,
+            c.backend_connects,
             self.backends.left_out(),
             view.shed_fraction,
             view.mean_load,
@@ -839,7 +714,7 @@
             let (asked, served, late) = (counts.requests, counts.served, counts.late);
             let _ = write!(
                 line,
-                " class={}:asked={asked},served={served},late={late}",
+                " class={}:requests={asked},served={served},late={late}",
                 name.escape_debug()
             );
             for (reason, count) in &counts.given_up {
@@ -858,7 +733,7 @@
         let unwritten = view.backends.len() - dealt.len().min(SERVERS_WRITTEN);
         let _ = write!(
             line,
-            " servers={} unwritten={unwritten}",
+            " backends={} omitted={unwritten}",
             view.backends.len()
         );
         for (sent, s) in dealt.into_iter().take(SERVERS_WRITTEN) {
@@ -870,13 +745,14 @@
             );
             let _ = write!(
                 line,
-                " {}:weight={:.2},price={:.2},load={load:.2},util={util:.2},queue={queue:.2},\
-                 warm={:.2},speed={:.2},share={:.2},out={},sent={sent},full={full},bad={bad}",
+                " {}:weight={:.2},price={:.2},load={load:.2},utilization={util:.2},\
+                 queue_depth={queue:.2},available_capacity={:.2},speed={:.2},share={:.2},\
+                 in_flight={},attempts={sent},rejected={full},errors={bad}",
                 s.backend, s.weight, s.price, s.available_capacity, s.speed, s.share, s.in_flight
             );
         }
         drop(state);
-        let _ = self.stats.rules.write_to(&mut line);
+        let _ = self.stats.invariants.write_to(&mut line);
         self.log(format_args!("{line}"));
     }
 
@@ -901,8 +777,8 @@
                 entry.reply.is_none(),
             );
             let end = Some((outcome, latency, None));
-            self.stats.count(|c| c.ended(outcome));
-            let (task, progress, place) = (None, Rc::default(), Place::default());
+            self.stats.count(|c| c.count_attempt_end(outcome));
+            let (task, progress, place) = (None, Rc::default(), BackendIdentity::default());
             let may_have_run = false;
             entry.attempts.push(Attempt {
                 server,
@@ -953,7 +829,7 @@
                 .iter()
                 .for_each(|e| e.attempt_ended(request, attempt, &mut exchange));
             if let Some(connection) = connection {
-                backends.give_back(&backend, connection).await;
+                backends.release(&backend, connection).await;
             }
         });
         self.stats.count(|c| c.attempts += 1);
@@ -974,25 +850,28 @@
     /// Whether the rules allow one more attempt of a request at a server. The balancer keeps them
     /// by itself: that it asks for what they forbid is a fault of its own, except where the list
     /// has changed since.
-    fn may_send(&self, entry: &Entry, backend: &Server) -> bool {
+    fn may_send(&self, entry: &RequestRecord, backend: &Backend) -> bool {
         if !backend.takes_new() {
-            self.stats.rules.withheld(Rule::Drain);
+            self.stats.invariants.prevented(Invariant::Drain);
             return false;
         }
-        let earlier: Vec<Earlier> = entry
+        let earlier: Vec<PriorAttempt> = entry
             .attempts
             .iter()
-            .map(|a| Earlier {
-                place: a.place,
-                out: a.task.is_some(),
-                may_have_run: a.may_have_run,
+            .map(|attempt| PriorAttempt {
+                backend: attempt.place,
+                execution: match (&attempt.task, attempt.may_have_run) {
+                    (Some(_), _) => Execution::InFlight,
+                    (None, true) => Execution::Possible,
+                    (None, false) => Execution::Never,
+                },
             })
             .collect();
         let effect = self.effect(entry.class);
         let allowed =
-            send_invariants::may_repeat(effect, self.second_copies, backend.place(), &earlier);
+            send_invariants::may_retry(effect, self.second_copies, backend.place(), &earlier);
         if let Err(rule) = allowed {
-            self.stats.rules.violated(rule);
+            self.stats.invariants.violated(rule);
             debug_assert!(false, "{rule:?}: {}", printable(&entry.id));
         }
         allowed.is_ok()
@@ -1064,40 +943,16 @@
             };
             me.upgrade()
                 .iter()
-                .for_each(|e| e.feed(Event::LoadProbeEnded(probed)));
+                .for_each(|e| e.handle_event(Event::LoadProbeEnded(probed)));
             if let Some(connection) = exchange.connection {
-                backends.give_back(&backend, connection).await;
-            }
-        });
-    }
-
-    /// Starts a watch, unless one is being opened or is open already. Where lists come only when
-    /// asked for there is but one, and its end is told as a failed call.
-    fn watch(&self, state: &mut State) {
-        if state.watch.as_ref().is_some_and(|task| !task.is_finished()) {
-            return;
-        }
-        let (me, asked, address) = (self.me.clone(), self.asked, self.discovery.get());
-        let task = spawn_local(async move {
-            let Some(engine) = me.upgrade() else { return };
-            if !asked {
-                return client::follow(engine, address).await;
-            }
-            let error = client::watch_once(&engine, address).await;
-            if engine.discovery() == address {
-                engine.log(format_args!("watch: {error}"));
-                engine.feed(Event::EndpointList {
-                    update: ListUpdate::Failed,
-                    endpoints: Vec::new(),
-                });
+                backends.release(&backend, connection).await;
             }
         });
-        state.watch = Some(task.abort_handle());
     }
 }
 
 /// An attempt's time, which runs from the last byte of its request.
-fn since(request: &Request<Outgoing>, began: Instant) -> Duration {
+fn since(request: &Request<RequestBody>, began: Instant) -> Duration {
     let whole = request.body().upload().and_then(|upload| upload.ended_at());
     whole.map_or(began, |at| began.max(at)).elapsed()
 }
@@ -1109,9 +964,9 @@
 
 /// A request that the engine has taken.
 pub struct Taken {
-    engine: Option<Rc<Engine>>,
+    engine: Option<Rc<Dispatcher>>,
     id: RequestId,
-    answer: oneshot::Receiver<Answer>,
+    answer: oneshot::Receiver<FinalResponse>,
 }
 
 impl Taken {
@@ -1121,11 +976,11 @@
     }
 
     /// The final answer, when `due` is over at the latest whatever the balancer does.
-    pub async fn answer(mut self, due: impl Future<Output = ()>) -> Answer {
+    pub async fn answer(mut self, due: impl Future<Output = ()>) -> FinalResponse {
         tokio::select! {
             biased;
-            answer = &mut self.answer => answer.unwrap_or(Answer::Failed),
-            () = due => Answer::Failed,
+            answer = &mut self.answer => answer.unwrap_or(FinalResponse::Failed),
+            () = due => FinalResponse::Failed,
         }
     }
 }
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -1,13 +1,19 @@
 //! The servers' side: their addresses and states, connections to them, and what is sent over these.
 
-use crate::discovery::client::{Member, Phase, ServerList};
-use crate::http1::head_filter::{self, Gate, Guard, Head, Next, Problem, HELD_BODY};
-use crate::http1::streaming::{hold, Outgoing, Passed, Passing, Sending};
-use crate::metrics::Stats;
-use crate::operator_state::store::Word;
-use crate::resizable_semaphore::Places;
-use crate::send_invariants::{self, AttemptFacts, Place, Rule};
-use crate::start_times::Starts;
+use crate::discovery::wire::{EndpointList, EndpointPhase, ListedEndpoint};
+use crate::http1::body::{buffer_body, BufferedPart};
+use crate::http1::download::{StreamOutcome, StreamingResponse};
+use crate::http1::error::MessageError;
+use crate::http1::framing::{parse_response_head, Expected, Head};
+use crate::http1::head_filter::{HeadFilter, MessagePolicy};
+use crate::http1::limits::MAX_BUFFERED_BODY_BYTES;
+use crate::http1::upload::{RequestBody, RequestBodyStream};
+use crate::metrics::Metrics;
+use crate::operator_state::store::OperatorState;
+use crate::resizable_semaphore::ResizableSemaphore;
+use crate::send_invariants::{self, AttemptFacts, BackendIdentity, Invariant};
+use crate::socket::is_open_and_drained;
+use crate::start_times::StartTimes;
 use crate::transient_errors;
 use balancer::{
     AttemptOutcome, BackendId, Endpoint, EndpointState, LoadReport, MachineTypeId, Time, ZoneId,
@@ -20,7 +26,7 @@
 use hyper_util::rt::TokioIo;
 use rustc_hash::FxHashMap;
 use serde::de::{DeserializeSeed, Deserializer, IgnoredAny, MapAccess, Visitor};
-use settings::{Field, Names};
+use settings::{LoadReportField, SettingNames};
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
 use std::error::Error;
@@ -50,7 +56,7 @@
 pub const MOST_BUFFERED: usize = 32 << 10;
 
 /// One server, as long as the list names it or something is out there.
-pub struct Server {
+pub struct Backend {
     /// Its id at this node.
     pub id: BackendId,
     name: String,
@@ -68,11 +74,14 @@
     place: Cell<(ZoneId, MachineTypeId, u16)>,
 }
 
-impl Server {
+impl Backend {
     /// Where it stands.
-    pub fn place(&self) -> Place {
+    pub fn place(&self) -> BackendIdentity {
         let (zone, _, cell) = self.place.get();
-        Place { zone: zone.0, cell }
+        BackendIdentity {
+            zone,
+            cell: balancer::CellId(cell),
+        }
     }
 
     /// Whether anything new may go there.
@@ -106,7 +115,7 @@
 
 /// One connection to a server; dropping it closes it.
 pub struct Connection {
-    sender: http1::SendRequest<Sending>,
+    sender: http1::SendRequest<RequestBodyStream>,
     driver: AbortHandle,
     /// Not a hold on it: it is closed with its driver, also while the connection is idle.
     socket: Weak<TcpStream>,
@@ -125,7 +134,7 @@
             && self
                 .socket
                 .upgrade()
-                .is_some_and(|s| head_filter::quiet(&s))
+                .is_some_and(|socket| is_open_and_drained(&socket))
     }
 }
 
@@ -136,7 +145,7 @@
 }
 
 /// Asked right before the first byte of a request is written.
-type WriteCheck = Box<dyn Fn() -> Result<(), Rule>>;
+type WriteCheck = Box<dyn Fn() -> Result<(), Invariant>>;
 
 /// Whether the request that is to be written next may be.
 #[derive(Default)]
@@ -146,26 +155,23 @@
 }
 
 /// Reads the heads of answers. What is no good ends the connection, and with it the attempt.
-struct Answers {
+struct ResponsePolicy {
     more: Rc<Cell<bool>>,
     permit: Rc<WritePermit>,
 }
 
-impl Guard for Answers {
-    const BETWEEN: Next = Next::Nothing;
+impl MessagePolicy for ResponsePolicy {
+    const BETWEEN_MESSAGES: Expected = Expected::Nothing;
 
-    fn head(&self, bytes: &[u8]) -> Result<Option<Head>, Problem> {
-        head_filter::answer_head(bytes)
+    fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, MessageError> {
+        parse_response_head(bytes)
     }
 
-    fn turn_down(&self, problem: Problem) -> std::io::Result<&'static [u8]> {
-        Err(std::io::Error::new(
-            std::io::ErrorKind::InvalidData,
-            problem.1,
-        ))
+    fn reject(&self, error: MessageError) -> std::io::Result<&'static [u8]> {
+        Err(std::io::Error::new(std::io::ErrorKind::InvalidData, error))
     }
 
-    fn more(&self) {
+    fn bytes_follow_message(&self) {
         self.more.set(true);
     }
 
@@ -181,11 +187,11 @@
 }
 
 /// The body of an answer.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// All of it is here.
     Whole(Bytes),
     /// More of it is to come.
-    Passing(Passing),
+    StreamingResponse(StreamingResponse),
 }
 
 /// What a server's answer comes to.
@@ -195,9 +201,9 @@
     /// The load report that came along.
     pub report: Option<LoadReport>,
     /// The answer to pass on, of one that was served.
-    pub answer: Option<Response<AnswerBody>>,
+    pub answer: Option<Response<ResponseBody>>,
     /// Tells how an answer ends that is still to come.
-    pub passing: Option<oneshot::Receiver<Passed>>,
+    pub passing: Option<oneshot::Receiver<StreamOutcome>>,
     /// The connection, if it is good for another request.
     pub connection: Option<Connection>,
     /// What was wrong with the connection or the answer, where that is known.
@@ -265,19 +271,19 @@
 }
 
 /// All servers and the connections to them.
-pub struct Backends {
+pub struct BackendRegistry {
     limits: Limits,
-    names: Names,
-    fields: Vec<Field>,
-    slots: Places,
-    by_name: RefCell<FxHashMap<String, Rc<Server>>>,
-    by_id: RefCell<FxHashMap<BackendId, Rc<Server>>>,
+    names: SettingNames,
+    fields: Vec<LoadReportField>,
+    slots: ResizableSemaphore,
+    by_name: RefCell<FxHashMap<String, Rc<Backend>>>,
+    by_id: RefCell<FxHashMap<BackendId, Rc<Backend>>>,
     next_id: Cell<u32>,
     /// When servers started.
-    starts: RefCell<Starts>,
+    starts: RefCell<StartTimes>,
     /// What operators have said of backends. It outlives what lists say of them.
-    word: RefCell<Word>,
-    stats: Rc<Stats>,
+    word: RefCell<OperatorState>,
+    stats: Rc<Metrics>,
 }
 
 /// Names the header of a load report.
@@ -285,11 +291,11 @@
 /// Marks an answer that proves that the request was not run.
 const NOT_PROCESSED: HeaderName = HeaderName::from_static("x-not-processed");
 
-impl Backends {
+impl BackendRegistry {
     /// Starts with no servers.
-    pub fn new(limits: Limits, names: Names, fields: Vec<Field>) -> Self {
-        Backends {
-            slots: Places::new(limits.connections),
+    pub fn new(limits: Limits, names: SettingNames, fields: Vec<LoadReportField>) -> Self {
+        BackendRegistry {
+            slots: ResizableSemaphore::new(limits.connections),
             limits,
             names,
             fields,
@@ -298,44 +304,52 @@
             next_id: Cell::new(0),
             starts: RefCell::default(),
             word: RefCell::default(),
-            stats: Rc::new(Stats::new()),
+            stats: Rc::new(Metrics::new()),
         }
     }
 
     /// The server with this id, if it is listed.
-    pub fn get(&self, id: BackendId) -> Option<Rc<Server>> {
+    pub fn get(&self, id: BackendId) -> Option<Rc<Backend>> {
         self.by_id.borrow().get(&id).cloned()
     }
 
     /// The node's counters.
-    pub fn stats(&self) -> Rc<Stats> {
+    pub fn stats(&self) -> Rc<Metrics> {
         self.stats.clone()
     }
 
     /// Connections open, or about to be.
     pub fn connections(&self) -> usize {
-        self.slots.taken()
+        self.slots.in_use()
     }
 
     /// The names that the settings give to classes, tenants and so on.
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
     // ---- the list ----
     /// Brings the servers in line with a list and puts it in the balancer's terms.
-    pub fn take_list(&self, now: Time, list: &ServerList, source: Source) -> Vec<Endpoint> {
+    pub fn apply_endpoint_list(
+        &self,
+        now: Time,
+        list: &EndpointList,
+        source: Source,
+    ) -> Vec<Endpoint> {
         let wall = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let mut starts = self.starts.borrow_mut();
-        starts.hear(now, list.members.iter().map(Member::stamp));
+        starts.observe_timestamps(
+            now,
+            list.endpoints.iter().map(ListedEndpoint::start_timestamp),
+        );
         let mut by_name = self.by_name.borrow_mut();
         let mut by_id = self.by_id.borrow_mut();
         let word = self.word.borrow();
-        if list.complete {
+        if list.is_snapshot {
             let named: rustc_hash::FxHashSet<&str> =
-                list.members.iter().map(|m| m.id.as_str()).collect();
+                list.endpoints.iter().map(|m| m.name.as_str()).collect();
             by_name.retain(|name, server| {
                 let stays = named.contains(name.as_str());
                 if !stays {
@@ -346,28 +360,28 @@
                 stays
             });
         }
-        let mut entries = Vec::with_capacity(list.members.len());
-        for member in &list.members {
+        let mut entries = Vec::with_capacity(list.endpoints.len());
+        for member in &list.endpoints {
             let listed = match member.phase {
-                Phase::Active => EndpointState::Active,
-                Phase::Leaving => EndpointState::Draining,
-                Phase::Left => EndpointState::Removed,
+                EndpointPhase::Active => EndpointState::Active,
+                EndpointPhase::Draining => EndpointState::Draining,
+                EndpointPhase::Removed => EndpointState::Removed,
             };
-            let started = starts.started(now, wall, &member.id, member.stamp());
-            let state = state(&word, &member.id, listed);
-            let server = match (by_name.get(&member.id), member.host_port) {
+            let started = starts.start_of(now, wall, &member.name, member.start_timestamp());
+            let state = state(&word, &member.name, listed);
+            let server = match (by_name.get(&member.name), member.address) {
                 (Some(server), _) => server.clone(),
                 (None, Some(address)) if state != EndpointState::Removed => {
                     let id = BackendId(self.next_id.get());
                     self.next_id.set(id.0.wrapping_add(1));
-                    let server = Rc::new(Server {
+                    let server = Rc::new(Backend {
                         id,
-                        name: member.id.clone(),
+                        name: member.name.clone(),
                         address: Cell::new(address),
                         listed: Cell::new(listed),
                         state: Cell::new(state),
                         started: Cell::new(started),
-                        weight: Cell::new(member.size),
+                        weight: Cell::new(member.weight),
                         generation: Cell::new(0),
                         idle: RefCell::default(),
                         place: Cell::default(),
@@ -380,19 +394,19 @@
             };
             server.listed.set(listed);
             server.state.set(state);
-            server.weight.set(member.size);
+            server.weight.set(member.weight);
             if state == EndpointState::Removed {
                 server.abandon_connections();
-                by_name.remove(&member.id);
+                by_name.remove(&member.name);
                 by_id.remove(&server.id);
             } else {
                 server.place.set((
-                    ZoneId(position(&self.names.zones, &member.locality)),
-                    MachineTypeId(position(&self.names.kinds, &member.flavor)),
+                    ZoneId(position(&self.names.zones, &member.zone)),
+                    MachineTypeId(position(&self.names.machine_types, &member.machine_type)),
                     member.cell,
                 ));
                 let moved = member
-                    .host_port
+                    .address
                     .is_some_and(|a| server.address.replace(a) != a);
                 // What was connected to the process before this one is dead, whether or not it says
                 // so.
@@ -405,7 +419,7 @@
             entries.push(server.entry());
         }
         if source == Source::Discovery {
-            starts.followed(by_name.len(), |name| by_name.contains_key(name));
+            starts.list_applied(by_name.len(), |name| by_name.contains_key(name));
         }
         entries
     }
@@ -413,15 +427,15 @@
     // ---- maintenance ----
     /// Goes by what operators have said, from now on and whatever lists say. Returns what changes
     /// for the balancer.
-    pub fn heed(&self, now: Time, word: &Word) -> Vec<Endpoint> {
+    pub fn apply_operator_state(&self, now: Time, word: &OperatorState) -> Vec<Endpoint> {
         *self.word.borrow_mut() = word.clone();
         let mut starts = self.starts.borrow_mut();
-        starts.hear_returned(now, word.returned.iter());
+        starts.observe_returned(now, word.returned_from_maintenance.iter());
         let mut changed = Vec::new();
         for server in self.by_id.borrow().values() {
             let (before, since) = (server.state.get(), server.started.get());
             let state = state(word, &server.name, server.listed.get());
-            let started = since.max(starts.returned(&server.name));
+            let started = since.max(starts.returned_at(&server.name));
             if (state, started) == (before, since) {
                 continue;
             }
@@ -444,18 +458,18 @@
     pub fn warmed_up(&self, now: Time, name: &str, warm_up: Duration) -> bool {
         self.starts
             .borrow()
-            .returned(name)
+            .returned_at(name)
             .is_some_and(|heard| now - heard >= warm_up)
     }
 
     /// How many backends are left out.
     pub fn left_out(&self) -> usize {
-        self.word.borrow().out.len()
+        self.word.borrow().in_maintenance.len()
     }
 
     // ---- connections ----
     /// The most recently used idle connection that has been quiet since, or a new one.
-    async fn checkout(&self, server: &Server) -> Result<Connection, AttemptOutcome> {
+    async fn acquire(&self, server: &Backend) -> Result<Connection, AttemptOutcome> {
         while let Some(connection) = self.take_idle(server) {
             if connection.good() {
                 return Ok(connection);
@@ -463,7 +477,7 @@
         }
         let permit = self.slot().await.ok_or(AttemptOutcome::NotSent)?;
         let generation = server.generation.get();
-        self.stats.count(|c| c.connects += 1);
+        self.stats.count(|c| c.backend_connects += 1);
         let connect = connect_despite_shortage(server.address.get());
         let stream = match timeout(self.limits.connect_timeout, connect).await {
             Ok(Ok(stream)) => stream,
@@ -476,16 +490,16 @@
         // Word may have come meanwhile that the server moved or restarted: what answers at the
         // address that it had is another's, or gone.
         if generation != server.generation.get() {
-            self.stats.rules.withheld(Rule::Drain);
+            self.stats.invariants.prevented(Invariant::Drain);
             return Err(AttemptOutcome::NotSent);
         }
         let _ = stream.set_nodelay(true);
         let (stream, more) = (Rc::new(stream), Rc::new(Cell::new(false)));
         let write_permit: Rc<WritePermit> = Rc::default();
         let socket = Rc::downgrade(&stream);
-        let gate = Gate::new(
+        let gate = HeadFilter::new(
             stream,
-            Answers {
+            ResponsePolicy {
                 more: more.clone(),
                 permit: write_permit.clone(),
             },
@@ -506,7 +520,7 @@
         })
     }
 
-    fn take_idle(&self, server: &Server) -> Option<Connection> {
+    fn take_idle(&self, server: &Backend) -> Option<Connection> {
         let mut idle = server.idle.borrow_mut();
         let rested = QUARANTINE..self.retire_after();
         let at = idle
@@ -523,27 +537,27 @@
     /// Room for one more connection, made if need be by closing the one that has been idle the
     /// longest.
     async fn slot(&self) -> Option<OwnedSemaphorePermit> {
-        if let Some(permit) = self.slots.take() {
+        if let Some(permit) = self.slots.try_acquire() {
             return Some(permit);
         }
         self.close_longest_idle();
         // The slot comes free once the driver of that connection has been dropped, in its next
         // turn.
         tokio::task::yield_now().await;
-        self.slots.take()
+        self.slots.try_acquire()
     }
 
     /// From now on there may be so many connections. Idle ones beyond that are closed at once,
     /// others once they end.
     pub fn resize(&self, connections: usize) {
-        let beyond = self.slots.taken().saturating_sub(connections);
+        let beyond = self.slots.in_use().saturating_sub(connections);
         self.slots.resize(connections);
         (0..beyond).for_each(|_| self.close_longest_idle());
     }
 
     fn close_longest_idle(&self) {
         let by_id = self.by_id.borrow();
-        let idle = |s: &Rc<Server>| s.idle.borrow().first().map(|i| i.since);
+        let idle = |s: &Rc<Backend>| s.idle.borrow().first().map(|i| i.since);
         if let Some((_, server)) = by_id
             .values()
             .filter_map(|s| Some((idle(s)?, s)))
@@ -554,7 +568,7 @@
     }
 
     /// Takes back a connection after its answer has been read.
-    pub async fn give_back(&self, server: &Server, mut connection: Connection) {
+    pub async fn release(&self, server: &Backend, mut connection: Connection) {
         let settled = matches!(timeout(SETTLE, connection.sender.ready()).await, Ok(Ok(())));
         if settled
             && connection.good()
@@ -589,22 +603,22 @@
     /// first byte has gone.
     pub async fn attempt(
         &self,
-        server: &Rc<Server>,
-        request: Request<Outgoing>,
+        server: &Rc<Backend>,
+        request: Request<RequestBody>,
         until: Instant,
         terms: AttemptTerms,
         progress: Rc<Cell<Progress>>,
     ) -> Exchange {
         let (head, body) = request.into_parts();
         // What can't be sent again isn't.
-        let Some(sending) = body.sending() else {
+        let Some(sending) = body.new_stream() else {
             return Exchange::failed(AttemptOutcome::NotSent);
         };
         let limit = until.saturating_duration_since(Instant::now());
         let mut request = Request::from_parts(head, sending);
         let time_runs = body.upload().is_none();
         let exchange = async {
-            let connection = match self.checkout(server).await {
+            let connection = match self.acquire(server).await {
                 Ok(connection) => connection,
                 Err(outcome) => return Exchange::failed(outcome),
             };
@@ -613,19 +627,19 @@
             let (to, stats, asked) = (server.clone(), self.stats.clone(), progress.clone());
             let check = move |told: Option<Instant>| {
                 let facts = AttemptFacts {
-                    server_takes_new: to.takes_new() && to.generation.get() == generation,
-                    client_waits: asked.get() != Progress::Revoked && (terms.client_waits)(),
-                    until: time_runs.then_some(until),
-                    told: told.filter(|_| time_runs),
-                    repeat_by: terms.repeat_by,
+                    backend_accepts: to.takes_new() && to.generation.get() == generation,
+                    client_waiting: asked.get() != Progress::Revoked && (terms.client_waits)(),
+                    deadline: time_runs.then_some(until),
+                    timeout_computed_at: told.filter(|_| time_runs),
+                    retry_until: terms.repeat_by,
                 };
-                send_invariants::may_begin(Instant::now(), &facts)
-                    .inspect_err(|rule| stats.rules.withheld(*rule))
+                send_invariants::may_send(Instant::now(), &facts)
+                    .inspect_err(|rule| stats.invariants.prevented(*rule))
             };
             // Connecting took time, in which anything may have changed; and some more passes before
             // the writing.
             if check(None).is_err() {
-                self.give_back(server, connection).await;
+                self.release(server, connection).await;
                 return Exchange::failed(AttemptOutcome::NotSent);
             }
             let left = until.saturating_duration_since(reckoned);
@@ -664,11 +678,11 @@
             // Where the last byte was not written, nothing has run; and if that is the client's
             // doing, it says nothing of the server.
             AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut
-                if upload.problem().is_some() =>
+                if upload.error().is_some() =>
             {
                 Exchange::failed(AttemptOutcome::NotSent)
             }
-            AttemptOutcome::ConnectionReset if !upload.whole() => Exchange {
+            AttemptOutcome::ConnectionReset if !upload.is_complete() => Exchange {
                 outcome: AttemptOutcome::ConnectFailed,
                 ..exchange
             },
@@ -677,15 +691,15 @@
     }
 
     /// Asks a server for its load.
-    pub async fn probe(&self, server: &Server, limit: Duration) -> Exchange {
+    pub async fn probe(&self, server: &Backend, limit: Duration) -> Exchange {
         let exchange = async {
-            let connection = match self.checkout(server).await {
+            let connection = match self.acquire(server).await {
                 Ok(connection) => connection,
                 Err(outcome) => return Exchange::failed(outcome),
             };
             let request = Request::get("/stats").header("host", server.address.get().to_string());
             let request = request
-                .body(Sending::default())
+                .body(RequestBodyStream::default())
                 .expect("a fixed path and an address are valid");
             self.exchange(connection, request, false).await
         };
@@ -697,7 +711,7 @@
     async fn exchange(
         &self,
         mut connection: Connection,
-        request: Request<Sending>,
+        request: Request<RequestBodyStream>,
         attempt: bool,
     ) -> Exchange {
         let response = match connection.sender.try_send_request(request).await {
@@ -720,33 +734,35 @@
         let large = body
             .size_hint()
             .exact()
-            .map(|length| length > HELD_BODY as u64);
+            .map(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
         let whole = if let Some(true) = large {
             false
         } else {
-            let holding = hold(&mut held, &mut body);
+            let holding = buffer_body(&mut held, &mut body);
             // Who waits for it to be whole could wait for as long as a trickle lasts.
             let held = match large {
-                None if served => timeout(HELD_FOR, holding).await.unwrap_or(Ok(false)),
+                None if served => timeout(HELD_FOR, holding)
+                    .await
+                    .unwrap_or(Ok(BufferedPart::Incomplete)),
                 _ => holding.await,
             };
             match held {
-                Ok(whole) => whole,
+                Ok(part) => part == BufferedPart::Complete,
                 Err(error) => return Exchange::broken(&error),
             }
         };
         let (held, mut passing, mut connection) = (held.freeze(), None, Some(connection));
         let body = match whole {
-            true => AnswerBody::Whole(held.clone()),
+            true => ResponseBody::Whole(held.clone()),
             false if served && attempt => {
-                let (body, ended) = Passing::new(held.clone(), body);
+                let (body, ended) = StreamingResponse::new(held.clone(), body);
                 passing = Some(ended);
-                AnswerBody::Passing(body)
+                ResponseBody::StreamingResponse(body)
             }
             // Nobody wants the rest.
             false => {
                 connection = None;
-                AnswerBody::Whole(Bytes::new())
+                ResponseBody::Whole(Bytes::new())
             }
         };
         let report = match attempt {
@@ -778,7 +794,7 @@
 }
 
 /// Reads a load report field by field, with no map in between: one comes with every probe.
-struct ReportReader<'a>(&'a Backends);
+struct ReportReader<'a>(&'a BackendRegistry);
 
 impl<'de> DeserializeSeed<'de> for ReportReader<'_> {
     type Value = LoadReport;
@@ -801,12 +817,12 @@
             match self
                 .0
                 .names
-                .fields
+                .load_report_fields
                 .iter()
                 .position(|f| *f == name)
                 .and_then(|at| self.0.fields.get(at))
             {
-                Some(field) => field.put(values.next_value()?, &mut report),
+                Some(field) => field.set(&mut report, values.next_value()?),
                 None => drop(values.next_value::<IgnoredAny>()?),
             }
         }
@@ -831,7 +847,7 @@
     }
 }
 
-type Driver = http1::Connection<TokioIo<Gate<Answers>>, Sending>;
+type Driver = http1::Connection<TokioIo<HeadFilter<ResponsePolicy>>, RequestBodyStream>;
 
 async fn drive(connection: Driver, permit: OwnedSemaphorePermit) {
     let _ = connection.await;
@@ -850,9 +866,9 @@
 }
 
 /// A server's state by a list, under what operators have said of it.
-fn state(word: &Word, name: &str, listed: EndpointState) -> EndpointState {
+fn state(word: &OperatorState, name: &str, listed: EndpointState) -> EndpointState {
     match listed {
-        EndpointState::Active if word.out.contains(name) => EndpointState::Draining,
+        EndpointState::Active if word.in_maintenance.contains(name) => EndpointState::Draining,
         listed => listed,
     }
 }
