--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -9,7 +9,8 @@
 use crate::http1::limits::{MAX_BODY_BYTES, STALL_TIMEOUT};
 use crate::http1::upload::{RequestBody, Upload};
 use crate::metrics::Metrics;
-use crate::requests::dispatcher::{Dispatcher, FinalResponse, ForwardRequest};
+use crate::requests::dispatcher::Dispatcher;
+use crate::requests::request::{FinalResponse, ForwardRequest};
 use crate::resizable_semaphore::ResizableSemaphore;
 use crate::send_invariants::{self, Invariant};
 use crate::socket::{is_closed_by_peer, is_open_and_drained};
@@ -631,10 +632,10 @@
             class,
             tenant,
             work,
-            due,
+            deadline: due,
             remaining,
             id,
-            since,
+            first_byte_at: since,
             request: outgoing,
             client: Rc::downgrade(&client.socket),
         });
@@ -668,7 +669,7 @@
                 *response.headers_mut() = end_to_end_headers(head.headers);
                 response
             }
-            FinalResponse::Refused(wait) => {
+            FinalResponse::Rejected { retry_after: wait } => {
                 let mut response = plain(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "refused: trying again is harmless",
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -1,159 +1,89 @@
-//! Owner of the balancer and of all that is in hand: requests, their attempts, timers.
+//! Owner of the balancer: feeds events to it and carries out its actions.
 //!
-//! Tasks tell it what happened; it hands the events to the balancer one by one and turns the
-//! actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
-//! that actions bring about at once.
+//! Tasks report what happened; the dispatcher hands the events to the balancer one by one and turns
+//! the actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
+//! that an action causes at once.
 
+use super::attempts::{
+    Attempt, AttemptEnd, AttemptObserver, AttemptState, AttemptTask, FinishedAttempt,
+};
+use super::registry::{has_disconnected, AttemptId, RequestRecord, RequestRegistry};
+use super::request::{FinalResponse, ForwardRequest};
+use super::request_log::{exchange_failed_line, given_up_line, printable_id, GivenUpResponse};
+use super::statistics_log::{AttemptCounts, Statistics};
 use crate::clock::Clock;
 use crate::discovery::wire::EndpointList;
 use crate::event_log::EventLog;
-use crate::http1::download::StreamOutcome;
-use crate::http1::upload::RequestBody;
 use crate::metrics::Metrics;
 use crate::operator_state::store::OperatorState;
-use crate::send_invariants::{self, BackendIdentity, Execution, Invariant, PriorAttempt};
-use crate::socket::is_closed_by_peer;
+use crate::send_invariants::{self, Invariant, PriorAttempt};
 use crate::upstream::backend::Backend;
 use crate::upstream::backend_registry::{BackendRegistry, ListSource};
 use crate::upstream::exchange::{AttemptTerms, SendProgress, UpstreamClient};
-use crate::upstream::response::{Exchange, ExchangeError, ExchangeResponse, ResponseBody};
+use crate::upstream::response::ResponseBody;
 use balancer::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, EndpointState, Event,
-    GiveUpReason, Idempotency, ListUpdate, LoadProbeResult, LoadReport, RequestArrival, RequestId,
-    Settings, SettingsError, TenantId,
+    GiveUpReason, Idempotency, ListUpdate, LoadProbeResult, RequestArrival, RequestId, Settings,
+    SettingsError, Time, TimerId,
 };
-use hyper::{Request, Response};
+use hyper::Response;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
-use std::collections::{HashSet, VecDeque};
-use std::fmt::{self, Write as _};
+use std::collections::VecDeque;
+use std::fmt;
 use std::future::Future;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::oneshot;
-use tokio::task::{spawn_local, AbortHandle};
+use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Most servers of which a line of counters tells each by itself.
-const SERVERS_WRITTEN: usize = 64;
-/// A choice among probed servers is made within a few milliseconds: what a probe says later serves
-/// none.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
-
-/// A client's request in the node's own terms.
-pub struct ForwardRequest {
-    /// Its class.
-    pub class: ClassId,
-    /// Its tenant.
-    pub tenant: TenantId,
-    /// Expected work, if the client told.
-    pub work: Option<Duration>,
-    /// When the final answer is due.
-    pub due: Instant,
-    /// The client's name for it.
-    pub id: Box<[u8]>,
-    /// When its first byte came.
-    pub since: Instant,
-    /// Time left for it, from its last byte on.
-    pub remaining: Duration,
-    /// What goes on to a server.
-    pub request: Request<RequestBody>,
-    /// The connection that it came on: whoever has closed it waits for nothing.
-    pub client: Weak<TcpStream>,
-}
-
-/// A final answer.
-pub enum FinalResponse {
-    /// What a server answered.
-    Served(Response<ResponseBody>),
-    /// Trying again is harmless, best after the wait.
-    Refused(Option<Duration>),
-    /// Nothing is promised.
-    Failed,
-}
-
-/// A request in hand.
-struct RequestRecord {
-    id: Box<[u8]>,
-    class: ClassId,
-    tenant: TenantId,
-    since: Instant,
-    taken: Instant,
-    request: Request<RequestBody>,
-    due: Instant,
-    client: Weak<TcpStream>,
-    /// Taken by the one final answer, or by the client's leaving.
-    reply: Option<oneshot::Sender<FinalResponse>>,
-    attempts: Vec<Attempt>,
-}
-
-impl RequestRecord {
-    /// Whether the client has left without its answer, by what the system knows at this moment.
-    fn abandoned(&self) -> bool {
-        self.reply.is_some() && left(&self.client)
-    }
-}
-
-/// Whether a client has closed its connection, or the node has.
-fn left(client: &Weak<TcpStream>) -> bool {
-    client
-        .upgrade()
-        .is_none_or(|socket| is_closed_by_peer(&socket))
-}
+/// Time in which a load probe is of use: the balancer picks among probed backends within a few
+/// milliseconds.
+const LOAD_PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-struct Attempt {
-    server: BackendId,
-    place: BackendIdentity,
-    began: Instant,
-    /// False once it is known that it did not run and will not.
-    may_have_run: bool,
-    /// How it ended, after how long, and the server's report.
-    end: Option<(AttemptOutcome, Duration, Option<LoadReport>)>,
-    /// None once it has ended.
-    task: Option<AbortHandle>,
-    /// Whether it may have reached the server.
-    progress: Rc<Cell<SendProgress>>,
+/// What the node itself has to know of a class of requests.
+struct ClassPolicy {
+    idempotency: Idempotency,
+    /// Time in which a response earns the class's full weight, without the extension for heavy
+    /// requests.
+    latency_objective: Duration,
 }
 
 struct State {
     balancer: Balancer,
+    /// Events that an action has caused, for the balancer to handle next.
     events: VecDeque<Event>,
-    ledger: FxHashMap<RequestId, RequestRecord>,
-    /// The clients' names for what is in the ledger. Clients choose them, hence the hasher with a
-    /// secret.
-    ids: HashSet<Box<[u8]>>,
-    next_request: u64,
-    /// Attempts at each server since the counters were last written, and how many of them it turned
-    /// away or answered with an error, or with nothing of use.
-    sent: FxHashMap<BackendId, [u32; 3]>,
+    requests: RequestRegistry,
+    /// Attempts by backend since the last line of statistics.
+    attempt_counts: FxHashMap<BackendId, AttemptCounts>,
 }
 
-/// See the module's own words.
+/// Owner of the balancer and of the requests in progress.
 pub struct Dispatcher {
     /// Itself, for the tasks it starts.
-    me: Weak<Dispatcher>,
+    this: Weak<Dispatcher>,
     log: EventLog,
     clock: Clock,
     backends: Rc<BackendRegistry>,
     client: Rc<UpstreamClient>,
-    stats: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     /// Asks discovery for the endpoint list. Called with the state borrowed.
     refresh_endpoint_list: Box<dyn Fn()>,
-    /// Two attempts of one request may be out together.
-    second_copies: bool,
-    /// By class: how far its requests may be repeated.
-    effects: Vec<Idempotency>,
-    /// By class: within which time an answer earns its worth, the stretch for heavy requests left
-    /// aside.
-    aims: Vec<Duration>,
+    hedging_allowed: bool,
+    /// By [`ClassId`].
+    classes: Vec<ClassPolicy>,
     state: RefCell<State>,
     revision: Cell<u64>,
     servers_listed: Cell<bool>,
 }
 
 impl Dispatcher {
-    /// Starts with no servers and no requests.
+    /// Creates a dispatcher without backends and requests.
+    ///
+    /// # Errors
+    ///
+    /// Returns the balancer's error if it can't use the settings.
     pub fn new(
         log: EventLog,
         settings: Settings,
@@ -163,39 +93,38 @@
         refresh_endpoint_list: impl Fn() + 'static,
     ) -> Result<Rc<Self>, SettingsError> {
         let clock = Clock::start();
-        let second_copies = settings.hedging_allowed;
-        let effects = settings.classes.iter().map(|c| c.idempotency).collect();
-        let aims = settings
+        let hedging_allowed = settings.hedging_allowed;
+        let classes = settings
             .classes
             .iter()
-            .map(|c| c.latency_objective)
+            .map(|class| ClassPolicy {
+                idempotency: class.idempotency,
+                latency_objective: class.latency_objective,
+            })
             .collect();
         let state = State {
             balancer: Balancer::new(settings, seed, clock.now())?,
             events: VecDeque::new(),
-            ledger: FxHashMap::default(),
-            ids: HashSet::new(),
-            next_request: 0,
-            sent: FxHashMap::default(),
+            requests: RequestRegistry::default(),
+            attempt_counts: FxHashMap::default(),
         };
-        Ok(Rc::new_cyclic(|me| Dispatcher {
-            me: me.clone(),
+        Ok(Rc::new_cyclic(|this| Dispatcher {
+            this: this.clone(),
             log,
             clock,
-            stats: client.metrics().clone(),
+            metrics: client.metrics().clone(),
             backends,
             client,
             refresh_endpoint_list: Box::new(refresh_endpoint_list),
-            second_copies,
-            effects,
-            aims,
+            hedging_allowed,
+            classes,
             state: RefCell::new(state),
             revision: Cell::new(0),
             servers_listed: Cell::new(false),
         }))
     }
 
-    /// A line for the node's log.
+    /// Writes a line to the process's log.
     pub fn log(&self, line: fmt::Arguments) {
         self.log.log(line);
     }
@@ -207,7 +136,7 @@
 
     /// The node's counters.
     pub fn stats(&self) -> &Metrics {
-        &self.stats
+        &self.metrics
     }
 
     /// Version of the list held.
@@ -220,7 +149,6 @@
         self.servers_listed.get()
     }
 
-    // ---- what happens ----
     /// Takes in the list as last known before the start. The balancer is owed one, be it empty.
     pub fn known(&self, list: Option<&EndpointList>) {
         let entries = list
@@ -312,247 +240,159 @@
         entries
     }
 
-    /// Takes a client's request. The answer comes through the channel; dropping [`Taken`] is the
-    /// client's leaving. None: one of that id is open or still out at a server, where a second
-    /// would pass for its repeat.
-    pub fn arrival(&self, incoming: ForwardRequest) -> Option<Taken> {
-        let (reply, answer) = oneshot::channel();
+    /// Accepts a client's request. Returns `None` if one of the same id is in progress, as backends
+    /// would take a second one for its retry.
+    pub fn arrival(&self, request: ForwardRequest) -> Option<PendingRequest> {
+        let (sender, response) = oneshot::channel();
         let mut state = self.state.borrow_mut();
-        if !state.ids.insert(incoming.id.clone()) {
-            return None;
-        }
-        let id = RequestId(state.next_request);
-        state.next_request += 1;
-        self.stats.count(|c| c.requests += 1);
-        self.stats.count_class(incoming.class, |c| c.requests += 1);
-        let ForwardRequest {
-            class,
-            tenant,
-            work,
-            due,
-            remaining,
-            id: name,
-            since,
-            request,
-            client,
-        } = incoming;
-        let coming = request.body().upload().is_some();
-        let (taken, reply, attempts) = (Instant::now(), Some(reply), Vec::new());
-        let entry = RequestRecord {
-            id: name,
-            class,
-            tenant,
-            since,
-            taken,
-            request,
-            due,
-            client,
-            reply,
-            attempts,
+        let id = state.requests.reserve(&request.id)?;
+        self.metrics.count(|c| c.requests += 1);
+        self.metrics.count_class(request.class, |c| c.requests += 1);
+        let arrival = RequestArrival {
+            request: id,
+            class: request.class,
+            tenant: request.tenant,
+            remaining: request.remaining,
+            work: request.work,
+            body_pending: request.request.body().upload().is_some(),
         };
-        state.ledger.insert(id, entry);
+        state.requests.insert(id, request, sender);
         drop(state);
-        self.handle_event(Event::RequestArrived(RequestArrival {
-            request: id,
-            class,
-            tenant,
-            remaining,
-            work,
-            body_pending: coming,
-        }));
-        self.settle(id);
-        Some(Taken {
-            engine: self.me.upgrade(),
+        self.handle_event(Event::RequestArrived(arrival));
+        self.remove_if_settled(id);
+        Some(PendingRequest {
+            dispatcher: self.this.upgrade(),
             id,
-            answer,
+            response,
         })
     }
 
-    /// The last byte of a request has come that was taken before.
+    /// The last byte of an accepted request's body has been received.
     pub fn uploaded(&self, request: RequestId) {
         self.handle_event(Event::RequestBodyReceived { request });
     }
 
-    fn client_gone(&self, request: RequestId) {
-        let mut state = self.state.borrow_mut();
-        let open = state.ledger.get_mut(&request).and_then(|e| e.reply.take());
-        if open.is_some() {
-            self.stats.count(|c| c.client_disconnected += 1);
-            self.withhold(&mut state, request);
-            drop(state);
-            self.handle_event(Event::ClientDisconnected { request });
-            self.settle(request);
-        }
+    /// Number of requests whose final response is still owed.
+    pub fn open_requests(&self) -> usize {
+        self.state.borrow().requests.open_requests()
     }
 
-    /// Ends what nobody waits for any more and no server has got yet: no attempt of it that is
-    /// still connecting goes out.
-    fn withhold(&self, state: &mut State, request: RequestId) {
-        let Some(entry) = state.ledger.get_mut(&request) else {
+    /// Writes the counters since the last call, and the balancer's state, to the log.
+    pub fn log_stats(&self) {
+        for (reason, count) in self.metrics.take_rejected_messages() {
+            self.log(format_args!("rejected count={count} reason=\"{reason}\""));
+        }
+        let Some((counters, interval)) = self.metrics.take() else {
             return;
         };
-        for (attempt, a) in (0..).zip(&mut entry.attempts) {
-            let Some(task) = a
-                .task
-                .take_if(|_| a.progress.get() == SendProgress::NotWritten)
-            else {
-                continue;
-            };
-            // The task ends in a later turn: nothing of it may be written until then.
-            a.progress.set(SendProgress::Revoked);
-            task.abort();
-            let (outcome, latency) = (AttemptOutcome::NotSent, a.began.elapsed());
-            (a.may_have_run, a.end) = (false, Some((outcome, latency, None)));
-            self.stats.count(|c| c.count_attempt_end(outcome));
-            let (server, closed, report) = (a.server, true, None);
-            let ended = AttemptResult {
-                request,
-                attempt,
-                backend: server,
-                outcome,
-                latency,
-                request_closed: closed,
-                load_report: report,
-            };
-            state.events.push_back(Event::AttemptEnded(ended));
-        }
-    }
-
-    /// The first bytes of an answer are there, and go to the client. False: nobody wants them.
-    fn attempt_begun(
-        &self,
-        request: RequestId,
-        attempt: u32,
-        response: Response<ResponseBody>,
-    ) -> bool {
         let mut state = self.state.borrow_mut();
-        let Some(entry) = state.ledger.get_mut(&request) else {
-            return false;
+        let statistics = Statistics {
+            names: self.names(),
+            interval,
+            counters,
+            classes: self.metrics.take_classes(),
+            attempts: std::mem::take(&mut state.attempt_counts),
+            requests_in_flight: state.requests.len(),
+            backend_connections: self.client.pool().open_connections(),
+            in_maintenance: self.backends.in_maintenance(),
+            balancer: state.balancer.snapshot(self.clock.now()),
         };
-        let Some(a) = entry
-            .attempts
-            .get(attempt as usize)
-            .filter(|a| a.task.is_some())
-        else {
-            return false;
-        };
-        let latency = since(&entry.request, a.began);
-        let Some(reply) = entry.reply.take() else {
-            return false;
-        };
-        self.stats.count(|c| c.streamed += 1);
-        self.count_served(entry);
-        let _ = reply.send(FinalResponse::Served(response));
         drop(state);
-        self.handle_event(Event::ResponseStarted {
-            request,
-            attempt,
-            latency,
-        });
-        true
+        let line = statistics.to_line(&self.metrics.invariants);
+        self.log(format_args!("{line}"));
     }
 
-    /// Waits for the end of an answer that is passed on as it comes.
-    async fn attempt_passing(&self, request: RequestId, attempt: u32, exchange: &mut Exchange) {
-        let (response, body_end) = match exchange.response.take() {
-            Some(ExchangeResponse::Streaming { response, body_end }) => (response, body_end),
-            complete => {
-                exchange.response = complete;
-                return;
-            }
+    fn client_disconnected(&self, request: RequestId) {
+        let mut state = self.state.borrow_mut();
+        let Some(record) = state.requests.get_mut(request) else {
+            return;
         };
-        let begun = self.attempt_begun(request, attempt, response);
-        let ended = if begun { body_end.await.ok() } else { None };
-        match ended {
-            Some(StreamOutcome::Complete) => return,
-            Some(StreamOutcome::Broken(problem)) => {
-                exchange.outcome = AttemptOutcome::ConnectionReset;
-                exchange.error = Some(ExchangeError::ResponseBody(problem));
-            }
-            None => exchange.outcome = AttemptOutcome::Cancelled,
-        }
-        exchange.connection = None;
-        if begun {
-            self.stats.count(|c| c.stream_aborted += 1);
+        if record.close().is_none() {
+            return;
         }
+        self.metrics.count(|c| c.client_disconnected += 1);
+        self.revoke_unsent_attempts(&mut state, request);
+        drop(state);
+        self.handle_event(Event::ClientDisconnected { request });
+        self.remove_if_settled(request);
     }
 
-    fn attempt_ended(&self, request: RequestId, attempt: u32, exchange: &mut Exchange) {
-        let mut state = self.state.borrow_mut();
-        let Some(entry) = state.ledger.get_mut(&request) else {
+    /// Stops the attempts of a closed request of which nothing has been written.
+    fn revoke_unsent_attempts(&self, state: &mut State, request: RequestId) {
+        let Some(record) = state.requests.get_mut(request) else {
             return;
         };
-        let Some(a) = entry.attempts.get_mut(attempt as usize) else {
-            return;
-        };
-        if a.task.take().is_none() {
-            return; // Cancelled meanwhile: its end is told already.
+        for index in 0..record.attempts.len() as u32 {
+            let Some(end) = record.attempts[index as usize].revoke_unsent() else {
+                continue;
+            };
+            self.metrics.count(|c| c.count_attempt_end(end.outcome));
+            let result = record.attempt_result(AttemptId { request, index }, end);
+            state.events.push_back(Event::AttemptEnded(result));
         }
-        a.may_have_run = !exchange.outcome.never_executed();
-        let (server, latency) = (a.server, since(&entry.request, a.began));
-        a.end = Some((exchange.outcome, latency, exchange.load_report));
-        self.stats.count(|c| c.count_attempt_end(exchange.outcome));
-        let count = state.sent.entry(server).or_default();
-        match exchange.outcome {
-            AttemptOutcome::Rejected => count[1] += 1,
-            AttemptOutcome::ServerError | AttemptOutcome::ConnectionReset => count[2] += 1,
-            _ => {}
+    }
+
+    /// Marks an attempt as ended. Returns `None` if it has ended before.
+    fn end_attempt(
+        &self,
+        state: &mut State,
+        id: AttemptId,
+        finished: &FinishedAttempt,
+    ) -> Option<AttemptEnd> {
+        let record = state.requests.get_mut(id.request)?;
+        let attempt = record.attempts.get(id.index as usize)?;
+        if !attempt.is_in_flight() {
+            return None;
         }
-        let Some(entry) = state.ledger.get_mut(&request) else {
-            return;
+        let end = AttemptEnd {
+            outcome: finished.outcome,
+            latency: record.elapsed_since(attempt.started_at),
+            load_report: finished.load_report,
         };
-        if let Some(problem) = exchange.error.take().filter(|_| self.stats.may_log_error()) {
-            let id = printable(&entry.id);
-            let ms = latency.as_secs_f64() * 1e3;
-            self.log(format_args!(
-                "exchange_failed id={id} backend={server} attempt={attempt} ms={ms:.2} error=\"{problem}\""
-            ));
-        }
-        if let Some(ExchangeResponse::Complete(answer)) = exchange.response.take() {
-            // The first answer closes the request; a later one is the copy's and is dropped.
-            if let Some(reply) = entry.reply.take() {
-                self.count_served(entry);
-                let _ = reply.send(FinalResponse::Served(answer));
+        let attempt = &mut record.attempts[id.index as usize];
+        attempt.state = AttemptState::Ended(end);
+        self.metrics.count(|c| c.count_attempt_end(end.outcome));
+        state
+            .attempt_counts
+            .entry(attempt.backend)
+            .or_default()
+            .count_end(end.outcome);
+        if let Some(error) = &finished.error {
+            if self.metrics.may_log_error() {
+                let attempt = &record.attempts[id.index as usize];
+                let line = exchange_failed_line(record, id.index, attempt, error);
+                self.log(format_args!("{line}"));
             }
         }
-        // No further attempt for a client that has left.
-        if entry.abandoned() {
-            entry.reply = None;
-            self.stats.count(|c| c.client_disconnected += 1);
-        }
-        let closed = entry.reply.is_none();
-        let (outcome, report) = (exchange.outcome, exchange.load_report);
-        if closed {
-            self.withhold(&mut state, request);
-        }
-        drop(state);
-        self.handle_event(Event::AttemptEnded(AttemptResult {
-            request,
-            attempt,
-            backend: server,
-            outcome,
-            latency,
-            request_closed: closed,
-            load_report: report,
-        }));
-        self.settle(request);
-    }
-
-    /// Forgets a request that is answered and has nothing out.
-    fn settle(&self, request: RequestId) {
-        let state = &mut *self.state.borrow_mut();
-        let over =
-            |e: &RequestRecord| e.reply.is_none() && e.attempts.iter().all(|a| a.task.is_none());
-        if state.ledger.get(&request).is_some_and(over) {
-            let _ = state
-                .ledger
-                .remove(&request)
-                .is_some_and(|e| state.ids.remove(&e.id));
+        Some(end)
+    }
+
+    /// Sends a request's response to its client, unless it has had one: then this is the response to
+    /// a hedged attempt, and is dropped.
+    fn serve(&self, record: &mut RequestRecord, response: Response<ResponseBody>) {
+        if let Some(client) = record.close() {
+            self.count_served(record);
+            // The client may have disconnected in the meantime.
+            let _ = client.send(FinalResponse::Served(response));
         }
     }
 
-    // ---- what is to be done ----
-    /// Gives an event to the balancer and carries out what it wants done.
+    fn count_served(&self, record: &RequestRecord) {
+        let is_late = self.class_policy(record.class).is_some_and(|class| {
+            record.elapsed_since(record.accepted_at) > class.latency_objective
+        });
+        self.metrics.count(|c| c.served += 1);
+        self.metrics.count_class(record.class, |c| {
+            c.served += 1;
+            c.late += u32::from(is_late);
+        });
+    }
+
+    fn remove_if_settled(&self, request: RequestId) {
+        self.state.borrow_mut().requests.remove_if_settled(request);
+    }
+
+    /// Gives an event to the balancer and carries out the actions that it wants.
     fn handle_event(&self, event: Event) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
@@ -570,446 +410,312 @@
         match action {
             Action::StartAttempt {
                 request,
-                backend: server,
-                timeout: limit,
-            } => self.send(state, request, server, limit),
+                backend,
+                timeout,
+            } => self.start_attempt(state, request, backend, timeout),
             Action::Reject {
                 request,
-                retry_after: wait,
+                retry_after,
                 reason,
             } => {
-                self.finish(state, request, FinalResponse::Refused(wait), reason);
+                let response = FinalResponse::Rejected { retry_after };
+                self.give_up(state, request, response, reason);
             }
             Action::Fail { request, reason } => {
-                self.finish(state, request, FinalResponse::Failed, reason)
+                self.give_up(state, request, FinalResponse::Failed, reason);
             }
-            Action::CancelAttempt { request, attempt } => Self::cancel(state, request, attempt),
-            Action::SetTimer { at, timer } => {
-                let (me, at) = (self.me.clone(), self.clock.instant_at(at));
-                spawn_local(async move {
-                    tokio::time::sleep_until(at).await;
-                    me.upgrade()
-                        .iter()
-                        .for_each(|engine| engine.handle_event(Event::TimerFired { timer }));
-                });
+            Action::CancelAttempt { request, attempt } => {
+                let index = attempt;
+                cancel_attempt(state, AttemptId { request, index });
             }
-            Action::SendLoadProbe { backend: server } => self.probe(state, server),
+            Action::SetTimer { at, timer } => self.set_timer(at, timer),
+            Action::SendLoadProbe { backend } => self.send_load_probe(state, backend),
             Action::RefreshEndpointList => (self.refresh_endpoint_list)(),
             Action::Log(line) => self.log(format_args!("{line}")),
         }
     }
 
-    fn finish(
+    fn start_attempt(
         &self,
         state: &mut State,
         request: RequestId,
-        answer: FinalResponse,
-        reason: GiveUpReason,
+        backend_id: BackendId,
+        timeout: Option<Duration>,
     ) {
-        // A client that has left takes no answer; nothing is owed then.
-        let Some(entry) = state.ledger.get_mut(&request) else {
+        let started_at = Instant::now();
+        let Some(record) = state.requests.get_mut(request) else {
             return;
         };
-        let Some(reply) = entry.reply.take() else {
+        let index = record.attempts.len() as u32;
+        let id = AttemptId { request, index };
+        let backend = self
+            .backends
+            .get(backend_id)
+            .filter(|_| record.is_open())
+            .filter(|backend| self.is_allowed(record, backend));
+        let Some(backend) = backend else {
+            let (attempt, end) = Attempt::not_sent(backend_id, started_at);
+            self.metrics.count(|c| c.count_attempt_end(end.outcome));
+            record.attempts.push(attempt);
+            let result = record.attempt_result(id, end);
+            state.events.push_back(Event::AttemptEnded(result));
             return;
         };
-        let refused = matches!(answer, FinalResponse::Refused(_));
-        self.stats
-            .count_class(entry.class, |c| *c.given_up.entry(reason).or_default() += 1);
-        self.stats.count(|c| {
-            *(if refused {
-                &mut c.rejected
-            } else {
-                &mut c.failed
-            }) += 1;
-        });
-        let _ = reply.send(answer);
-        if self.stats.may_log_request(reason) {
-            self.log_given_up(entry, if refused { "rejected" } else { "failed" }, reason);
-        }
-        self.withhold(state, request);
+        let attempt = self.spawn_attempt(record, id, backend, started_at, timeout);
+        record.attempts.push(attempt);
+        self.metrics.count(|c| c.attempts += 1);
+        state.attempt_counts.entry(backend_id).or_default().started += 1;
     }
 
-    // ---- what is logged ----
-    fn count_served(&self, entry: &RequestRecord) {
-        let late = self
-            .aims
-            .get(usize::from(entry.class.0))
-            .is_some_and(|aim| since(&entry.request, entry.taken) > *aim);
-        self.stats.count(|c| c.served += 1);
-        self.stats.count_class(entry.class, |c| {
-            c.served += 1;
-            c.late += u32::from(late);
-        });
+    fn spawn_attempt(
+        &self,
+        record: &RequestRecord,
+        id: AttemptId,
+        backend: Rc<Backend>,
+        started_at: Instant,
+        timeout: Option<Duration>,
+    ) -> Attempt {
+        let progress: Rc<Cell<SendProgress>> = Rc::default();
+        let client = record.client.clone();
+        let terms = AttemptTerms {
+            deadline: timeout.map_or(record.deadline, |timeout| {
+                record.deadline.min(started_at + timeout)
+            }),
+            retry_until: self.retry_until(record),
+            is_client_waiting: Box::new(move || !has_disconnected(&client)),
+            progress: progress.clone(),
+        };
+        let identity = backend.identity();
+        let backend_id = backend.id();
+        let task = AttemptTask {
+            id,
+            backend,
+            request: record.request.clone(),
+            terms,
+            client: self.client.clone(),
+            observer: self.this.clone(),
+        };
+        Attempt {
+            backend: backend_id,
+            identity,
+            started_at,
+            state: AttemptState::InFlight {
+                task: spawn_local(task.run()).abort_handle(),
+                progress,
+            },
+        }
     }
 
-    /// One line on a request that ends badly, with all that became of it.
-    fn log_given_up(&self, entry: &RequestRecord, answer: &str, reason: GiveUpReason) {
-        let ms = |d: Duration| d.as_secs_f64() * 1e3;
-        let id = printable(&entry.id);
-        let mut line = format!(
-            "request id={id} class={} tenant={} response={answer} \
-             reason={reason:?} read_ms={:.2} age_ms={:.2} remaining_ms={:.0}",
-            entry.class,
-            entry.tenant,
-            ms(entry.taken - entry.since),
-            ms(entry.since.elapsed()),
-            ms(entry.due.saturating_duration_since(Instant::now())),
-        );
-        for a in &entry.attempts {
-            let at = ms(a.began - entry.since);
-            let _ = write!(line, " attempt={}@{at:.2}", a.server);
-            if let Some((outcome, latency, report)) = &a.end {
-                let _ = write!(line, ":{outcome:?}:{:.2}", ms(*latency));
-                let report = report.unwrap_or_default();
-                let figures = [
-                    ("utilization", report.utilization),
-                    ("queue_depth", report.queue_depth),
-                ];
-                for (name, figure) in figures.iter().filter_map(|f| Some((f.0, f.1?))) {
-                    let _ = write!(line, ":{name}={figure:.2}");
-                }
-            }
-        }
-        self.log(format_args!("{line}"));
+    /// Until when one more attempt may be sent, if an earlier one may have executed. The balancer
+    /// looks at the idempotency window when it decides; connecting takes time after that.
+    fn retry_until(&self, record: &RequestRecord) -> Option<Instant> {
+        let executed = record
+            .attempts
+            .iter()
+            .find(|attempt| attempt.as_prior().may_have_executed())?;
+        let window = self.idempotency(record.class).window()?;
+        Some(executed.started_at + window)
     }
 
-    /// The counters since they were last written, and what the balancer goes by.
-    pub fn log_stats(&self) {
-        for (reason, count) in self.stats.take_rejected_messages() {
-            self.log(format_args!("rejected count={count} reason=\"{reason}\""));
-        }
-        let Some((c, time)) = self.stats.take() else {
-            return;
-        };
-        let mut state = self.state.borrow_mut();
-        let sent = std::mem::take(&mut state.sent);
-        let view = state.balancer.snapshot(self.clock.now());
-        let (clients, open) = (
-            c.connections_accepted,
-            self.client.pool().open_connections(),
-        );
-        let mut line = format!(
-            "stats seconds={:.1} requests={} served={} rejected={} failed={} client_disconnected={} \
-             unlogged={} in_flight={} attempts={} server_errors={} attempts_rejected={} \
-             timed_out={} connect_failed={} connection_reset={} not_sent={} streamed={} \
-             stream_aborted={} connections_accepted={clients} connection_close_sent={} \
-             backend_connects={} backend_connections={open} in_maintenance={} shed={:.3} \
-             load={:.2} latency_ms={:.1} retry_budget={:.1}",
-            time.as_secs_f64(),
-            c.requests,
-            c.served,
-            c.rejected,
-            c.failed,
-            c.client_disconnected,
-            c.unlogged,
-            state.ledger.len(),
-            c.attempts,
-            c.server_errors,
-            c.attempts_rejected,
-            c.timed_out,
-            c.connect_failed,
-            c.connection_reset,
-            c.not_sent,
-            c.streamed,
-            c.stream_aborted,
-            c.connection_close_sent,
-            c.backend_connects,
-            self.backends.in_maintenance(),
-            view.shed_fraction,
-            view.mean_load,
-            view.typical_latency * 1e3,
-            view.retry_budget,
-        );
-        for (name, rate) in self.names().tenants.iter().zip(&view.quota_usage) {
-            let _ = write!(line, " {}={rate:.2}", name.escape_debug());
-        }
-        for (class, counts) in self.stats.take_classes() {
-            let name = self
-                .names()
-                .classes
-                .get(usize::from(class.0))
-                .map_or("", String::as_str);
-            let (asked, served, late) = (counts.requests, counts.served, counts.late);
-            let _ = write!(
-                line,
-                " class={}:requests={asked},served={served},late={late}",
-                name.escape_debug()
-            );
-            for (reason, count) in &counts.given_up {
-                let _ = write!(line, ",{reason:?}={count}");
-            }
+    /// Whether the invariants allow one more attempt of a request at a backend. The balancer keeps
+    /// them by itself, except where the list has changed since it decided.
+    fn is_allowed(&self, record: &RequestRecord, backend: &Backend) -> bool {
+        if !backend.accepts_requests() {
+            self.metrics.invariants.prevented(Invariant::Drain);
+            return false;
         }
-        // Those that it deals with, the busiest first, and no more than a line bears: there may be
-        // a thousand.
-        let mut dealt: Vec<_> = view
-            .backends
-            .iter()
-            .map(|s| (sent.get(&s.backend).copied(), s))
-            .collect();
-        dealt.retain(|(sent, s)| sent.is_some() || s.in_flight > 0 || s.share > 0.0);
-        dealt.sort_by_key(|(sent, s)| (std::cmp::Reverse(sent.unwrap_or_default()[0]), s.backend));
-        let unwritten = view.backends.len() - dealt.len().min(SERVERS_WRITTEN);
-        let _ = write!(
-            line,
-            " backends={} omitted={unwritten}",
-            view.backends.len()
+        let prior_attempts: Vec<PriorAttempt> =
+            record.attempts.iter().map(Attempt::as_prior).collect();
+        let allowed = send_invariants::may_retry(
+            self.idempotency(record.class),
+            self.hedging_allowed,
+            backend.identity(),
+            &prior_attempts,
         );
-        for (sent, s) in dealt.into_iter().take(SERVERS_WRITTEN) {
-            let load = s.load.unwrap_or(f64::NAN);
-            let [sent, full, bad] = sent.unwrap_or_default();
-            let (util, queue) = (
-                s.load_report.utilization.unwrap_or(f64::NAN),
-                s.load_report.queue_depth.unwrap_or(f64::NAN),
-            );
-            let _ = write!(
-                line,
-                " {}:weight={:.2},price={:.2},load={load:.2},utilization={util:.2},\
-                 queue_depth={queue:.2},available_capacity={:.2},speed={:.2},share={:.2},\
-                 in_flight={},attempts={sent},rejected={full},errors={bad}",
-                s.backend, s.weight, s.price, s.available_capacity, s.speed, s.share, s.in_flight
-            );
+        if let Err(invariant) = allowed {
+            self.metrics.invariants.violated(invariant);
+            debug_assert!(false, "{invariant:?}: {}", printable_id(&record.id));
         }
-        drop(state);
-        let _ = self.stats.invariants.write_to(&mut line);
-        self.log(format_args!("{line}"));
+        allowed.is_ok()
+    }
+
+    fn class_policy(&self, class: ClassId) -> Option<&ClassPolicy> {
+        self.classes.get(usize::from(class.0))
+    }
+
+    fn idempotency(&self, class: ClassId) -> Idempotency {
+        self.class_policy(class)
+            .map_or(Idempotency::NonIdempotent, |class| class.idempotency)
     }
 
-    fn send(
+    /// Gives a request its final response without a backend's.
+    fn give_up(
         &self,
         state: &mut State,
         request: RequestId,
-        server: BackendId,
-        limit: Option<Duration>,
+        response: FinalResponse,
+        reason: GiveUpReason,
     ) {
-        let began = Instant::now();
-        let Some(entry) = state.ledger.get_mut(&request) else {
+        let Some(record) = state.requests.get_mut(request) else {
             return;
         };
-        let attempt = entry.attempts.len() as u32;
-        let backend = self.backends.get(server).filter(|_| entry.reply.is_some());
-        let backend = backend.filter(|backend| self.may_send(entry, backend));
-        let Some(backend) = backend else {
-            let (outcome, latency, closed) = (
-                AttemptOutcome::NotSent,
-                Duration::ZERO,
-                entry.reply.is_none(),
-            );
-            let end = Some((outcome, latency, None));
-            self.stats.count(|c| c.count_attempt_end(outcome));
-            let (task, progress, place) = (None, Rc::default(), BackendIdentity::default());
-            let may_have_run = false;
-            entry.attempts.push(Attempt {
-                server,
-                place,
-                began,
-                may_have_run,
-                end,
-                task,
-                progress,
-            });
-            let report = None;
-            let ended = AttemptResult {
-                request,
-                attempt,
-                backend: server,
-                outcome,
-                latency,
-                request_closed: closed,
-                load_report: report,
-            };
-            return state.events.push_back(Event::AttemptEnded(ended));
+        // A client that has disconnected is owed nothing.
+        let Some(client) = record.close() else {
+            return;
         };
-        let until = limit.map_or(entry.due, |limit| entry.due.min(began + limit));
-        // The balancer looks at the window when it decides; connecting takes time after that, in
-        // which the client may leave.
-        let risky = entry.attempts.iter().find(|a| a.may_have_run);
-        let repeat_by = risky.and_then(|a| Some(a.began + self.effect(entry.class).window()?));
-        let client = entry.client.clone();
-        let progress: Rc<Cell<SendProgress>> = Rc::default();
-        let terms = AttemptTerms {
-            deadline: until,
-            retry_until: repeat_by,
-            is_client_waiting: Box::new(move || !left(&client)),
-            progress: progress.clone(),
+        let kind = match response {
+            FinalResponse::Rejected { .. } => GivenUpResponse::Rejected,
+            FinalResponse::Served(_) | FinalResponse::Failed => GivenUpResponse::Failed,
         };
-        let outgoing = entry.request.clone();
-        let (me, upstream) = (self.me.clone(), self.client.clone());
-        let place = backend.identity();
-        let task = spawn_local(async move {
-            let mut exchange = upstream.send_attempt(&backend, outgoing, terms).await;
-            if let Some(engine) = me.upgrade() {
-                engine
-                    .attempt_passing(request, attempt, &mut exchange)
-                    .await;
-            }
-            let connection = exchange.connection.take();
-            me.upgrade()
-                .iter()
-                .for_each(|e| e.attempt_ended(request, attempt, &mut exchange));
-            if let Some(connection) = connection {
-                upstream.pool().release(&backend, connection).await;
-            }
+        self.metrics.count_class(record.class, |c| {
+            *c.given_up.entry(reason).or_default() += 1
         });
-        self.stats.count(|c| c.attempts += 1);
-        state.sent.entry(server).or_default()[0] += 1;
-        let task = Some(task.abort_handle());
-        let (may_have_run, end) = (true, None);
-        entry.attempts.push(Attempt {
-            server,
-            place,
-            began,
-            may_have_run,
-            end,
-            task,
-            progress,
+        self.metrics.count(|c| match kind {
+            GivenUpResponse::Rejected => c.rejected += 1,
+            GivenUpResponse::Failed => c.failed += 1,
         });
-    }
-
-    /// Whether the rules allow one more attempt of a request at a server. The balancer keeps them
-    /// by itself: that it asks for what they forbid is a fault of its own, except where the list
-    /// has changed since.
-    fn may_send(&self, entry: &RequestRecord, backend: &Backend) -> bool {
-        if !backend.accepts_requests() {
-            self.stats.invariants.prevented(Invariant::Drain);
-            return false;
+        let _ = client.send(response);
+        if self.metrics.may_log_request(reason) {
+            let line = given_up_line(record, kind, reason);
+            self.log(format_args!("{line}"));
         }
-        let earlier: Vec<PriorAttempt> = entry
-            .attempts
-            .iter()
-            .map(|attempt| PriorAttempt {
-                backend: attempt.place,
-                execution: match (&attempt.task, attempt.may_have_run) {
-                    (Some(_), _) => Execution::InFlight,
-                    (None, true) => Execution::Possible,
-                    (None, false) => Execution::Never,
-                },
-            })
-            .collect();
-        let effect = self.effect(entry.class);
-        let allowed =
-            send_invariants::may_retry(effect, self.second_copies, backend.identity(), &earlier);
-        if let Err(rule) = allowed {
-            self.stats.invariants.violated(rule);
-            debug_assert!(false, "{rule:?}: {}", printable(&entry.id));
-        }
-        allowed.is_ok()
+        self.revoke_unsent_attempts(state, request);
     }
 
-    /// How far a class of requests may be repeated.
-    fn effect(&self, class: ClassId) -> Idempotency {
-        self.effects
-            .get(usize::from(class.0))
-            .copied()
-            .unwrap_or(Idempotency::NonIdempotent)
-    }
-
-    /// How many requests have no final answer yet.
-    pub fn open_requests(&self) -> usize {
-        self.state
-            .borrow()
-            .ledger
-            .values()
-            .filter(|entry| entry.reply.is_some())
-            .count()
+    fn set_timer(&self, at: Time, timer: TimerId) {
+        let fires_at = self.clock.instant_at(at);
+        let dispatcher = self.this.clone();
+        spawn_local(async move {
+            tokio::time::sleep_until(fires_at).await;
+            if let Some(dispatcher) = dispatcher.upgrade() {
+                dispatcher.handle_event(Event::TimerFired { timer });
+            }
+        });
     }
 
-    fn cancel(state: &mut State, request: RequestId, attempt: u32) {
-        let Some(entry) = state.ledger.get_mut(&request) else {
-            return;
-        };
-        let Some(a) = entry.attempts.get_mut(attempt as usize) else {
+    fn send_load_probe(&self, state: &mut State, backend_id: BackendId) {
+        let Some(backend) = self.backends.get(backend_id) else {
+            let result = LoadProbeResult {
+                backend: backend_id,
+                outcome: AttemptOutcome::NotSent,
+                latency: Duration::ZERO,
+                load_report: None,
+            };
+            state.events.push_back(Event::LoadProbeEnded(result));
             return;
         };
-        let Some(task) = a.task.take() else { return };
-        a.end = Some((AttemptOutcome::Cancelled, a.began.elapsed(), None));
-        task.abort(); // Its connection goes with it.
-        let (server, latency, closed) = (a.server, a.began.elapsed(), entry.reply.is_none());
-        let outcome = AttemptOutcome::Cancelled;
-        let ended = AttemptResult {
-            request,
-            attempt,
-            backend: server,
-            outcome,
-            latency,
-            request_closed: closed,
-            load_report: None,
-        };
-        state.events.push_back(Event::AttemptEnded(ended));
-    }
-
-    fn probe(&self, state: &mut State, server: BackendId) {
-        let Some(backend) = self.backends.get(server) else {
-            let (outcome, latency, report) = (AttemptOutcome::NotSent, Duration::ZERO, None);
-            return state
-                .events
-                .push_back(Event::LoadProbeEnded(LoadProbeResult {
-                    backend: server,
-                    outcome,
-                    latency,
-                    load_report: report,
-                }));
-        };
-        let (me, upstream, began) = (self.me.clone(), self.client.clone(), Instant::now());
+        let (dispatcher, client) = (self.this.clone(), self.client.clone());
+        let started_at = Instant::now();
         spawn_local(async move {
-            let exchange = upstream.send_load_probe(&backend, PROBE_TIMEOUT).await;
-            let (outcome, latency, report) =
-                (exchange.outcome, began.elapsed(), exchange.load_report);
-            let probed = LoadProbeResult {
-                backend: server,
-                outcome,
-                latency,
-                load_report: report,
+            let exchange = client.send_load_probe(&backend, LOAD_PROBE_TIMEOUT).await;
+            let result = LoadProbeResult {
+                backend: backend_id,
+                outcome: exchange.outcome,
+                latency: started_at.elapsed(),
+                load_report: exchange.load_report,
             };
-            me.upgrade()
-                .iter()
-                .for_each(|e| e.handle_event(Event::LoadProbeEnded(probed)));
+            if let Some(dispatcher) = dispatcher.upgrade() {
+                dispatcher.handle_event(Event::LoadProbeEnded(result));
+            }
             if let Some(connection) = exchange.connection {
-                upstream.pool().release(&backend, connection).await;
+                client.pool().release(&backend, connection).await;
             }
         });
     }
 }
 
-/// An attempt's time, which runs from the last byte of its request.
-fn since(request: &Request<RequestBody>, began: Instant) -> Duration {
-    let whole = request.body().upload().and_then(|upload| upload.ended_at());
-    whole.map_or(began, |at| began.max(at)).elapsed()
+impl AttemptObserver for Dispatcher {
+    fn response_started(&self, id: AttemptId, response: Response<ResponseBody>) -> bool {
+        let mut state = self.state.borrow_mut();
+        let Some(record) = state.requests.get_mut(id.request) else {
+            return false;
+        };
+        let attempt = record.attempts.get(id.index as usize);
+        let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight()) else {
+            return false;
+        };
+        let latency = record.elapsed_since(attempt.started_at);
+        if !record.is_open() {
+            return false;
+        }
+        self.metrics.count(|c| c.streamed += 1);
+        self.serve(record, response);
+        drop(state);
+        self.handle_event(Event::ResponseStarted {
+            request: id.request,
+            attempt: id.index,
+            latency,
+        });
+        true
+    }
+
+    fn attempt_finished(&self, id: AttemptId, finished: FinishedAttempt) {
+        let mut state = self.state.borrow_mut();
+        let Some(end) = self.end_attempt(&mut state, id, &finished) else {
+            return;
+        };
+        let Some(record) = state.requests.get_mut(id.request) else {
+            return;
+        };
+        if let Some(response) = finished.response {
+            self.serve(record, response);
+        }
+        // A client that has disconnected is owed no retry.
+        if record.is_abandoned() {
+            record.close();
+            self.metrics.count(|c| c.client_disconnected += 1);
+        }
+        let result: AttemptResult = record.attempt_result(id, end);
+        if result.request_closed {
+            self.revoke_unsent_attempts(&mut state, id.request);
+        }
+        drop(state);
+        self.handle_event(Event::AttemptEnded(result));
+        self.remove_if_settled(id.request);
+    }
 }
 
-/// A client's name for a request, cut and made harmless: anyone may have chosen it.
-fn printable(id: &[u8]) -> impl fmt::Display + '_ {
-    id[..id.len().min(64)].escape_ascii()
+fn cancel_attempt(state: &mut State, id: AttemptId) {
+    let Some(record) = state.requests.get_mut(id.request) else {
+        return;
+    };
+    let Some(attempt) = record.attempts.get_mut(id.index as usize) else {
+        return;
+    };
+    if let Some(end) = attempt.cancel() {
+        let result = record.attempt_result(id, end);
+        state.events.push_back(Event::AttemptEnded(result));
+    }
 }
 
-/// A request that the engine has taken.
-pub struct Taken {
-    engine: Option<Rc<Dispatcher>>,
+/// An accepted request whose final response is outstanding. Dropping it tells the dispatcher that
+/// the client has disconnected.
+pub struct PendingRequest {
+    dispatcher: Option<Rc<Dispatcher>>,
     id: RequestId,
-    answer: oneshot::Receiver<FinalResponse>,
+    response: oneshot::Receiver<FinalResponse>,
 }
 
-impl Taken {
-    /// Its name for the engine.
+impl PendingRequest {
+    /// Its id at this node.
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// The final answer, when `due` is over at the latest whatever the balancer does.
-    pub async fn answer(mut self, due: impl Future<Output = ()>) -> FinalResponse {
+    /// Waits for the final response, until `deadline` completes at the latest.
+    pub async fn answer(mut self, deadline: impl Future<Output = ()>) -> FinalResponse {
         tokio::select! {
             biased;
-            answer = &mut self.answer => answer.unwrap_or(FinalResponse::Failed),
-            () = due => FinalResponse::Failed,
+            response = &mut self.response => response.unwrap_or(FinalResponse::Failed),
+            () = deadline => FinalResponse::Failed,
         }
     }
 }
 
-impl Drop for Taken {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        // The client left, or its time ran out: if no answer was given, nothing is owed any more.
-        self.engine
-            .iter()
-            .for_each(|engine| engine.client_gone(self.id));
+        if let Some(dispatcher) = &self.dispatcher {
+            dispatcher.client_disconnected(self.id);
+        }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/requests/registry.rs
@@ -0,0 +1,179 @@
+//! All requests that have no final response yet or an attempt in flight.
+
+use super::attempts::{Attempt, AttemptEnd};
+use super::request::{FinalResponse, ForwardRequest};
+use crate::http1::upload::RequestBody;
+use crate::socket::is_closed_by_peer;
+use balancer::{AttemptResult, ClassId, RequestId, TenantId};
+use hyper::Request;
+use rustc_hash::FxHashMap;
+use std::collections::HashSet;
+use std::rc::Weak;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// What the client of a request is owed.
+enum ClientState {
+    /// The client waits for the final response.
+    Waiting(oneshot::Sender<FinalResponse>),
+    /// The final response was given, or the client disconnected.
+    Closed,
+}
+
+/// A request in progress.
+pub struct RequestRecord {
+    /// The client's id for it.
+    pub id: Box<[u8]>,
+    /// Its class.
+    pub class: ClassId,
+    /// Its tenant.
+    pub tenant: TenantId,
+    /// When its first byte was received.
+    pub first_byte_at: Instant,
+    /// When it was accepted for forwarding.
+    pub accepted_at: Instant,
+    /// When the final response is due.
+    pub deadline: Instant,
+    /// What is sent to backends.
+    pub request: Request<RequestBody>,
+    /// The connection that it came on.
+    pub client: Weak<TcpStream>,
+    /// Its attempts, in the order of their start.
+    pub attempts: Vec<Attempt>,
+    client_state: ClientState,
+}
+
+impl RequestRecord {
+    /// Whether the final response is still owed.
+    pub fn is_open(&self) -> bool {
+        matches!(self.client_state, ClientState::Waiting(_))
+    }
+
+    /// Closes the request, and returns where to send its final response. Returns `None` if it was
+    /// closed already.
+    pub fn close(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
+        match std::mem::replace(&mut self.client_state, ClientState::Closed) {
+            ClientState::Waiting(sender) => Some(sender),
+            ClientState::Closed => None,
+        }
+    }
+
+    /// Whether the client has disconnected without its response, as far as the system knows.
+    pub fn is_abandoned(&self) -> bool {
+        self.is_open() && has_disconnected(&self.client)
+    }
+
+    /// Time since `start`, or since the request's last byte if that came later.
+    pub fn elapsed_since(&self, start: Instant) -> Duration {
+        let upload = self.request.body().upload();
+        let last_byte_at = upload.and_then(|upload| upload.ended_at());
+        last_byte_at.map_or(start, |at| start.max(at)).elapsed()
+    }
+
+    /// The end of one of its attempts for the balancer.
+    pub fn attempt_result(&self, attempt: AttemptId, end: AttemptEnd) -> AttemptResult {
+        AttemptResult {
+            request: attempt.request,
+            attempt: attempt.index,
+            backend: self.attempts[attempt.index as usize].backend,
+            outcome: end.outcome,
+            latency: end.latency,
+            request_closed: !self.is_open(),
+            load_report: end.load_report,
+        }
+    }
+
+    fn is_settled(&self) -> bool {
+        !self.is_open() && !self.attempts.iter().any(Attempt::is_in_flight)
+    }
+}
+
+/// Names one attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptId {
+    /// Its request.
+    pub request: RequestId,
+    /// Its position among the request's attempts.
+    pub index: u32,
+}
+
+/// Owner of the requests in progress.
+#[derive(Default)]
+pub struct RequestRegistry {
+    records: FxHashMap<RequestId, RequestRecord>,
+    /// The clients' ids of all records. Clients choose them, hence the hasher with a secret.
+    client_ids: HashSet<Box<[u8]>>,
+    next_id: u64,
+}
+
+impl RequestRegistry {
+    /// Reserves the client's id for a request. Returns `None` if a request of the same id is in
+    /// progress.
+    pub fn reserve(&mut self, client_id: &[u8]) -> Option<RequestId> {
+        if !self.client_ids.insert(client_id.into()) {
+            return None;
+        }
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
+        Some(id)
+    }
+
+    /// Adds a request under a reserved id. Its final response is sent through `sender`.
+    pub fn insert(
+        &mut self,
+        id: RequestId,
+        request: ForwardRequest,
+        sender: oneshot::Sender<FinalResponse>,
+    ) {
+        let record = RequestRecord {
+            id: request.id,
+            class: request.class,
+            tenant: request.tenant,
+            first_byte_at: request.first_byte_at,
+            accepted_at: Instant::now(),
+            deadline: request.deadline,
+            request: request.request,
+            client: request.client,
+            attempts: Vec::new(),
+            client_state: ClientState::Waiting(sender),
+        };
+        self.records.insert(id, record);
+    }
+
+    /// The record of a request in progress.
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestRecord> {
+        self.records.get_mut(&id)
+    }
+
+    /// Number of requests in progress.
+    pub fn len(&self) -> usize {
+        self.records.len()
+    }
+
+    /// Number of requests whose final response is still owed.
+    pub fn open_requests(&self) -> usize {
+        self.records
+            .values()
+            .filter(|record| record.is_open())
+            .count()
+    }
+
+    /// Forgets a request that is closed and has no attempt in flight.
+    pub fn remove_if_settled(&mut self, id: RequestId) {
+        if !self.records.get(&id).is_some_and(RequestRecord::is_settled) {
+            return;
+        }
+        if let Some(record) = self.records.remove(&id) {
+            self.client_ids.remove(&record.id);
+        }
+    }
+}
+
+/// Whether a connection has been closed by the client or by the node.
+pub fn has_disconnected(client: &Weak<TcpStream>) -> bool {
+    client
+        .upgrade()
+        .is_none_or(|socket| is_closed_by_peer(&socket))
+}
--- /dev/null
+++ b/crates/proxy/src/requests/request_log.rs
@@ -0,0 +1,95 @@
+//! Log lines about single requests.
+
+use super::attempts::Attempt;
+use super::registry::RequestRecord;
+use crate::upstream::response::ExchangeError;
+use balancer::GiveUpReason;
+use std::fmt::{self, Write as _};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Bytes of a client's request id that are logged.
+const MAX_LOGGED_ID_BYTES: usize = 64;
+
+/// How a request was given up.
+#[derive(Clone, Copy, Debug)]
+pub enum GivenUpResponse {
+    /// Rejected.
+    Rejected,
+    /// Failed.
+    Failed,
+}
+
+impl fmt::Display for GivenUpResponse {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        formatter.write_str(match self {
+            GivenUpResponse::Rejected => "rejected",
+            GivenUpResponse::Failed => "failed",
+        })
+    }
+}
+
+/// A line on a request that was given up, with all its attempts.
+pub fn given_up_line(
+    record: &RequestRecord,
+    response: GivenUpResponse,
+    reason: GiveUpReason,
+) -> String {
+    let mut line = format!(
+        "request id={} class={} tenant={} response={response} \
+         reason={reason:?} read_ms={:.2} age_ms={:.2} remaining_ms={:.0}",
+        printable_id(&record.id),
+        record.class,
+        record.tenant,
+        milliseconds(record.accepted_at - record.first_byte_at),
+        milliseconds(record.first_byte_at.elapsed()),
+        milliseconds(record.deadline.saturating_duration_since(Instant::now())),
+    );
+    for attempt in &record.attempts {
+        // Writing to a string does not fail.
+        let _ = write_attempt(&mut line, record, attempt);
+    }
+    line
+}
+
+fn write_attempt(line: &mut String, record: &RequestRecord, attempt: &Attempt) -> fmt::Result {
+    let start = milliseconds(attempt.started_at - record.first_byte_at);
+    write!(line, " attempt={}@{start:.2}", attempt.backend)?;
+    let Some(end) = attempt.end() else {
+        return Ok(());
+    };
+    write!(line, ":{:?}:{:.2}", end.outcome, milliseconds(end.latency))?;
+    let report = end.load_report.unwrap_or_default();
+    if let Some(utilization) = report.utilization {
+        write!(line, ":utilization={utilization:.2}")?;
+    }
+    if let Some(queue_depth) = report.queue_depth {
+        write!(line, ":queue_depth={queue_depth:.2}")?;
+    }
+    Ok(())
+}
+
+/// A line on an attempt whose connection or response failed.
+pub fn exchange_failed_line(
+    record: &RequestRecord,
+    index: u32,
+    attempt: &Attempt,
+    error: &ExchangeError,
+) -> String {
+    let latency = attempt.end().map_or(Duration::ZERO, |end| end.latency);
+    format!(
+        "exchange_failed id={} backend={} attempt={index} ms={:.2} error=\"{error}\"",
+        printable_id(&record.id),
+        attempt.backend,
+        milliseconds(latency),
+    )
+}
+
+/// A client's request id, shortened and escaped: it may hold any bytes.
+pub fn printable_id(id: &[u8]) -> impl fmt::Display + '_ {
+    id[..id.len().min(MAX_LOGGED_ID_BYTES)].escape_ascii()
+}
+
+fn milliseconds(duration: Duration) -> f64 {
+    duration.as_secs_f64() * 1e3
+}
--- a/crates/proxy/src/send_invariants.rs
+++ b/crates/proxy/src/send_invariants.rs
@@ -68,6 +68,13 @@
     pub execution: Execution,
 }
 
+impl PriorAttempt {
+    /// Whether it may have executed, or may yet.
+    pub fn may_have_executed(self) -> bool {
+        self.execution != Execution::Never
+    }
+}
+
 /// What is known of an attempt immediately before its first byte is written.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptFacts {
@@ -126,7 +133,7 @@
     }
     let Some(executed) = prior_attempts
         .iter()
-        .find(|attempt| attempt.execution != Execution::Never)
+        .find(|attempt| attempt.may_have_executed())
     else {
         return Ok(());
     };
