--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -3,24 +3,26 @@
 mod common;
 use common::*;
 
-/// Asks once and lets whichever backend the request reaches answer; says which.
+/// Sends one request, answers it at whichever backend it reaches and returns that backend's name.
 async fn served_by(
     client: &mut Connection,
     backends: &[(&'static str, &ScriptedServer)],
 ) -> &'static str {
     client.send("safe", "20000m").await;
     let (a, b) = (&backends[0], &backends[1]);
-    let (name, (mut wire, _)) = tokio::select! {
+    let (name, (mut connection, _)) = tokio::select! {
         taken = a.1.accept_request() => (a.0, taken),
         taken = b.1.accept_request() => (b.0, taken),
     };
-    wire.respond("200 OK", "Connection: close\r\n", "").await;
+    connection
+        .respond("200 OK", "Connection: close\r\n", "")
+        .await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     name
 }
 
-/// A backend that is taken out gets nothing, also when lists go on naming it, drop it and name it
-/// again. One call back is enough for two calls out.
+/// Lists may go on naming the backend, drop it and name it again. One `ready` call ends two
+/// `maint` calls.
 #[tokio::test]
 async fn backend_stays_in_maintenance_across_list_updates() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -45,8 +47,7 @@
     while served_by(&mut client, &backends).await != "a" {}
 }
 
-/// One that the list has dropped may be called back, and is used once a list names it active again;
-/// a list that says it leaves counts for as much as ever.
+/// A backend that the list has dropped may be put back; a list that says it drains still counts.
 #[tokio::test]
 async fn backend_back_from_maintenance_is_unused_until_listed_active() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -78,18 +79,17 @@
     while served_by(&mut client, &backends).await != "a" {}
 }
 
-/// What is under way when a backend is taken out is finished.
 #[tokio::test]
 async fn backend_in_maintenance_finishes_its_requests() {
     let a = ScriptedServer::new().await;
     let (proxy, _discovery, _watch) = serve_with_admin(&[("a", &a)]).await;
     let mut client = proxy.connect().await;
     client.send("safe", "20000m").await;
-    let (mut wire, _) = a.accept_request().await;
+    let (mut connection, _) = a.accept_request().await;
     assert_eq!(proxy.admin_call("POST", "/backends/a/maint").await, 200);
-    wire.respond("200 OK", "", "whole").await;
+    connection.respond("200 OK", "", "whole").await;
     assert_eq!(client.read().await.expect("an answer").body, b"whole");
-    wire.expect_closed().await;
+    connection.expect_closed().await;
 }
 
 #[tokio::test]
@@ -125,12 +125,11 @@
         caller.write_until_closed(text).await;
         assert_eq!(caller.read().await.expect("an answer").status(), status);
     }
-    // Clients find none of this where they connect.
+    // The address for clients has none of these paths.
     assert_eq!(proxy.get("/healthcheck").await.status(), 404);
 }
 
-/// More callers than there are places, none of which finishes a call, keep nobody out: the first of
-/// them go.
+/// There are more idle connections than connection slots; the oldest of them are closed.
 #[tokio::test]
 async fn idle_admin_connections_do_not_block_operators() {
     let a = ScriptedServer::new().await;
@@ -149,8 +148,8 @@
     }
 }
 
-/// In a drain the front hears a no at once, a kept connection ends with its next answer and an idle
-/// one by itself, new ones are served while they come, and all of it ends with the drain.
+/// `/health/ready` fails at once, a kept connection ends with its next response and an idle one by
+/// itself, and new connections are served while they come.
 #[tokio::test]
 async fn drain_closes_client_connections_until_it_ends() {
     let a = ScriptedServer::new().await;
@@ -158,8 +157,10 @@
     let (mut kept, mut idle) = (proxy.connect().await, proxy.connect().await);
     for client in [&mut kept, &mut idle] {
         client.send("safe", "20000m").await;
-        let (mut wire, _) = a.accept_request().await;
-        wire.respond("200 OK", "Connection: close\r\n", "").await;
+        let (mut connection, _) = a.accept_request().await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", "")
+            .await;
         assert_eq!(
             client.read().await.expect("an answer").header("connection"),
             None
@@ -176,8 +177,10 @@
     );
     for client in [&mut kept, &mut proxy.connect().await] {
         client.send("safe", "20000m").await;
-        let (mut wire, _) = a.accept_request().await;
-        wire.respond("200 OK", "Connection: close\r\n", "").await;
+        let (mut connection, _) = a.accept_request().await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", "")
+            .await;
         let answer = client.read().await.expect("an answer");
         assert_eq!(
             (answer.status(), answer.header("connection")),
@@ -193,8 +196,10 @@
     let mut client = proxy.connect().await;
     for _ in 0..2 {
         client.send("safe", "20000m").await;
-        let (mut wire, _) = a.accept_request().await;
-        wire.respond("200 OK", "Connection: close\r\n", "").await;
+        let (mut connection, _) = a.accept_request().await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", "")
+            .await;
         assert_eq!(
             client.read().await.expect("an answer").header("connection"),
             None
@@ -208,13 +213,13 @@
     let (mut proxy, _discovery, _watch) = serve_with_admin(&[("a", &a)]).await;
     let mut client = proxy.connect().await;
     client.send("safe", "20000m").await;
-    let (mut wire, _) = a.accept_request().await;
+    let (mut connection, _) = a.accept_request().await;
     assert_eq!(proxy.admin_call("POST", "/healthcheck/fail").await, 200);
     proxy.signal("TERM").await;
     proxy.wait_for_log("leaving").await;
     assert_eq!(proxy.admin_call("GET", "/healthcheck").await, 503);
     assert_eq!(proxy.admin_call("POST", "/healthcheck/ok").await, 409);
-    wire.respond("200 OK", "", "").await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     assert!(proxy.wait_for_exit().await.success());
 }
@@ -236,17 +241,16 @@
     }
 }
 
-/// SIGTERM during a drain, while a backend hangs: what was taken gets its final answer, and the
-/// process ends.
+/// A backend hangs meanwhile; the process still ends.
 #[tokio::test]
 async fn sigterm_during_a_drain_leaves_no_request_unanswered() {
-    let server = ScriptedServer::new().await;
-    let (mut proxy, _discovery, _watch) = serve_with_admin(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (mut proxy, _discovery, _watch) = serve_with_admin(&[("s", &backend)]).await;
     let (mut hung, mut served) = (proxy.connect().await, proxy.connect().await);
     hung.send("unsafe", "1500m").await;
-    let (_wire, _) = server.accept_request().await;
+    let (_wire, _) = backend.accept_request().await;
     served.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     assert_eq!(proxy.admin_call("POST", "/healthcheck/fail").await, 200);
     proxy.signal("HUP").await;
     proxy.signal("TERM").await;
@@ -256,7 +260,7 @@
         (answer.status(), answer.header("connection")),
         (504, Some("close"))
     );
-    wire.respond("200 OK", "", "").await;
+    connection.respond("200 OK", "", "").await;
     let answer = served.read().await.expect("an answer");
     assert_eq!(
         (answer.status(), answer.header("connection")),
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -7,7 +7,7 @@
 
 const NOT_PROCESSED: &str = "X-Not-Processed: 1\r\n";
 
-/// What may stand between a request and the end of its connection.
+/// Bytes that may stand between a request and the end of its connection.
 fn trailing_bytes() -> [String; 5] {
     let head = "GET /safe HTTP/1.1\r\nHost: a\r\nX-Request-ID: behind\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n\r\n";
     let (part, junk) = (head[..20].to_owned(), "no request\r\n\r\n".to_owned());
@@ -20,13 +20,12 @@
     ]
 }
 
-/// The same, short enough for the system to take in with the close while the proxy takes nothing.
+/// The same, short enough for the kernel to buffer while the process reads nothing.
 fn trailing_bytes_that_fit() -> [String; 5] {
     trailing_bytes().map(|bytes| bytes.chars().take(24_000).collect())
 }
 
-/// A connection to a server that comes up after the client has left carries nothing, and the
-/// request is over: its name may be used again.
+/// The request is over by then, and its id may be used again.
 #[tokio::test]
 async fn late_upstream_connection_carries_nothing_for_a_disconnected_client() {
     for class in CLASSES {
@@ -75,8 +74,7 @@
     }
 }
 
-/// A request that would be repeated isn't, once its client has left: by a close, by a reset, and
-/// also where more bytes stand before the close.
+/// The client may close or reset its connection, with unread bytes before that.
 #[tokio::test]
 async fn no_retry_for_a_client_that_closed_after_further_bytes() {
     for (class, chunked) in [
@@ -86,7 +84,7 @@
         ("unsafe", true),
     ] {
         for bytes in trailing_bytes() {
-            // A proxy of its own: what is turned away makes a proxy refuse more.
+            // A process of its own: rejected attempts make a process shed load.
             let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
             let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
             let mut client = proxy.connect().await;
@@ -95,18 +93,19 @@
             } else {
                 client.send(class, "60000m").await;
             }
-            let ((mut wire, _), other) = tokio::select! {
+            let ((mut connection, _), other) = tokio::select! {
                 got = one.accept_request() => (got, &two),
                 got = two.accept_request() => (got, &one),
             };
             client.write_until_closed(&bytes).await;
             client.half_close().await;
-            wire.respond(
-                "503 Service Unavailable",
-                &format!("{NOT_PROCESSED}Connection: close\r\n"),
-                "",
-            )
-            .await;
+            connection
+                .respond(
+                    "503 Service Unavailable",
+                    &format!("{NOT_PROCESSED}Connection: close\r\n"),
+                    "",
+                )
+                .await;
             assert!(
                 other.is_untouched().await,
                 "{class} was sent again, {} bytes before the close",
@@ -116,15 +115,16 @@
     }
 }
 
-/// While the proxy was busy a request came, and its client left. Both are read in one turn.
+/// The process was stopped while the request and its disconnect arrived, so it reads both in one
+/// turn.
 #[tokio::test]
 async fn request_read_together_with_its_disconnect_is_not_sent() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut first = proxy.connect().await;
     first.send("safe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(first.read().await.expect("an answer").status(), 200);
     tokio::time::sleep(std::time::Duration::from_millis(50)).await; // The connection is ready for the next.
     for class in CLASSES {
@@ -146,28 +146,27 @@
                     proxy.signal("CONT").await;
                     let mut fence = proxy.connect().await;
                     fence.send_with_id("fence", "safe", "20000m").await;
-                    let request = wire.read().await.expect("a request");
-                    let told = format!(
+                    let request = connection.read().await.expect("a request");
+                    let case = format!(
                         "{class}, body {body}, {} trailing bytes, reset {reset}",
                         bytes.len()
                     );
-                    assert_eq!(request.header("x-request-id"), Some("fence"), "{told}");
-                    wire.respond("200 OK", "", "").await;
+                    assert_eq!(request.header("x-request-id"), Some("fence"), "{case}");
+                    connection.respond("200 OK", "", "").await;
                     assert_eq!(
                         fence.read().await.expect("an answer").status(),
                         200,
-                        "{told}"
+                        "{case}"
                     );
                     tokio::time::sleep(std::time::Duration::from_millis(50)).await;
-                    // As above.
                 }
             }
         }
     }
 }
 
-/// A server turns a request away in the very moment in which its client leaves: the proxy reads both
-/// in one turn, and what stands before the close may be more than it takes in.
+/// The process reads the rejection and the disconnect in one turn, and the bytes before the
+/// disconnect may be more than it buffers.
 #[tokio::test]
 async fn no_retry_for_a_client_that_disconnects_as_its_attempt_ends() {
     for (class, body) in [("safe", 0), ("keyed", 0), ("unsafe", 0), ("unsafe", 60_000)] {
@@ -184,17 +183,18 @@
                             .await;
                     }
                 }
-                let ((mut wire, _), other) = tokio::select! {
+                let ((mut connection, _), other) = tokio::select! {
                     got = one.accept_request() => (got, &two),
                     got = two.accept_request() => (got, &one),
                 };
                 proxy.signal("STOP").await;
-                wire.respond(
-                    "503 Service Unavailable",
-                    &format!("{NOT_PROCESSED}Connection: close\r\n"),
-                    "",
-                )
-                .await;
+                connection
+                    .respond(
+                        "503 Service Unavailable",
+                        &format!("{NOT_PROCESSED}Connection: close\r\n"),
+                        "",
+                    )
+                    .await;
                 client.write(&bytes).await;
                 if reset {
                     client.reset()
@@ -202,25 +202,24 @@
                     drop(client)
                 }
                 proxy.signal("CONT").await;
-                let told = format!(
+                let case = format!(
                     "{class}, body {body}, {} trailing bytes, reset {reset}",
                     bytes.len()
                 );
-                assert!(other.is_untouched().await, "sent again: {told}");
+                assert!(other.is_untouched().await, "sent again: {case}");
             }
         }
     }
 }
 
-/// A client may send more than the system takes in for the proxy, and go: its close comes behind all
-/// that.
+/// The client sends more than the kernel buffers for the process, so its FIN comes behind all that.
 #[tokio::test]
 async fn disconnect_after_endless_sending_is_detected() {
-    let server = ScriptedServer::new().await;
-    let (mut proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (mut proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "60000m").await;
-    let (_wire, _) = server.accept_request().await;
+    let (_wire, _) = backend.accept_request().await;
     client.write_until_closed(&"much ".repeat(2_000_000)).await;
     drop(client);
     while !within("the leaving to be counted", proxy.wait_for_log("stats "))
--- a/crates/proxy/tests/common/connection.rs
+++ b/crates/proxy/tests/common/connection.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// An HTTP message as it came.
+/// A received HTTP message.
 #[derive(Debug)]
 pub struct Message {
     /// Request or status line.
@@ -36,8 +36,7 @@
 }
 
 /// Held while a process starts and while a socket is closed. Between fork and exec a child holds
-/// copies of all sockets of the tests beside it, so that one closed meanwhile stays open for its
-/// peer: a closing would come late, and a connection that is to be refused would be taken.
+/// copies of all sockets of this process, so a socket closed meanwhile would stay open for its peer.
 static FORK_LOCK: Mutex<()> = Mutex::new(());
 
 pub fn lock_forks() -> MutexGuard<'static, ()> {
@@ -46,7 +45,7 @@
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// A socket, or what holds one, that is closed only while no process starts.
+/// A socket, or its owner, that is closed only while no process is being started.
 pub struct CloseGuarded<T>(pub Option<T>);
 
 impl<T> Deref for CloseGuarded<T> {
@@ -69,7 +68,7 @@
     }
 }
 
-/// One connection, either way.
+/// A TCP connection, accepted or made by the test.
 pub struct Connection(CloseGuarded<BufReader<TcpStream>>);
 
 impl Connection {
@@ -85,16 +84,16 @@
         )
     }
 
-    /// Closes it, and waits until the other side has seen that and closed as well.
+    /// Closes the connection and waits until the peer has closed it as well.
     pub async fn close(mut self) {
         self.0.get_mut().shutdown().await.expect("the closing");
         self.expect_closed().await;
     }
 
-    /// Closes it, whatever the other side does.
+    /// Closes the connection at once.
     pub fn close_now(self) {}
 
-    /// Ends it by a reset.
+    /// Resets the connection.
     pub fn reset(self) {
         self.0
             .get_ref()
@@ -102,7 +101,7 @@
             .expect("a socket to reset");
     }
 
-    /// Whether the other side has closed it by now, asked of the system and without waiting.
+    /// Whether the peer has closed the connection by now; does not wait.
     pub fn is_closed(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
         let peeked = SockRef::from(self.0.get_ref()).peek(&mut byte);
@@ -117,7 +116,7 @@
             .expect("writing");
     }
 
-    /// The next message; None if the connection ends first.
+    /// The next message; `None` if the connection ends first.
     pub async fn read(&mut self) -> Option<Message> {
         within("a message", self.read_message()).await
     }
@@ -153,8 +152,7 @@
         Some(message)
     }
 
-    /// The head of the next message, and its body as it was meant, by its own framing. None: it
-    /// ends too soon.
+    /// The head of the next message and its body, decoded by its framing; no body if it ends early.
     pub async fn read_streamed(&mut self) -> (Message, Option<Vec<u8>>) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -196,7 +194,7 @@
         }
     }
 
-    /// So many bytes as they come. None: there are fewer.
+    /// Exactly this many bytes; `None` if the connection ends first.
     pub async fn read_bytes(&mut self, count: usize) -> Option<Vec<u8>> {
         let mut bytes = vec![0; count];
         within("bytes", self.0.read_exact(&mut bytes))
@@ -205,7 +203,7 @@
             .map(|_| bytes)
     }
 
-    /// Waits for the other side to close.
+    /// Waits for the peer to close, without sending anything more.
     pub async fn expect_closed(&mut self) {
         let mut rest = Vec::new();
         let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
@@ -216,13 +214,12 @@
         );
     }
 
-    /// Writes as much as the other side takes before it closes.
+    /// Writes as much as the peer reads before it closes.
     pub async fn write_until_closed(&mut self, text: &str) {
         let _ = within("writing", self.0.get_mut().write_all(text.as_bytes())).await;
     }
 
-    /// Waits for the other side to end the connection, and says whether it closed without having
-    /// read all that was sent.
+    /// Waits for the peer to close, and returns whether it did so without reading all that was sent.
     pub async fn closed_over_unread_bytes(&mut self) -> bool {
         let mut rest = Vec::new();
         let ended = within("the connection's end", self.0.read_to_end(&mut rest)).await;
@@ -242,13 +239,13 @@
             .is_ok_and(tokio::io::Ready::is_error)
     }
 
-    /// Waits for the other side to close, whatever it still says.
+    /// Waits for the peer to close, whatever it still sends.
     pub async fn drain_until_closed(&mut self) {
         let mut rest = Vec::new();
         let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
     }
 
-    /// Answers with further header lines, each ended, and a body.
+    /// Writes a response with further header lines, each terminated, and a body.
     pub async fn respond(&mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         self.write(&format!(
@@ -257,7 +254,7 @@
         .await;
     }
 
-    /// Sends a request of a class and returns its answer.
+    /// Sends a request of a class and returns its response.
     pub async fn request(&mut self, class: &str) -> Option<Message> {
         self.send(class, "20000m").await;
         self.read().await
@@ -273,13 +270,13 @@
         .await;
     }
 
-    /// Sends an unsafe request with a body.
+    /// Sends a non-idempotent request with a body.
     pub async fn send_with_body(&mut self, id: &str, body: &str) {
         let length = format!("Content-Length: {}\r\n\r\n{body}", body.len());
         self.begin_unsafe(id, &length).await;
     }
 
-    /// The same in chunks.
+    /// The same with a chunked body.
     pub async fn send_chunked(&mut self, id: &str) {
         self.begin_unsafe(
             id,
@@ -296,7 +293,7 @@
             .await;
     }
 
-    /// Ends the sending, and waits for the other side to close.
+    /// Half-closes the connection and waits for the peer to close.
     pub async fn half_close(&mut self) {
         self.0.get_mut().shutdown().await.expect("the closing");
         self.drain_until_closed().await;
--- a/crates/proxy/tests/common/faults.rs
+++ b/crates/proxy/tests/common/faults.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// System calls of a node that fail as a test says.
+/// Control over the system calls of one proxy process.
 pub struct FaultInjection {
     pub control: SharedControl,
     path: PathBuf,
@@ -12,7 +12,7 @@
 }
 
 impl FaultInjection {
-    /// None fails yet.
+    /// No call fails yet.
     pub fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What a node is started with to have them.
+    /// The environment variables that preload the library.
     pub fn variables(&self) -> [(&str, &str); 2] {
         [
             ("LD_PRELOAD", self.library.to_str().expect("a path of text")),
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -21,7 +21,7 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Ends a test that waits for something that never comes; nothing is measured by it.
+/// Fails a test that waits for something that never comes; nothing is measured by it.
 pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     match tokio::time::timeout(Duration::from_secs(30), future).await {
         Ok(value) => value,
--- a/crates/proxy/tests/common/servers.rs
+++ b/crates/proxy/tests/common/servers.rs
@@ -8,9 +8,8 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A loopback address for one use, with the port left to the system. A port is soon given out
-/// again: on a shared address, what is meant for a server that has ended could reach another
-/// test's.
+/// A loopback address of this test's own, with port 0. Ports are soon reused: on a shared address a
+/// connection to a stopped listener could reach another test's.
 pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let process = std::process::id();
@@ -19,7 +18,7 @@
     ([127, octet(process / 254), octet(process), octet(last)], 0).into()
 }
 
-/// A listener that a test accepts from by hand.
+/// A backend or discovery service whose connections the test accepts and answers itself.
 pub struct ScriptedServer(CloseGuarded<TcpListener>);
 
 impl ScriptedServer {
@@ -27,7 +26,7 @@
         ScriptedServer::at(unique_address()).await
     }
 
-    /// The same at a given address.
+    /// Listens on a given address.
     pub async fn at(address: SocketAddr) -> Self {
         ScriptedServer(CloseGuarded(Some(
             TcpListener::bind(address).await.expect("a port"),
@@ -45,29 +44,29 @@
 
     /// A new connection and the first request on it.
     pub async fn accept_request(&self) -> (Connection, Message) {
-        let mut wire = self.accept().await;
-        let request = wire.read().await.expect("a request");
-        (wire, request)
+        let mut connection = self.accept().await;
+        let request = connection.read().await.expect("a request");
+        (connection, request)
     }
 
-    /// Whether a connection waits to be accepted.
+    /// Whether no connection arrives for a moment.
     pub async fn is_untouched(&self) -> bool {
         tokio::time::timeout(Duration::from_millis(50), self.0.accept())
             .await
             .is_err()
     }
 
-    /// For discovery: takes in a watch and begins its answer.
+    /// Accepts a discovery watch and starts its response; returns the request line too.
     pub async fn accept_watch(&self) -> (WatchStream, String) {
-        let (mut wire, request) = self.accept_request().await;
-        wire.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        let (mut connection, request) = self.accept_request().await;
+        connection
+            .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await;
-        (WatchStream(wire), request.start)
+        (WatchStream(connection), request.start)
     }
 }
 
-/// A listener whose queue of connections is full, which lets a further one wait until the kernel
-/// asks again.
+/// A listener whose accept queue is full: a further connection waits for the kernel's SYN retry.
 pub async fn full_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind(unique_address()).expect("a port");
@@ -91,7 +90,8 @@
             .await;
     }
 
-    /// Sends a list; [`ProxyProcess::holds`] tells when it has been taken.
+    /// Sends a list; [`ProxyProcess::wait_for_revision`](super::ProxyProcess::wait_for_revision)
+    /// waits until it is applied.
     pub async fn send_list(&mut self, revision: u64, complete: bool, members: &[Value]) {
         let list = json!({"revision": revision, "complete": complete, "members": members});
         self.send_line(&list.to_string()).await;
--- a/crates/proxy/tests/common/settings.rs
+++ b/crates/proxy/tests/common/settings.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// A server as discovery describes it.
+/// An endpoint as discovery describes it.
 pub fn endpoint(id: &str, address: SocketAddr, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "here", "flavor": "std", "cell": 1,
            "phase": phase, "size": 1.0, "up_since_ms": 0})
@@ -27,5 +27,5 @@
     })
 }
 
-/// What nodes are told that they may use: it holds 128 clients with large bodies.
+/// Memory limit in the configuration, in MB: enough for 128 clients with large bodies.
 pub const MEMORY_MB: u64 = 64;
--- a/crates/proxy/tests/configuration_reload.rs
+++ b/crates/proxy/tests/configuration_reload.rs
@@ -12,10 +12,10 @@
     revision: u64,
     members: &[serde_json::Value],
 ) -> WatchStream {
-    let (mut wire, request) = discovery.accept_request().await;
+    let (mut connection, request) = discovery.accept_request().await;
     assert_eq!(request.start, SNAPSHOT_REQUEST);
     let list = json!({"revision": revision, "complete": true, "members": members});
-    wire.respond("200 OK", "", &list.to_string()).await;
+    connection.respond("200 OK", "", &list.to_string()).await;
     let (watch, request) = discovery.accept_watch().await;
     assert_eq!(
         request,
@@ -24,10 +24,9 @@
     watch
 }
 
-/// SIGHUP must not end the proxy; the file's discovery prevails over the variable of the start from
-/// then on. The old watch goes once the new address has told its list. Versions of the two lists
-/// have nothing to do with each other: with the one held a watch at the new address would bring
-/// changes to a list that the proxy doesn't have.
+/// After SIGHUP the address in the file prevails over the environment variable. Revisions of the two
+/// lists are unrelated: a watch from the old revision would bring changes to a list that the process
+/// does not have. The old watch is closed once the new address has sent its list.
 #[tokio::test]
 async fn new_discovery_address_is_watched_from_its_snapshot() {
     let (kept, gone, new) = (
@@ -74,11 +73,11 @@
     proxy.wait_for_revision(8).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = new.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = new.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 
-    // Told again without a change, the watch stays; after that it moves once more.
+    // A reload without a change keeps the watch; the next one moves it once more.
     proxy.signal("HUP").await;
     proxy.wait_for_log("configuration read again").await;
     proxy
@@ -90,12 +89,12 @@
     assert!(second.is_untouched().await);
 }
 
-/// A file with anything wrong in it is not used at all.
+/// A file with any error in it is not used at all.
 #[tokio::test]
 async fn invalid_configuration_changes_nothing() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let other = ScriptedServer::new().await;
-    let (mut proxy, _discovery, mut watch) = serve(&[("s", &server)]).await;
+    let (mut proxy, _discovery, mut watch) = serve(&[("s", &backend)]).await;
     let good = json!({
         "listen": "127.0.0.1:0", "discovery": other.address().to_string(), "seed": "1f", "settings": settings(),
     });
@@ -124,18 +123,18 @@
     watch.0.expect_closed().await;
 }
 
-/// What the old address writes counts as told: it is heard until the new one has told its list.
+/// What the old address still writes counts as notified.
 #[tokio::test]
 async fn old_discovery_is_watched_until_the_new_one_sent_its_list() {
-    let (server, other) = (ScriptedServer::new().await, ScriptedServer::new().await);
-    let (mut proxy, _discovery, mut watch) = serve(&[("s", &server)]).await;
+    let (backend, other) = (ScriptedServer::new().await, ScriptedServer::new().await);
+    let (mut proxy, _discovery, mut watch) = serve(&[("s", &backend)]).await;
     proxy
         .reconfigure("discovery", json!(other.address().to_string()))
         .await;
     let (mut call, request) = other.accept_request().await;
     assert_eq!(request.start, SNAPSHOT_REQUEST);
     watch
-        .send_list(9, false, &[endpoint("s", server.address(), "leaving")])
+        .send_list(9, false, &[endpoint("s", backend.address(), "leaving")])
         .await;
     proxy.wait_for_revision(9).await;
     assert_eq!(
@@ -148,7 +147,7 @@
             .status(),
         503
     );
-    let list = json!({"revision": 3, "complete": true, "members": [endpoint("s", server.address(), "active")]});
+    let list = json!({"revision": 3, "complete": true, "members": [endpoint("s", backend.address(), "active")]});
     call.respond("200 OK", "", &list.to_string()).await;
     watch.0.expect_closed().await;
     let (_watch, request) = other.accept_watch().await;
@@ -156,13 +155,12 @@
     proxy.wait_for_revision(3).await;
 }
 
-/// The new address may not answer at first, or say that it can't. It is asked until it has told a
-/// whole list.
+/// The new address may not answer at first, or answer with an error.
 #[tokio::test]
 async fn snapshot_is_requested_until_received() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let other = ScriptedServer::new().await;
-    let (mut proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let (mut proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     proxy
         .reconfigure("discovery", json!(other.address().to_string()))
         .await;
@@ -172,19 +170,18 @@
         ("200 OK", "[]"),
         ("200 OK", &changes),
     ] {
-        let (mut wire, request) = other.accept_request().await;
+        let (mut connection, request) = other.accept_request().await;
         assert_eq!(request.start, SNAPSHOT_REQUEST);
-        wire.respond(status, "", body).await;
+        connection.respond(status, "", body).await;
     }
     let _watch = take_over(&other, 3, &[]).await;
     proxy.wait_for_revision(3).await;
 }
 
-/// Where lists come on request the new address is asked at once as well: the balancer knows of no
-/// reason to.
+/// The new address is called at once, although the balancer has not asked for it.
 #[tokio::test]
 async fn polled_discovery_address_is_replaced() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let (first, second) = (ScriptedServer::new().await, ScriptedServer::new().await);
     let mut settings = settings();
     settings["registry_mode"] = json!("subscribe");
@@ -198,21 +195,19 @@
     proxy
         .reconfigure("discovery", json!(second.address().to_string()))
         .await;
-    let _watch = take_over(&second, 2, &[endpoint("s", server.address(), "active")]).await;
+    let _watch = take_over(&second, 2, &[endpoint("s", backend.address(), "active")]).await;
     proxy.wait_until_ready().await;
     watch.0.expect_closed().await;
 }
 
-/// SIGHUP may come while the proxy leaves: it still finishes what it has, and exits as if it had not
-/// been told.
 #[tokio::test]
 async fn reload_during_shutdown_is_harmless() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let other = ScriptedServer::new().await;
-    let (mut proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let (mut proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     proxy.signal("TERM").await;
     proxy.wait_for_log("leaving").await;
     for _ in 0..3 {
@@ -221,8 +216,8 @@
     proxy
         .reconfigure("discovery", json!(other.address().to_string()))
         .await;
-    let _watch = take_over(&other, 2, &[endpoint("s", server.address(), "active")]).await;
-    wire.respond("200 OK", "", "").await;
+    let _watch = take_over(&other, 2, &[endpoint("s", backend.address(), "active")]).await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     assert!(proxy.wait_for_exit().await.success());
 }
--- a/crates/proxy/tests/connection_limits.rs
+++ b/crates/proxy/tests/connection_limits.rs
@@ -4,39 +4,39 @@
 use common::*;
 use serde_json::json;
 
-/// Idle connections and heads that never end keep nobody out, and never use up the descriptors.
+/// Idle connections and heads that never end neither keep clients out nor use up the descriptors.
 #[tokio::test]
 async fn idle_connections_beyond_the_descriptor_limit_are_evicted() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
         .descriptors(64)
-        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
+        .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for k in 0..100 {
         let mut client = proxy.connect().await;
         if k % 2 == 0 {
             client.write("POST /unsafe HT").await;
         }
-        crowd.push(client);
+        idle_clients.push(client);
     }
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     assert!(proxy.open_descriptors() <= 64);
-    wire.respond("200 OK", "", "").await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Clients that say nothing, or half a head, take all descriptors that they can get while discovery
-/// is down, and the system allows fewer of them than the configuration says. What the proxy itself
-/// needs is left: discovery's return is noticed, the console answers, servers are connected, and
-/// proper clients get a place.
+/// Idle clients take all descriptors they can get while discovery is down, and the system allows
+/// fewer descriptors than the configuration says. What the process needs itself is left: discovery's
+/// return is noticed, the admin address answers, backends are connected, and clients with requests
+/// are served.
 #[tokio::test]
 async fn clients_cannot_exhaust_the_descriptors_of_discovery_and_admin() {
     for asked in [false, true] {
-        let server = ScriptedServer::new().await;
+        let backend = ScriptedServer::new().await;
         let discovery = ScriptedServer::new().await;
         let address = discovery.address();
         drop(discovery); // It refuses connections until it is back.
@@ -48,15 +48,15 @@
             .descriptor_limit(96)
             .start()
             .await;
-        let mut crowd = Vec::new();
+        let mut idle_clients = Vec::new();
         for k in 0..200 {
             let mut client = proxy.connect().await;
             if k % 2 == 0 {
                 client.write_until_closed("POST /unsafe HT").await;
             }
-            crowd.push(client);
+            idle_clients.push(client);
         }
-        // A third of what the system allows is never theirs.
+        // A third of the limit is never theirs.
         for _ in 0..60 {
             assert!(
                 proxy.open_descriptors() <= 64,
@@ -69,91 +69,89 @@
         let discovery = ScriptedServer::at(address).await;
         let (mut watch, _) = discovery.accept_watch().await;
         watch
-            .send_list(1, true, &[endpoint("s", server.address(), "active")])
+            .send_list(1, true, &[endpoint("s", backend.address(), "active")])
             .await;
         proxy.wait_until_ready().await;
         assert_eq!(proxy.admin_call("GET", "/healthcheck").await, 200);
         let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.accept_request().await;
+        let (mut connection, _) = backend.accept_request().await;
         assert!(
             proxy.open_descriptors() <= 96,
             "{}",
             proxy.open_descriptors()
         );
-        wire.respond("200 OK", "", "").await;
+        connection.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
 }
 
-/// Connections that come all at once fill every place before any of them has had its turn. Room is
-/// made all the same.
+/// Connections that arrive at once fill every slot before the process has run; some are evicted all
+/// the same.
 #[tokio::test]
 async fn burst_of_idle_connections_does_not_block_new_clients() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
         .descriptors(64)
-        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
+        .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     proxy.signal("STOP").await;
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..100 {
-        crowd.push(proxy.connect().await);
+        idle_clients.push(proxy.connect().await);
     }
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
     proxy.signal("CONT").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Requests may come with their connections, and more at once than there are places: room is made
-/// where nothing was asked, not where a request is still to be read.
+/// Connections without a request are evicted, not those whose request is still to be read.
 #[tokio::test]
 async fn burst_of_requests_beyond_the_connection_limit_is_served() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
         .descriptors(64)
-        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
+        .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     proxy.signal("STOP").await;
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..40 {
         let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
-        crowd.push(client);
+        idle_clients.push(client);
     }
     proxy.signal("CONT").await;
     let answering = tokio::spawn(async move {
         let mut serving = tokio::task::JoinSet::new();
         loop {
-            let mut wire = server.accept().await;
+            let mut connection = backend.accept().await;
             serving.spawn(async move {
-                while wire.read().await.is_some() {
-                    wire.respond("200 OK", "", "").await;
+                while connection.read().await.is_some() {
+                    connection.respond("200 OK", "", "").await;
                 }
             });
         }
     });
-    for client in &mut crowd {
-        // Served or refused, each is answered.
+    for client in &mut idle_clients {
+        // Served or rejected, each gets a response.
         assert!([200, 503].contains(&client.read().await.expect("an answer").status()));
     }
     answering.abort();
 }
 
-/// Every place taken by a body of the largest kind, and each answered with one: memory stays within
-/// its limit.
+/// Every connection slot holds a buffered body of the largest size, in both directions.
 #[tokio::test]
 async fn largest_bodies_on_every_connection_fit_into_memory() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let large = "x".repeat(64 << 10);
     let mut clients = Vec::new();
-    let mut wires = Vec::new();
+    let mut connections = Vec::new();
     for k in 0..128 {
         let mut client = proxy.connect().await;
         let head =
@@ -165,17 +163,17 @@
             ))
             .await;
         tokio::select! {
-            (wire, request) = server.accept_request() => {
+            (connection, request) = backend.accept_request() => {
                 assert_eq!(request.body.len(), large.len());
-                wires.push(wire);
+                connections.push(connection);
                 clients.push(client);
             }
             answer = client.read() => assert_eq!(answer.expect("an answer").status(), 503),
         }
     }
-    let held = wires.len();
-    for wire in &mut wires {
-        wire.respond("200 OK", "", &large).await;
+    let held = connections.len();
+    for connection in &mut connections {
+        connection.respond("200 OK", "", &large).await;
     }
     for client in &mut clients {
         assert_eq!(
@@ -187,8 +185,8 @@
     assert!(proxy.peak_memory_kib() < MEMORY_MB << 10);
 }
 
-/// More servers than descriptors: idle connections are closed for new ones, and the proxy's own
-/// shortage never passes for a server's failure.
+/// Idle connections are closed for new ones, and the process's own shortage never counts as a
+/// backend's failure.
 #[tokio::test]
 async fn more_backends_than_descriptors_are_served() {
     let discovery = ScriptedServer::new().await;
@@ -196,29 +194,29 @@
         .descriptors(64)
         .start()
         .await;
-    let mut servers = Vec::new();
+    let mut backends = Vec::new();
     for _ in 0..40 {
-        servers.push(ScriptedServer::new().await);
+        backends.push(ScriptedServer::new().await);
     }
     let (mut watch, _) = discovery.accept_watch().await;
     let list = |only: usize| {
         vec![endpoint(
             &format!("s{only}"),
-            servers[only].address(),
+            backends[only].address(),
             "active",
         )]
     };
-    let all: Vec<_> = (0..servers.len()).flat_map(list).collect();
+    let all: Vec<_> = (0..backends.len()).flat_map(list).collect();
     watch.send_list(1, true, &all).await;
     proxy.wait_until_ready().await;
-    let mut wires = Vec::new();
+    let mut connections = Vec::new();
     let mut client = proxy.connect().await;
-    for k in 0..servers.len() {
-        // All but one drain, and keep their connections until they are gone.
-        let phases = (0..servers.len()).map(|s| {
+    for k in 0..backends.len() {
+        // All but one drain, and keep their connections until they are removed.
+        let phases = (0..backends.len()).map(|s| {
             endpoint(
                 &format!("s{s}"),
-                servers[s].address(),
+                backends[s].address(),
                 if s == k { "active" } else { "leaving" },
             )
         });
@@ -227,30 +225,30 @@
             .await;
         proxy.wait_for_revision(2 + k as u64).await;
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = servers[k].accept_request().await;
-        wire.respond("200 OK", "", "").await;
+        let (mut connection, _) = backends[k].accept_request().await;
+        connection.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
-        wires.push(wire);
+        connections.push(connection);
     }
     assert!(proxy.open_descriptors() <= 64);
 }
 
-/// A connection is closed by the proxy well before the server would: a request that crosses that may
-/// be lost.
+/// The process closes them well before the backend would: a request that crosses the backend's close
+/// may be lost.
 #[tokio::test]
 async fn idle_upstream_connections_are_closed() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let mut settings = settings();
     settings["limits"]["conn_idle_ns"] = json!(400_000_000);
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
         .settings(settings)
-        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
+        .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    wire.expect_closed().await;
+    connection.expect_closed().await;
 }
--- a/crates/proxy/tests/discovery_watch.rs
+++ b/crates/proxy/tests/discovery_watch.rs
@@ -5,20 +5,19 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// A call that was given up for its silence may be answered all the same: what it tells counts as
-/// told.
+/// What it says counts as notified although the call was given up.
 #[tokio::test]
 async fn late_response_to_an_unanswered_call_is_applied() {
-    let server = ScriptedServer::new().await;
-    let (proxy, discovery, watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, discovery, watch) = serve(&[("s", &backend)]).await;
     drop(watch);
     let (mut late, _) = discovery.accept_request().await;
-    // Only once the first is given up there is a second.
+    // The second call begins only once the first is given up.
     let (_second, _) = discovery.accept_request().await;
     late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .await;
     let mut late = WatchStream(late);
-    late.send_list(2, false, &[endpoint("s", server.address(), "leaving")])
+    late.send_list(2, false, &[endpoint("s", backend.address(), "leaving")])
         .await;
     proxy.wait_for_revision(2).await;
     assert_eq!(
@@ -33,26 +32,25 @@
     );
 }
 
-/// The next call may be answered first, and its watch end instead of telling: the late answer is
-/// heard all the same.
+/// The next watch may end without a list.
 #[tokio::test]
 async fn late_response_is_applied_although_the_next_watch_is_open() {
-    let server = ScriptedServer::new().await;
-    let (proxy, discovery, watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, discovery, watch) = serve(&[("s", &backend)]).await;
     drop(watch);
     let (mut late, _) = discovery.accept_request().await;
     let (_second, _) = discovery.accept_watch().await;
-    // It is open once the proxy has read its head; its pause after that is long enough.
+    // The watch is open once the process has read its head; the pause after that is long enough.
     tokio::time::sleep(Duration::from_millis(200)).await;
     late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .await;
     let mut late = WatchStream(late);
-    late.send_list(2, false, &[endpoint("s", server.address(), "leaving")])
+    late.send_list(2, false, &[endpoint("s", backend.address(), "leaving")])
         .await;
     proxy.wait_for_revision(2).await;
 }
 
-/// A whole list leaves out what drains, without being of another version for that.
+/// A snapshot leaves out draining endpoints, without being of another revision for that.
 #[tokio::test]
 async fn late_snapshot_of_the_same_revision_is_applied() {
     let (kept, left) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -79,15 +77,14 @@
         .filter(|member| member["id"] != drains)
         .collect();
     WatchStream(late).send_list(1, true, &named).await;
-    out.expect_closed().await; // Nothing more goes to a server that is gone, nor is a connection to it kept.
+    out.expect_closed().await; // Nothing more goes to a backend that is gone, nor is a connection to it kept.
 }
 
-/// Of a pushed list all that was missed counts as told once discovery is back: it is asked for
-/// often while nobody is there.
+/// Changes of a pushed list count as notified once discovery is back, so it has to be called often.
 #[tokio::test]
 async fn unavailable_discovery_is_retried_often() {
-    let server = ScriptedServer::new().await;
-    let (mut proxy, discovery, watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (mut proxy, discovery, watch) = serve(&[("s", &backend)]).await;
     watch.0.reset();
     for _ in 0..8 {
         discovery.accept().await.reset();
@@ -100,22 +97,21 @@
     }
 }
 
-/// An empty line is due every 2 s. A watch that has nothing to say any more may be cut off, and
-/// news that it misses counts as told all the same.
+/// An empty line is due every 2 s; a watch without one may be cut off from updates that count as
+/// notified.
 #[tokio::test]
 async fn silent_watch_is_reopened() {
-    let server = ScriptedServer::new().await;
-    let (_node, discovery, mut watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (_node, discovery, mut watch) = serve(&[("s", &backend)]).await;
     let (_next, request) = discovery.accept_watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
     watch.0.expect_closed().await;
 }
 
-/// One that takes the place of a silent one may be answered and say nothing, or not be answered at
-/// all.
+/// The watch that replaces a silent one may send nothing, or not be answered at all.
 #[tokio::test]
 async fn unanswered_watch_is_given_up() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     for asked in [false, true] {
         let discovery = ScriptedServer::new().await;
         let mut settings = settings();
@@ -126,42 +122,41 @@
             .await;
         let (mut first, _) = discovery.accept_watch().await;
         first
-            .send_list(1, true, &[endpoint("s", server.address(), "active")])
+            .send_list(1, true, &[endpoint("s", backend.address(), "active")])
             .await;
         proxy.wait_until_ready().await;
         let (mut mute, _) = discovery.accept_watch().await;
         let (mut unanswered, _) = discovery.accept_request().await;
         let (mut last, request) = discovery.accept_watch().await;
         assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
-        last.send_list(2, false, &[endpoint("s", server.address(), "leaving")])
+        last.send_list(2, false, &[endpoint("s", backend.address(), "leaving")])
             .await;
         proxy.wait_for_revision(2).await;
-        // What was given up is heard until then, and no longer.
+        // The call that was given up is read until then, and no longer.
         first.0.expect_closed().await;
         mute.0.expect_closed().await;
         unanswered.expect_closed().await;
     }
 }
 
-/// What a watch brought before its end is heeded, however it ends.
 #[tokio::test]
 async fn update_received_before_a_reset_is_applied() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, mut watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, mut watch) = serve(&[("s", &backend)]).await;
     watch
-        .send_list(2, false, &[endpoint("s", server.address(), "leaving")])
+        .send_list(2, false, &[endpoint("s", backend.address(), "leaving")])
         .await;
     watch.0.reset();
     proxy.wait_for_revision(2).await;
 }
 
-/// Indented lists are lists, on a watch too, and wherever they are cut.
+/// Wherever the list is cut into pieces.
 #[tokio::test]
 async fn indented_json_is_read_on_the_watch() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, mut watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, mut watch) = serve(&[("s", &backend)]).await;
     let indented = |revision: u64| {
-        let list = json!({"revision": revision, "complete": false, "members": [endpoint("s", server.address(), "leaving")]});
+        let list = json!({"revision": revision, "complete": false, "members": [endpoint("s", backend.address(), "leaving")]});
         serde_json::to_string_pretty(&list).expect("a list")
     };
     watch.send_line(&indented(2)).await;
@@ -180,13 +175,13 @@
 
 #[tokio::test]
 async fn failed_or_broken_watch_is_reopened() {
-    let server = ScriptedServer::new().await;
-    let (proxy, discovery, watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, discovery, watch) = serve(&[("s", &backend)]).await;
     drop(watch);
-    let (mut wire, _) = discovery.accept_request().await;
-    wire.respond("503 Service Unavailable", "", "").await;
+    let (mut connection, _) = discovery.accept_request().await;
+    connection.respond("503 Service Unavailable", "", "").await;
     let (mut watch, _) = discovery.accept_watch().await;
-    // A list may come in pieces.
+    // A list may arrive in pieces.
     let list = json!({"revision": 2, "complete": true, "members": []}).to_string();
     let (a, b) = list.split_at(11);
     watch.0.write(&format!("{:x}\r\n{a}\r\n", a.len())).await;
@@ -194,7 +189,7 @@
         .0
         .write(&format!("1\r\n\n\r\n{:x}\r\n{b}\n\r\n", b.len() + 1).replacen("1\r\n\n\r\n", "", 1))
         .await;
-    drop(server);
+    drop(backend);
     assert_eq!(
         proxy
             .connect()
@@ -207,10 +202,10 @@
     );
 }
 
-/// Where lists come on request, the balancer says when to ask; the end of a watch is a failed call.
+/// The end of a watch is a failed call.
 #[tokio::test]
 async fn polled_discovery_is_called_when_the_balancer_asks() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let mut settings = settings();
     settings["registry_mode"] = json!("subscribe");
@@ -219,18 +214,17 @@
         .start()
         .await;
     assert_eq!(proxy.get("/health/ready").await.status(), 503);
-    let (mut wire, _) = discovery.accept_request().await;
-    wire.respond("503 Service Unavailable", "", "").await;
+    let (mut connection, _) = discovery.accept_request().await;
+    connection.respond("503 Service Unavailable", "", "").await;
     let (mut watch, request) = discovery.accept_watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=0 HTTP/1.1");
     watch
-        .send_list(1, true, &[endpoint("s", server.address(), "active")])
+        .send_list(1, true, &[endpoint("s", backend.address(), "active")])
         .await;
     proxy.wait_until_ready().await;
 }
 
-/// Nodes that lose their watches at one moment don't come back in step, however often they are
-/// turned away.
+/// Nodes that lose their watches together must not reconnect in step, however often they are refused.
 #[tokio::test]
 async fn reconnect_backoff_differs_between_nodes() {
     let mut pauses = Vec::new();
@@ -243,8 +237,8 @@
             .start()
             .await;
         for longest in [100, 200, 400] {
-            let (mut wire, _) = discovery.accept_request().await;
-            wire.respond("503 Service Unavailable", "", "").await;
+            let (mut connection, _) = discovery.accept_request().await;
+            connection.respond("503 Service Unavailable", "", "").await;
             let line = proxy.wait_for_log("again in ").await;
             let pause: u64 = line
                 .split(' ')
@@ -259,15 +253,14 @@
     assert_ne!(pauses[..3], pauses[3..]);
 }
 
-/// What a call has missed that was given up for its silence counts as told in the end: after
-/// refusals have made the pauses long it is followed at once. Its silence was a pause.
+/// Refusals have made the backoff long; the time without an answer was pause enough.
 #[tokio::test]
 async fn unanswered_call_is_retried_at_once() {
     let discovery = ScriptedServer::new().await;
     let mut proxy = ProxyBuilder::new(discovery.address()).start().await;
     for _ in 0..5 {
-        let (mut wire, _) = discovery.accept_request().await;
-        wire.respond("503 Service Unavailable", "", "").await;
+        let (mut connection, _) = discovery.accept_request().await;
+        connection.respond("503 Service Unavailable", "", "").await;
     }
     let (mut unanswered, _) = discovery.accept_request().await;
     let line = proxy.wait_for_log("silent for too long; again in ").await;
@@ -282,12 +275,11 @@
     let _ = discovery.accept_request().await;
 }
 
-/// A list that has begun and does not end leaves the proxy without what it would have said, whatever
-/// still comes behind it.
+/// Whatever still arrives behind it.
 #[tokio::test]
 async fn unterminated_list_is_requested_again() {
-    let server = ScriptedServer::new().await;
-    let (proxy, discovery, mut watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, discovery, mut watch) = serve(&[("s", &backend)]).await;
     watch
         .send_line("{\"revision\": 2, \"complete\": false, \"members\": [")
         .await;
@@ -303,7 +295,7 @@
         next = discovery.accept_watch() => next,
     };
     assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
-    next.send_list(2, false, &[endpoint("s", server.address(), "leaving")])
+    next.send_list(2, false, &[endpoint("s", backend.address(), "leaving")])
         .await;
     proxy.wait_for_revision(2).await;
 }
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -4,8 +4,8 @@
 use common::*;
 use serde_json::json;
 
-/// Whole lists drop what they don't name; changes drop what has left; an address may change under
-/// the same id.
+/// Snapshots drop what they do not name, deltas drop what was removed, and an address may change
+/// under the same id.
 #[tokio::test]
 async fn requests_follow_the_endpoint_list() {
     let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -21,7 +21,7 @@
     watch
         .send_list(2, true, &[endpoint("two", two.address(), "active")])
         .await;
-    at_one.expect_closed().await; // Nothing more goes to a server that is gone.
+    at_one.expect_closed().await; // Nothing more goes to a backend that is gone.
     client.send("unsafe", "20000m").await;
     (at_two, _) = two.accept_request().await;
     at_two.respond("200 OK", "", "").await;
@@ -46,26 +46,25 @@
     );
 }
 
-/// A restart under the same id leaves no connection worth keeping, though a dead machine's look
-/// open.
+/// A dead machine's connections look open.
 #[tokio::test]
 async fn backend_restart_abandons_its_connections() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, mut watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, mut watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut old, _) = server.accept_request().await;
+    let (mut old, _) = backend.accept_request().await;
     old.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    let mut entry = endpoint("s", server.address(), "active");
+    let mut entry = endpoint("s", backend.address(), "active");
     entry["up_since_ms"] = json!(1_700_000_000_000u64);
     watch.send_list(2, false, &[entry.clone()]).await;
     old.expect_closed().await;
     client.send("unsafe", "20000m").await;
-    let (mut new, _) = server.accept_request().await;
+    let (mut new, _) = backend.accept_request().await;
     new.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    // The same start told once more is no restart.
+    // The same start time once more is no restart.
     watch.send_list(3, true, &[entry]).await;
     proxy.wait_for_revision(3).await;
     tokio::time::sleep(std::time::Duration::from_millis(50)).await; // It rests before it is used again.
@@ -75,8 +74,7 @@
         .expect("the next request on the same connection");
 }
 
-/// Connecting takes time: word of a drain that comes meanwhile keeps the request back, and since it
-/// was never sent even an unsafe one may be refused.
+/// Nothing was sent, so even a non-idempotent request may be rejected.
 #[tokio::test]
 async fn drain_received_while_connecting_prevents_the_attempt() {
     let (listener, address, filling) = full_listener().await;
@@ -117,8 +115,7 @@
     );
 }
 
-/// Word of a move that comes while connecting: what listens at the old address is not that server
-/// any more.
+/// What listens at the old address is no longer that backend.
 #[tokio::test]
 async fn address_change_received_while_connecting_prevents_the_attempt() {
     let new = ScriptedServer::new().await;
@@ -142,11 +139,11 @@
     let (mut old, _) = within("the proxy's connection", listener.accept())
         .await
         .expect("a connection");
-    // Whether it goes to the new address or back to the client is the balancer's to say.
+    // The balancer decides whether it goes to the new address or is rejected.
     let answer = tokio::select! {
         answer = client.read() => answer,
-        (mut wire, _) = new.accept_request() => {
-            wire.respond("200 OK", "", "").await;
+        (mut connection, _) = new.accept_request() => {
+            connection.respond("200 OK", "", "").await;
             client.read().await
         }
     };
@@ -165,11 +162,10 @@
     );
 }
 
-/// Figures may be well-formed and absurd: every request still gets an answer, and sane ones bring
-/// service back.
+/// Every request still gets a response, and reasonable numbers restore service.
 #[tokio::test]
 async fn extreme_numbers_are_tolerated() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let mut settings = settings();
     settings["report"] = json!({"how": "pull", "fields": ["outstanding", "utilization"]});
@@ -181,9 +177,9 @@
     let mut revision = 0;
     let mut ask = async |key: &str, value: &serde_json::Value, report: &str| {
         revision += 1;
-        let mut odd = endpoint("s", server.address(), "active");
+        let mut odd = endpoint("s", backend.address(), "active");
         odd[key] = value.clone();
-        // Named twice, beside a sane one and one that nobody knows and that has left.
+        // Listed twice, beside a reasonable entry and a removed one that was never listed.
         let left = json!({"id": "", "phase": "left"});
         watch
             .send_list(
@@ -192,7 +188,7 @@
                 &[
                     odd.clone(),
                     odd,
-                    endpoint("t", server.address(), "active"),
+                    endpoint("t", backend.address(), "active"),
                     left,
                 ],
             )
@@ -203,15 +199,16 @@
         let answering = async {
             let mut serving = tokio::task::JoinSet::new();
             loop {
-                let (mut wire, report) = (server.accept().await, report.to_owned());
+                let (mut connection, report) = (backend.accept().await, report.to_owned());
                 serving.spawn(async move {
-                    while let Some(request) = wire.read().await {
+                    while let Some(request) = connection.read().await {
                         let body = if request.start.starts_with("GET /stats") {
                             &report
                         } else {
                             "served"
                         };
-                        wire.respond("200 OK", &format!("X-Server-Load: {report}\r\n"), body)
+                        connection
+                            .respond("200 OK", &format!("X-Server-Load: {report}\r\n"), body)
                             .await;
                     }
                 });
@@ -260,8 +257,7 @@
     within("service", back).await;
 }
 
-/// Duplicates are dropped only for a while: a connection that comes up after that carries no
-/// repeat.
+/// Backends deduplicate for a limited time: a connection that is established later carries no retry.
 #[tokio::test]
 async fn retry_is_prevented_after_the_idempotency_window() {
     let first = ScriptedServer::new().await;
@@ -276,12 +272,14 @@
         .await;
     let mut client = proxy.connect().await;
     client.send("keyed", "20000m").await;
-    let (mut wire, _) = first.accept_request().await;
+    let (mut connection, _) = first.accept_request().await;
     watch
         .send_list(2, false, &[endpoint("second", address, "active")])
         .await;
     proxy.wait_for_revision(2).await;
-    wire.respond("500 Internal Server Error", "", "").await;
+    connection
+        .respond("500 Internal Server Error", "", "")
+        .await;
     tokio::time::sleep(window).await;
     for _ in 0..filling.len() {
         within("a connection", listener.accept())
@@ -307,11 +305,10 @@
     );
 }
 
-/// A line that makes no sense is logged and changes nothing; what came after the last good one is
-/// asked for anew.
+/// It is logged, and the changes since the last good update are requested again.
 #[tokio::test]
 async fn malformed_update_keeps_the_current_list() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let bad = [
         "not json".to_owned(),
         r#"{"revision":9,"complete":true,"members":[{"id":"s","phase":"active"}]}"#.to_owned(),
@@ -319,7 +316,7 @@
             .to_owned(),
         r#"{"revision":-1,"complete":true,"members":[]}"#.to_owned(),
     ];
-    let (mut proxy, discovery, mut watch) = serve(&[("s", &server)]).await;
+    let (mut proxy, discovery, mut watch) = serve(&[("s", &backend)]).await;
     for line in bad {
         watch.send_line(&line).await;
         proxy.wait_for_log("unusable line").await;
@@ -328,14 +325,15 @@
         watch = next;
         let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.accept_request().await;
-        wire.respond("200 OK", "Connection: close\r\n", "").await;
+        let (mut connection, _) = backend.accept_request().await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", "")
+            .await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
 }
 
-/// Where lists are pushed they bind a process from its first moment: the list of its configuration
-/// may be old.
+/// Pushed lists bind a process from its start, and the configured list may be old.
 #[tokio::test]
 async fn new_process_waits_for_the_pushed_list() {
     let (old, new) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -359,23 +357,22 @@
         client.send("unsafe", "20000m").await;
         (proxy, client)
     };
-    // Asked first, told after that.
+    // The request is sent first, the list after it.
     let ((proxy, mut client), _watch) = (asking.await, pushing.await);
-    let (mut wire, _) = tokio::select! {
+    let (mut connection, _) = tokio::select! {
         got = new.accept_request() => got,
         _ = old.accept_request() => panic!("sent by the old list"),
     };
-    wire.respond("200 OK", "", "").await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     drop(proxy);
 }
 
-/// Where discovery can't be reached the known list serves.
 #[tokio::test]
 async fn new_process_uses_the_configured_list_while_discovery_is_down() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let down = ScriptedServer::new().await;
-    let known = json!({"revision": 7, "complete": true, "members": [endpoint("s", server.address(), "active")]});
+    let known = json!({"revision": 7, "complete": true, "members": [endpoint("s", backend.address(), "active")]});
     let builder = ProxyBuilder::new(down.address())
         .without("limits")
         .config("known", known);
@@ -383,16 +380,15 @@
     let proxy = builder.start().await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// A thousand nodes and thousands of servers are read, solved, served by and logged; a line of the
-/// log stays one that can be read.
+/// A line of the log stays of readable length.
 #[tokio::test]
 async fn list_of_thousands_of_endpoints_is_applied() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     for count in [1024, 1025, 4096] {
         let discovery = ScriptedServer::new().await;
         let mut settings = settings();
@@ -403,15 +399,17 @@
             .await;
         let (mut watch, _) = discovery.accept_watch().await;
         let members: Vec<_> = (0..count)
-            .map(|k| endpoint(&format!("s{k}"), server.address(), "active"))
+            .map(|k| endpoint(&format!("s{k}"), backend.address(), "active"))
             .collect();
         watch.send_list(1, true, &members).await;
         proxy.wait_until_ready().await;
         let mut client = proxy.connect().await;
         for _ in 0..3 {
             client.send("safe", "20000m").await;
-            let (mut wire, _) = server.accept_request().await;
-            wire.respond("200 OK", "Connection: close\r\n", "").await;
+            let (mut connection, _) = backend.accept_request().await;
+            connection
+                .respond("200 OK", "Connection: close\r\n", "")
+                .await;
             assert_eq!(client.read().await.expect("an answer").status(), 200);
         }
         let line = proxy.wait_for_log("stats ").await;
@@ -422,13 +420,13 @@
     }
 }
 
-/// Beyond what a proxy takes in for one list it says so, and goes by the last good one.
+/// The last good list stays in use.
 #[tokio::test]
 async fn oversized_list_is_rejected() {
-    let server = ScriptedServer::new().await;
-    let (mut proxy, discovery, mut watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (mut proxy, discovery, mut watch) = serve(&[("s", &backend)]).await;
     let members: Vec<_> = (0..40_000)
-        .map(|k| endpoint(&format!("s{k}"), server.address(), "active"))
+        .map(|k| endpoint(&format!("s{k}"), backend.address(), "active"))
         .collect();
     let list = json!({"revision": 2, "complete": true, "members": members}).to_string();
     assert!(list.len() > 4 << 20);
@@ -453,35 +451,33 @@
     proxy.wait_for_revision(1).await;
     let mut client = proxy.connect().await;
     client.send("safe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
-/// Every server that a process knows may be leaving: then it can't serve, and doesn't say that it
-/// is ready.
+/// The configured list may name draining endpoints only.
 #[tokio::test]
 async fn process_without_active_endpoints_is_not_ready() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
-    let known = json!({"revision": 7, "complete": true, "members": [endpoint("s", server.address(), "leaving")]});
+    let known = json!({"revision": 7, "complete": true, "members": [endpoint("s", backend.address(), "leaving")]});
     let builder = ProxyBuilder::new(discovery.address())
         .without("limits")
         .config("known", known);
     let proxy = builder.start().await;
     let (mut watch, _) = discovery.accept_watch().await;
     watch
-        .send_list(8, true, &[endpoint("s", server.address(), "leaving")])
+        .send_list(8, true, &[endpoint("s", backend.address(), "leaving")])
         .await;
     proxy.wait_for_revision(8).await;
     assert_eq!(proxy.get("/health/ready").await.status(), 503);
     watch
-        .send_list(9, false, &[endpoint("s", server.address(), "active")])
+        .send_list(9, false, &[endpoint("s", backend.address(), "active")])
         .await;
     proxy.wait_until_ready().await;
 }
 
-/// A drain told while a request waits for its first attempt's end binds the next attempt.
 #[tokio::test]
 async fn drain_received_before_a_retry_prevents_it() {
     for outcome in ["X-Not-Processed: 1\r\n", ""] {
@@ -489,7 +485,7 @@
         let (proxy, _discovery, mut watch) = serve(&[("one", &one), ("two", &two)]).await;
         let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
-        let ((mut wire, _), other, name) = tokio::select! {
+        let ((mut connection, _), other, name) = tokio::select! {
             got = one.accept_request() => (got, &two, "two"),
             got = two.accept_request() => (got, &one, "one"),
         };
@@ -497,7 +493,9 @@
             .send_list(2, false, &[endpoint(name, other.address(), "leaving")])
             .await;
         proxy.wait_for_revision(2).await;
-        wire.respond("503 Service Unavailable", outcome, "").await;
+        connection
+            .respond("503 Service Unavailable", outcome, "")
+            .await;
         assert_eq!(client.read().await.expect("an answer").status(), 503);
         assert!(other.is_untouched().await, "sent to a server that drains");
     }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -3,25 +3,24 @@
 mod common;
 use common::*;
 
-/// What a proxy has taken when it is told to end, and what still comes for a moment, is answered
-/// first.
+/// Requests in flight and those that arrive for a moment after the signal are answered first.
 #[tokio::test]
 async fn sigterm_ends_the_process_after_the_last_response() {
-    let server = ScriptedServer::new().await;
-    let (mut proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (mut proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut idle = proxy.connect().await;
     let mut before = proxy.connect().await;
     before.send("unsafe", "20000m").await;
-    let (mut first, _) = server.accept_request().await;
+    let (mut first, _) = backend.accept_request().await;
     proxy.signal("TERM").await;
     proxy.wait_for_log("leaving").await;
     assert_eq!(proxy.get("/health/ready").await.status(), 503);
     let mut after = proxy.connect().await;
     after.send("unsafe", "20000m").await;
-    let (mut second, _) = server.accept_request().await;
+    let (mut second, _) = backend.accept_request().await;
     idle.expect_closed().await; // It takes no more.
-    for (wire, client) in [(&mut first, &mut before), (&mut second, &mut after)] {
-        wire.respond("200 OK", "", "served").await;
+    for (connection, client) in [(&mut first, &mut before), (&mut second, &mut after)] {
+        connection.respond("200 OK", "", "served").await;
         let answer = client.read().await.expect("an answer");
         assert_eq!(
             (answer.status(), answer.header("connection")),
@@ -31,12 +30,12 @@
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// A head or a body may be half there when the proxy ends, on a kept connection too. Further signals
-/// change nothing.
+/// A head or a body may be incomplete at SIGTERM, on a kept connection too. Further signals change
+/// nothing.
 #[tokio::test]
 async fn partially_received_requests_are_answered_during_shutdown() {
-    let server = ScriptedServer::new().await;
-    let (mut proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (mut proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let head = |id: &str| {
         format!("POST /unsafe HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n")
     };
@@ -46,8 +45,10 @@
         proxy.connect().await,
     );
     kept.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "Connection: close\r\n", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection
+        .respond("200 OK", "Connection: close\r\n", "")
+        .await;
     assert_eq!(kept.read().await.expect("an answer").status(), 200);
     let mut idle = proxy.connect().await;
     new.write(&head("new")[..30]).await;
@@ -64,8 +65,10 @@
     kept.write(&(head("kept")[30..].to_owned() + "\r\n")).await;
     body.write("cd").await;
     for _ in 0..3 {
-        let (mut wire, _) = server.accept_request().await;
-        wire.respond("200 OK", "Connection: close\r\n", "").await;
+        let (mut connection, _) = backend.accept_request().await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", "")
+            .await;
     }
     for mut client in [new, kept, body] {
         let answer = client.read().await.expect("an answer");
@@ -78,15 +81,17 @@
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// A request on a kept connection and the closing of that connection are noticed in one turn.
+/// The process sees a request on a kept connection and the close of that connection in one turn.
 #[tokio::test]
 async fn request_that_crosses_the_shutdown_of_its_connection_is_answered() {
-    let server = ScriptedServer::new().await;
-    let (mut proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (mut proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut kept = proxy.connect().await;
     kept.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "Connection: close\r\n", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection
+        .respond("200 OK", "Connection: close\r\n", "")
+        .await;
     assert_eq!(kept.read().await.expect("an answer").status(), 200);
     proxy.signal("TERM").await;
     proxy.wait_for_log("leaving").await;
@@ -94,63 +99,64 @@
     kept.send("unsafe", "20000m").await;
     tokio::time::sleep(std::time::Duration::from_secs(1)).await; // It is past the closing when it goes on.
     proxy.signal("CONT").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "Connection: close\r\n", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection
+        .respond("200 OK", "Connection: close\r\n", "")
+        .await;
     assert_eq!(kept.read().await.expect("an answer").status(), 200);
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// What waits for a place when the proxy is told to end has been taken by its machine: closing on it
-/// loses a request.
+/// The kernel has accepted these connections: closing them would lose their requests.
 #[tokio::test]
 async fn accept_backlog_is_served_during_graceful_shutdown() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (mut proxy, _watch) = ProxyBuilder::new(discovery.address())
         .descriptors(64)
-        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
+        .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let mut busy = Vec::new();
-    let mut wires = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..16 {
         let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
-        wires.push(server.accept_request().await.0);
+        connections.push(backend.accept_request().await.0);
         busy.push(client);
     }
     let mut waiting = proxy.connect().await;
     waiting.send("unsafe", "20000m").await;
     proxy.signal("TERM").await;
     proxy.wait_for_log("leaving").await;
-    // Past the time in which it takes more. Were the machine slower than that, the test would only
-    // see less.
+    // Past the time in which connections are accepted; on a slower machine the test only sees less.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
-    for (wire, client) in wires.iter_mut().zip(&mut busy) {
-        wire.respond("200 OK", "Connection: close\r\n", "").await;
+    for (connection, client) in connections.iter_mut().zip(&mut busy) {
+        connection
+            .respond("200 OK", "Connection: close\r\n", "")
+            .await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(waiting.read().await.expect("an answer").status(), 200);
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// A proxy that was killed starts again at its address at once, though its connections linger in the
-/// system.
+/// At once, although the kernel still holds its old connections.
 #[tokio::test]
 async fn killed_process_restarts_on_the_same_address() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (mut killed, _watch) = ProxyBuilder::new(discovery.address())
         .listen(unique_address())
-        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
+        .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let mut client = killed.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     killed.signal("KILL").await;
     assert!(!killed.wait_for_exit().await.success());
-    wire.expect_closed().await;
+    connection.expect_closed().await;
     let proxy = ProxyBuilder::new(discovery.address())
         .listen(killed.address)
         .start()
@@ -158,12 +164,12 @@
     let (mut watch, request) = discovery.accept_watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=0 HTTP/1.1");
     watch
-        .send_list(1, true, &[endpoint("s", server.address(), "active")])
+        .send_list(1, true, &[endpoint("s", backend.address(), "active")])
         .await;
     proxy.wait_until_ready().await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
--- a/crates/proxy/tests/large_messages.rs
+++ b/crates/proxy/tests/large_messages.rs
@@ -6,14 +6,14 @@
 
 const MEBIBYTE: usize = 1 << 20;
 
-/// Text of so many bytes in which no two parts are alike.
+/// Text of this length in which no two parts are alike.
 fn text(length: usize) -> String {
     let mut text: String = (0..=(length / 8)).map(|n| format!("{n:07x} ")).collect();
     text.truncate(length);
     text
 }
 
-/// An answer in each form, with its body.
+/// A response in each framing, with its body, and whether its end can be told.
 fn framings(body: &str) -> Vec<(String, bool)> {
     let chunks: String = body
         .as_bytes()
@@ -35,18 +35,18 @@
 
 #[tokio::test]
 async fn responses_of_every_framing_and_size_arrive_complete() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     for size in [0, 1, 64 << 10, (64 << 10) + 1, 300_000, 32 * MEBIBYTE] {
         let body = text(size);
         for (answer, ends) in framings(&body) {
             let mut client = proxy.connect().await;
             client.send("unsafe", "20000m").await;
-            let (mut wire, _) = server.accept_request().await;
+            let (mut connection, _) = backend.accept_request().await;
             let writing = async {
-                wire.write(&answer).await;
+                connection.write(&answer).await;
                 if ends {
-                    wire.close().await;
+                    connection.close().await;
                 }
             };
             let ((), (head, read)) = tokio::join!(writing, client.read_streamed());
@@ -64,11 +64,11 @@
     );
 }
 
-/// The first bytes of a large answer don't wait for the last ones.
+/// The first bytes do not wait for the last ones.
 #[tokio::test]
 async fn large_response_is_streamed() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let (length, first) = (200_000, text(70_000));
     for (head, chunk) in [
         ("Content-Length: 200000", String::new()),
@@ -76,23 +76,24 @@
     ] {
         let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.accept_request().await;
-        wire.write(&format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n{chunk}{first}"))
+        let (mut connection, _) = backend.accept_request().await;
+        connection
+            .write(&format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n{chunk}{first}"))
             .await;
         let mut read = Vec::new();
         while read.len() < first.len() {
             read.extend(client.read_bytes(1).await.expect("what has come so far"));
         }
-        wire.write(&"x".repeat(length - first.len())).await;
-        drop(wire);
+        connection.write(&"x".repeat(length - first.len())).await;
+        drop(connection);
     }
 }
 
-/// What breaks once bytes were passed on is not asked for again, and the client can tell.
+/// It is not requested again, and the client can tell that it is incomplete.
 #[tokio::test]
 async fn large_response_that_breaks_off_ends_the_client_connection() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let body = text(200_000);
     let over = format!(
         "Transfer-Encoding: chunked\r\n\r\n3000000\r\n{}",
@@ -106,25 +107,25 @@
     ] {
         let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
-        let (mut wire, _) = server.accept_request().await;
+        let (mut connection, _) = backend.accept_request().await;
         let writing = async {
-            wire.write_until_closed(&format!("HTTP/1.1 200 OK\r\n{answer}"))
+            connection
+                .write_until_closed(&format!("HTTP/1.1 200 OK\r\n{answer}"))
                 .await;
-            drop(wire);
+            drop(connection);
         };
         let ((), (head, read)) = tokio::join!(writing, client.read_streamed());
         assert_eq!((head.status(), read), (200, None), "{answer:.40}");
         client.drain_until_closed().await;
-        assert!(server.is_untouched().await);
+        assert!(backend.is_untouched().await);
     }
 }
 
-/// A client that reads nothing holds bounded memory, holds nobody up, and has its answer whole once
-/// it reads.
+/// They delay nobody, and get the whole response once they read.
 #[tokio::test]
 async fn clients_that_do_not_read_use_little_memory() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let body = text(8 * MEBIBYTE);
     let answer = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -135,15 +136,15 @@
     for _ in 0..20 {
         let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
-        let (mut wire, _) = server.accept_request().await;
+        let (mut connection, _) = backend.accept_request().await;
         let answer = answer.clone();
-        writing.spawn(async move { wire.write(&answer).await });
+        writing.spawn(async move { connection.write(&answer).await });
         clients.push(client);
     }
     let mut quick = proxy.connect().await;
     quick.send("safe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "quick").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "quick").await;
     assert_eq!(quick.read().await.expect("an answer").body, b"quick");
     for client in &mut clients {
         assert!(client.read_streamed().await.1.as_deref() == Some(body.as_bytes()));
@@ -156,19 +157,20 @@
     );
 }
 
-/// Who takes nothing for 10 s is not waited for, on either side.
+/// After 10 s without progress, on either side.
 #[tokio::test]
 async fn stalled_transfer_is_ended() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut silent = proxy.connect().await;
     silent.send("safe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.write(&format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{}",
-        text(100_000)
-    ))
-    .await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection
+        .write(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{}",
+            text(100_000)
+        ))
+        .await;
     assert_eq!(
         silent.read_streamed().await.1,
         None,
@@ -176,14 +178,15 @@
     );
     let mut deaf = proxy.connect().await;
     deaf.send("safe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     let body = "x".repeat(32 * MEBIBYTE);
-    wire.write_until_closed(&format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    ))
-    .await;
-    wire.drain_until_closed().await;
+    connection
+        .write_until_closed(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ))
+        .await;
+    connection.drain_until_closed().await;
 }
 
 fn upload(id: &str, class: &str, framing: &str) -> String {
@@ -193,12 +196,11 @@
     )
 }
 
-/// A large body goes on as it comes. The request's time runs from its last byte: this one takes
-/// longer to come.
+/// The request's time runs from its last byte; this body takes longer than that to arrive.
 #[tokio::test]
 async fn large_request_body_is_streamed() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let body = text(100_000);
     let mut client = proxy.connect().await;
     client
@@ -210,10 +212,10 @@
         .await;
     assert_eq!(client.read().await.expect("a word to go on").status(), 100);
     client.write(&body[..70_000]).await;
-    let mut wire = server.accept().await;
+    let mut connection = backend.accept().await;
     let reading = async {
-        let read = wire.read().await.expect("a request");
-        wire.respond("200 OK", "", "done").await;
+        let read = connection.read().await.expect("a request");
+        connection.respond("200 OK", "", "done").await;
         read
     };
     let writing = async {
@@ -230,8 +232,8 @@
 
 #[tokio::test]
 async fn chunked_body_of_the_largest_size_is_forwarded() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let body = text(32 * MEBIBYTE);
     let mut client = proxy.connect().await;
     let writing = async {
@@ -246,9 +248,9 @@
         client.write("0\r\nX-Trailer: 1\r\n\r\n").await;
     };
     let reading = async {
-        let mut wire = server.accept().await;
-        let read = wire.read_streamed().await.1;
-        wire.respond("200 OK", "", "done").await;
+        let mut connection = backend.accept().await;
+        let read = connection.read_streamed().await.1;
+        connection.respond("200 OK", "", "done").await;
         read
     };
     let ((), read) = tokio::join!(writing, reading);
@@ -261,12 +263,11 @@
     );
 }
 
-/// What is not whole reaches no server as a request, and the client hears what is wrong if it is
-/// there to hear it.
+/// The client is told what is wrong if it still listens.
 #[tokio::test]
 async fn malformed_large_body_is_not_forwarded_as_a_request() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let part = text(70_000);
     let chunk = format!("{:x}\r\n{part}\r\n", part.len());
     let over = format!("3000000\r\n{}", "x".repeat(33 * MEBIBYTE));
@@ -292,8 +293,8 @@
             client.read().await.expect("an answer").status()
         };
         let taking = async {
-            let mut wire = server.accept().await;
-            wire.read_streamed().await.1
+            let mut connection = backend.accept().await;
+            connection.read_streamed().await.1
         };
         let answered = if body.is_empty() {
             sending.await
@@ -304,20 +305,19 @@
         };
         assert_eq!(answered, status, "{framing}");
     }
-    // One that leaves in the middle takes its attempt along.
+    // A disconnect in the middle of the body ends the attempt.
     let mut client = proxy.connect().await;
     client
         .write(&(upload("gone", "unsafe", "Content-Length: 100000") + &part))
         .await;
-    let mut wire = server.accept().await;
-    // Once its attempt is under way: before that nothing would be sent for a client that has left.
-    assert!(wire.read_bytes(1).await.is_some());
+    let mut connection = backend.accept().await;
+    // Only once the attempt has started; before that nothing would be sent.
+    assert!(connection.read_bytes(1).await.is_some());
     drop(client);
-    assert_eq!(wire.read_streamed().await.1, None);
+    assert_eq!(connection.read_streamed().await.1, None);
 }
 
-/// An unsafe request whose body breaks off before its last byte has not run, and goes nowhere else:
-/// its client has left, or its server has, with a part that is not held any more. Its name is free
+/// The request was not executed, but a part of its body is no longer buffered. Its id may be used
 /// again.
 #[tokio::test]
 async fn incomplete_upload_is_not_retried() {
@@ -326,36 +326,36 @@
         let (proxy, _discovery, _watch) = serve(&[("first", &first), ("second", &second)]).await;
         let body = text(200_000);
         let head = upload("u9", "unsafe", "Content-Length: 200000");
-        let told = format!("by the client {by_client}, reset {reset}");
+        let case = format!("by the client {by_client}, reset {reset}");
         let mut client = proxy.connect().await;
         client.write(&(head.clone() + &body[..199_999])).await;
-        let (mut wire, other) = tokio::select! {
-            wire = first.accept() => (wire, &second),
-            wire = second.accept() => (wire, &first),
+        let (mut connection, other) = tokio::select! {
+            connection = first.accept() => (connection, &second),
+            connection = second.accept() => (connection, &first),
         };
-        // More than is held has gone on.
-        let _ = wire.read_bytes(150_000).await.expect("a part");
+        // More than is buffered has been forwarded.
+        let _ = connection.read_bytes(150_000).await.expect("a part");
         match (by_client, reset) {
             (true, true) => client.reset(),
             (true, false) => drop(client),
             (false, _) => {
                 if reset {
-                    wire.reset();
+                    connection.reset();
                 } else {
-                    wire.close_now();
+                    connection.close_now();
                 }
                 let status = client.read().await.expect("an answer").status();
-                assert!(status >= 500, "{status} {told}");
+                assert!(status >= 500, "{status} {case}");
             }
         }
-        assert!(other.is_untouched().await, "sent elsewhere: {told}");
+        assert!(other.is_untouched().await, "sent elsewhere: {case}");
         let serving = async {
-            let mut wire = tokio::select! {
-                wire = first.accept() => wire,
-                wire = second.accept() => wire,
+            let mut connection = tokio::select! {
+                connection = first.accept() => connection,
+                connection = second.accept() => connection,
             };
-            let request = wire.read().await.expect("a request");
-            wire.respond("200 OK", "", "done").await;
+            let request = connection.read().await.expect("a request");
+            connection.respond("200 OK", "", "done").await;
             request.body.len()
         };
         let asking = async {
@@ -363,11 +363,11 @@
             again.write_until_closed(&(head + &body)).await;
             again.read().await.expect("an answer").status()
         };
-        assert_eq!(tokio::join!(serving, asking), (200_000, 200), "{told}");
+        assert_eq!(tokio::join!(serving, asking), (200_000, 200), "{case}");
     }
 }
 
-/// Until more of it is taken than is held, a large request can go to another server.
+/// As long as the backend has read no more than is buffered.
 #[tokio::test]
 async fn large_request_rejected_early_is_retried_complete() {
     let (first, second) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -377,24 +377,24 @@
     client
         .write(&(upload("u3", "unsafe", "Content-Length: 100000") + &body[..70_000]))
         .await;
-    let (mut wire, other) = tokio::select! {
-        wire = first.accept() => (wire, &second),
-        wire = second.accept() => (wire, &first),
+    let (mut connection, other) = tokio::select! {
+        connection = first.accept() => (connection, &second),
+        connection = second.accept() => (connection, &first),
     };
-    wire.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+    connection
+        .respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
-    let mut wire = other.accept().await;
+    let mut connection = other.accept().await;
     client.write(&body[70_000..]).await;
-    assert!(wire.read().await.expect("a request").body == body.as_bytes());
-    wire.respond("200 OK", "", "done").await;
+    assert!(connection.read().await.expect("a request").body == body.as_bytes());
+    connection.respond("200 OK", "", "done").await;
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
-/// A request that is given up gets its answer at once, also where its client is still writing.
 #[tokio::test]
 async fn early_response_reaches_a_client_that_is_still_writing() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let body = text(4 * MEBIBYTE);
     let mut client = proxy.connect().await;
     client
@@ -402,8 +402,9 @@
             &(upload("u4", "unsafe", &format!("Content-Length: {}", body.len())) + &body[..70_000]),
         )
         .await;
-    let mut wire = server.accept().await;
-    wire.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+    let mut connection = backend.accept().await;
+    connection
+        .respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
     client.write(&body[70_000..]).await;
     let answer = client.read().await.expect("an answer");
@@ -414,11 +415,11 @@
     client.expect_closed().await;
 }
 
-/// A proper client may take 2 s for a head and send its body at 64 kB a second.
+/// 2 s for a head, and a body at 64 kB per second.
 #[tokio::test]
 async fn slow_clients_are_served() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let (head, body) = (
         upload("slow", "unsafe", "Content-Length: 64000"),
         text(64_000),
@@ -435,19 +436,18 @@
         }
     };
     let answering = async {
-        let (mut wire, request) = server.accept_request().await;
+        let (mut connection, request) = backend.accept_request().await;
         assert!(request.body == body.as_bytes());
-        wire.respond("200 OK", "", "done").await;
+        connection.respond("200 OK", "", "done").await;
     };
     tokio::join!(writing, answering);
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
-/// A large answer on its way when the proxy ends comes whole, though that takes longer than any
-/// deadline.
+/// It takes longer than any deadline.
 #[tokio::test]
 async fn large_response_is_finished_after_sigterm() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let mut settings = settings();
     for class in 0..3 {
@@ -455,24 +455,24 @@
     }
     let (mut proxy, _watch) = ProxyBuilder::new(discovery.address())
         .settings(settings)
-        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
+        .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     let body = text(300_000);
     let (begun, rest) = body.split_at(100_000);
-    wire.write(&format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{begun}",
-        body.len()
-    ))
-    .await;
+    connection
+        .write(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{begun}",
+            body.len()
+        ))
+        .await;
     proxy.signal("TERM").await;
     proxy.wait_for_log("leaving").await;
-    // Past the deadline and all that is added to it. Were the machine slower, the test would only
-    // see less.
+    // Past the deadline and all allowances; on a slower machine the test only sees less.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let ((), (_, read)) = tokio::join!(wire.write(rest), client.read_streamed());
+    let ((), (_, read)) = tokio::join!(connection.write(rest), client.read_streamed());
     assert!(read.as_deref() == Some(body.as_bytes()));
     assert!(proxy.wait_for_exit().await.success());
 }
--- a/crates/proxy/tests/listener_inheritance.rs
+++ b/crates/proxy/tests/listener_inheritance.rs
@@ -42,11 +42,13 @@
     }
 }
 
-/// Asks for an answer of the only backend that may get anything.
+/// Sends a request that only this backend may get, and returns its response.
 async fn served(client: &mut Connection, backend: &ScriptedServer) -> Message {
     client.send("safe", "20000m").await;
-    let (mut wire, _) = backend.accept_request().await;
-    wire.respond("200 OK", "Connection: close\r\n", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection
+        .respond("200 OK", "Connection: close\r\n", "")
+        .await;
     client.read().await.expect("an answer")
 }
 
@@ -73,7 +75,7 @@
     old.wait_for_log("accompanied=true").await;
     old.signal("TERM").await;
     old.wait_for_log("leaving handing_over=true").await;
-    // The kept connection's next answer is its last, and what is under way is finished.
+    // The kept connection's next response is its last, and the request in flight is finished.
     let answer = served(&mut kept, &b).await;
     assert_eq!(
         (answer.status(), answer.header("connection")),
@@ -94,7 +96,6 @@
     assert_eq!(served(&mut client, &a).await.status(), 200);
 }
 
-/// Both processes of a proxy go by a call that one of them takes.
 #[tokio::test]
 async fn admin_call_to_one_process_applies_to_its_peer() {
     let (discovery, a) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -109,11 +110,11 @@
     new.wait_for_log("told beside draining=true left_out=1")
         .await;
     assert_eq!(new.get("/health/ready").await.status(), 503);
-    // The drain does not keep an upgrade from going on.
+    // The drain does not hold up an upgrade.
     assert_eq!(new.admin_call("GET", "/healthcheck").await, 200);
 }
 
-/// A process that has nobody beside it takes what still comes, though its listener is not its own.
+/// Although it has inherited its listener.
 #[tokio::test]
 async fn process_without_a_peer_accepts_connections_during_shutdown() {
     let (discovery, a) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -133,7 +134,6 @@
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// What the process before has left is no reason not to start.
 #[tokio::test]
 async fn corrupt_state_file_is_treated_as_empty() {
     let (discovery, a) = (ScriptedServer::new().await, ScriptedServer::new().await);
--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -3,11 +3,11 @@
 mod common;
 use common::*;
 
-/// Nonsense is answered as such, and costs nobody else anything.
+/// They do not disturb other connections.
 #[tokio::test]
 async fn invalid_requests_are_rejected() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let with =
         |class: &str, headers: &str| format!("POST /{class} HTTP/1.1\r\nHost: a\r\n{headers}\r\n");
     let fine = "X-Request-ID: r\r\nX-Tenant-Id: one\r\nContent-Length: 0\r\n";
@@ -36,7 +36,7 @@
         if case.contains("33554433") {
             client.write(&"x".repeat(70_000)).await;
         }
-        // A proxy that has read enough may close before the client has written all of it.
+        // The process may close before the client has written everything.
         let Some(answer) = client.read().await else {
             continue;
         };
@@ -48,14 +48,14 @@
     }
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
 
 const HEAD: &str = "POST /unsafe HTTP/1.1\r\nHost: a\r\nX-Timeout: 60000m\r\nX-Tenant-Id: one\r\n";
 
-/// Writes something, and expects this answer and then the connection's end.
+/// Writes this text, and expects this status and then the connection's end.
 async fn assert_rejected(proxy: &ProxyProcess, text: &str, status: u16) {
     let mut client = proxy.connect().await;
     client.write_until_closed(text).await;
@@ -68,13 +68,12 @@
     client.drain_until_closed().await;
 }
 
-/// With both headers a proxy and a server may differ on where the body ends, and the rest of it
-/// would be a request that nobody here has looked at. Neither of the two may go on, whichever
-/// header comes first.
+/// With both framing headers a proxy and a backend may disagree on where the body ends, and the rest
+/// of it would be a request that nobody has checked. Neither may be forwarded, in either order.
 #[tokio::test]
 async fn no_request_is_smuggled_in_a_body() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let hidden = format!("{HEAD}X-Request-ID: hidden\r\nContent-Length: 0\r\n\r\n");
     let body = format!("0\r\n\r\n{hidden}");
     let length = format!("Content-Length: {}\r\n", body.len());
@@ -94,14 +93,14 @@
         400,
     )
     .await;
-    assert!(server.is_untouched().await, "passed on");
+    assert!(backend.is_untouched().await, "passed on");
 }
 
-/// Chunks alone are fine. What comes behind them is not read as a request: the connection ends.
+/// Bytes behind a chunked body are not read as a request.
 #[tokio::test]
 async fn connection_closes_after_a_chunked_body() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     let chunked = "X-Request-ID: r\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     client
@@ -109,20 +108,19 @@
             "{HEAD}{chunked}{HEAD}X-Request-ID: behind\r\n\r\n"
         ))
         .await;
-    let (mut wire, request) = server.accept_request().await;
+    let (mut connection, request) = backend.accept_request().await;
     assert_eq!(request.body, b"abc");
-    wire.respond("200 OK", "", "served").await;
+    connection.respond("200 OK", "", "served").await;
     assert_eq!(client.read().await.expect("an answer").body, b"served");
     client.drain_until_closed().await;
-    assert!(server.is_untouched().await, "read on");
+    assert!(backend.is_untouched().await, "read on");
 }
 
-/// A length that is no number, that does not fit what has come, or that is more than a proxy takes
-/// is answered as soon as the head is there: nobody has to send 60 MB to be told.
+/// The response comes as soon as the head is complete; the body need not be sent.
 #[tokio::test]
 async fn invalid_content_lengths_are_rejected_at_once() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     for (length, status) in [
         ("-5", 400),
         ("5x", 400),
@@ -146,29 +144,28 @@
         431,
     )
     .await;
-    assert!(server.is_untouched().await, "passed on");
+    assert!(backend.is_untouched().await, "passed on");
 }
 
-/// The id of a request that is open, or that a server may still be working on, is no new request's:
-/// the server would take it for a repeat, or run it twice. The first one is not disturbed.
+/// A backend would take the second for a retry, or execute it twice. The first is not disturbed.
 #[tokio::test]
 async fn request_id_in_flight_is_not_forwarded_twice() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut first = proxy.connect().await;
     first.send_with_id("same", "unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     let second = format!("{HEAD}X-Request-ID: same\r\nContent-Length: 0\r\n\r\n");
     assert_rejected(&proxy, &second, 409).await;
-    wire.respond("200 OK", "", "first").await;
+    connection.respond("200 OK", "", "first").await;
     assert_eq!(first.read().await.expect("an answer").body, b"first");
 
     let mut leaving = proxy.connect().await;
     leaving.send_with_id("left", "unsafe", "20000m").await;
-    let mut wire = loop {
+    let mut connection = loop {
         let (got, request) = tokio::select! {
-            new = server.accept_request() => new,
-            old = wire.read() => { wire.respond("200 OK", "Connection: close\r\n", "").await; drop(old); continue }
+            new = backend.accept_request() => new,
+            old = connection.read() => { connection.respond("200 OK", "Connection: close\r\n", "").await; drop(old); continue }
         };
         if request.header("x-request-id") == Some("left") {
             break got;
@@ -176,19 +173,19 @@
     };
     leaving.close().await;
     assert_rejected(&proxy, &second.replace("same", "left"), 409).await;
-    wire.respond("200 OK", "", "").await;
+    connection.respond("200 OK", "", "").await;
 }
 
-/// Who says nothing, begins a head or begins a body is not waited for as long as it likes.
+/// Clients that send nothing, begin a head or begin a body.
 #[tokio::test]
 async fn clients_that_are_too_slow_are_closed() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut silent = proxy.connect().await;
     let mut kept = proxy.connect().await;
     kept.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(kept.read().await.expect("an answer").status(), 200);
     let body = format!("{HEAD}X-Request-ID: r\r\nContent-Length: 9\r\n\r\nhalf");
     tokio::join!(
@@ -199,37 +196,36 @@
     );
 }
 
-/// A crowd that says nothing does not delay those that have something to say, nor take their kept
-/// connections from them.
+/// They neither delay clients with requests nor cost them their kept connections.
 #[tokio::test]
 async fn idle_connections_do_not_evict_active_clients() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
         .descriptors(64)
-        .start_ready(&discovery, &[endpoint("s", server.address(), "active")])
+        .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let serving = tokio::spawn(async move {
-        let mut wires = tokio::task::JoinSet::new();
+        let mut connections = tokio::task::JoinSet::new();
         loop {
-            let mut wire = server.accept().await;
-            wires.spawn(async move {
-                while wire.read().await.is_some() {
-                    wire.respond("200 OK", "", "").await;
+            let mut connection = backend.accept().await;
+            connections.spawn(async move {
+                while connection.read().await.is_some() {
+                    connection.respond("200 OK", "", "").await;
                 }
             });
         }
     });
-    // Kept from before the crowd. In it, a connection is given up after each answer.
+    // Kept from before the idle connections; among them a connection is closed after each response.
     let mut usual = proxy.connect().await;
     let began = std::time::Instant::now();
     assert_eq!(
         usual.request("unsafe").await.expect("an answer").status(),
         200
     );
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for k in 0..200 {
-        crowd.push(proxy.connect().await);
+        idle_clients.push(proxy.connect().await);
         if k % 20 == 0 {
             assert_eq!(
                 proxy
@@ -243,7 +239,7 @@
             );
         }
     }
-    // A machine too busy to come here within the time for which it is kept shows nothing.
+    // A machine too busy to get here before the idle timeout shows nothing.
     if began.elapsed().as_millis() < 1500 {
         assert_eq!(
             usual
@@ -258,8 +254,8 @@
     serving.abort();
 }
 
-/// Clients that ask once and keep their connection for good fill all places, and may not be closed
-/// for a while: there would be no room for anyone else until then.
+/// They keep their connection after the response and fill all slots; for a moment they may not be
+/// closed.
 #[tokio::test]
 async fn clients_with_a_single_request_do_not_block_others() {
     let discovery = ScriptedServer::new().await;
@@ -280,16 +276,15 @@
         );
         kept.push(client);
     }
-    // CloseGuarded only what has been idle for two seconds would let in 16 in that time: 50 s for all.
+    // Closing only what has been idle for two seconds would let in 16 in that time: 50 s for all.
     assert!(began.elapsed().as_secs() < 25);
 }
 
-/// More than one request may lie on a connection. Each is answered, in order, and what is no good
-/// among them ends it.
+/// A malformed one among them ends the connection.
 #[tokio::test]
 async fn pipelined_requests_are_answered_in_order() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     let request = |id: &str| format!("{HEAD}X-Request-ID: {id}\r\nContent-Length: 2\r\n\r\n{id}");
     client
@@ -301,22 +296,23 @@
         ))
         .await;
     for id in ["r1", "r2"] {
-        let (mut wire, request) = server.accept_request().await;
+        let (mut connection, request) = backend.accept_request().await;
         assert_eq!(request.header("x-request-id"), Some(id));
-        wire.respond("200 OK", "Connection: close\r\n", id).await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", id)
+            .await;
         assert_eq!(client.read().await.expect("an answer").body, id.as_bytes());
     }
     assert_eq!(client.read().await.expect("an answer").status(), 400);
     client.drain_until_closed().await;
-    assert!(server.is_untouched().await, "read on");
+    assert!(backend.is_untouched().await, "read on");
 }
 
-/// Two headers of a kind that counts once, figures that are none and methods that don't go with the
-/// class are malformed.
+/// Repeated headers that may occur once, malformed numbers, and methods that do not fit the class.
 #[tokio::test]
 async fn ambiguous_heads_are_rejected() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     for (lines, status) in [
         ("X-Request-ID: a\r\nX-Request-ID: b\r\n", 400),
         ("X-Request-ID: a\r\nX-Timeout: 9m\r\n", 400),
@@ -338,7 +334,7 @@
         )
         .await;
     }
-    assert!(server.is_untouched().await, "passed on");
+    assert!(backend.is_untouched().await, "passed on");
     let answer = proxy.get("/health/live").await;
     assert_eq!((answer.status(), answer.header("connection")), (200, None));
 }
--- a/crates/proxy/tests/operator_state.rs
+++ b/crates/proxy/tests/operator_state.rs
@@ -49,8 +49,7 @@
     }
 }
 
-/// A yes lasts. Whatever step of the writing fails, the answer is a no, and the file says what it
-/// said before.
+/// Whichever step of the write fails, the call fails and the file keeps its content.
 #[tokio::test]
 async fn admin_call_succeeds_only_once_its_state_is_durable() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -92,8 +91,7 @@
     assert_eq!(node_state.in_maintenance(), ["a", "b"]);
 }
 
-/// A process that was killed between the writing and the renaming leaves a file behind that nobody
-/// goes by.
+/// A process killed between write and rename leaves it behind.
 #[tokio::test]
 async fn leftover_temporary_file_is_ignored() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -109,7 +107,7 @@
     assert_eq!(node_state.in_maintenance(), ["a"]);
 }
 
-/// A file that can't be read for a moment is not taken as empty, and not as read either.
+/// The file counts neither as empty nor as read.
 #[tokio::test]
 async fn transient_read_failure_does_not_lose_the_state() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -128,11 +126,13 @@
     let mut client = proxy.connect().await;
     for _ in 0..8 {
         client.send("safe", "20000m").await;
-        let (mut wire, _) = b.accept_request().await;
-        wire.respond("200 OK", "Connection: close\r\n", "").await;
+        let (mut connection, _) = b.accept_request().await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", "")
+            .await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
-    // Another process's change, of which the reading fails: it is not lost, and not written over.
+    // The change of another process, which cannot be read for a moment, is not lost or overwritten.
     let another =
         r#"{"version":1,"node":"n","word":{"draining":false,"out":["a","b"],"returned":{}}}"#;
     faults
--- a/crates/proxy/tests/slow_start.rs
+++ b/crates/proxy/tests/slow_start.rs
@@ -3,13 +3,13 @@
 mod common;
 use common::*;
 
-/// How warm the `stats` line says that a server is.
-async fn available_capacity(proxy: &mut ProxyProcess, server: u32) -> f64 {
+/// The available capacity of a backend, as the `stats` line logs it.
+async fn available_capacity(proxy: &mut ProxyProcess, backend: u32) -> f64 {
     let mut client = proxy.connect().await;
     client.send("safe", "1m").await; // A line is written only where something has happened.
     let line = proxy.wait_for_log("stats ").await;
     let (_, rest) = line
-        .split_once(&format!(" {server}:weight="))
+        .split_once(&format!(" {backend}:weight="))
         .expect("the server's figures");
     let (_, rest) = rest.split_once("available_capacity=").expect("its warmth");
     rest.split(',')
@@ -18,7 +18,7 @@
         .expect("a number")
 }
 
-/// Unix time in milliseconds, off by so many seconds.
+/// Unix time in milliseconds, off by this many seconds.
 fn timestamp(off: i64) -> u64 {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
@@ -29,7 +29,7 @@
 /// Steps of a machine's wall clock, in seconds.
 const CLOCK_STEPS_SECONDS: [i64; 4] = [3600, -3600, 7, -7];
 
-/// A proxy whose servers take long to warm up, and warm up from a tenth.
+/// A proxy whose backends take long to warm up, and warm up from a tenth.
 async fn slow_to_warm(
     faults: &FaultInjection,
     members: &[serde_json::Value],
@@ -49,22 +49,21 @@
     (proxy, watch)
 }
 
-fn endpoint_started_at(server: &ScriptedServer, timestamp: u64) -> serde_json::Value {
-    let mut member = endpoint("s", server.address(), "active");
+fn endpoint_started_at(backend: &ScriptedServer, timestamp: u64) -> serde_json::Value {
+    let mut member = endpoint("s", backend.address(), "active");
     member["up_since_ms"] = serde_json::json!(timestamp);
     member
 }
 
-/// A server that has just started is cold, however far the clock of this machine was stepped before
-/// the process began.
+/// The clock of this machine was stepped before the process started.
 #[tokio::test]
 async fn young_backend_warms_up_despite_a_stepped_wall_clock() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     for step in CLOCK_STEPS_SECONDS {
         let faults = FaultInjection::new();
         faults.control.step_wall_clock(step);
         let (mut proxy, _watch) =
-            slow_to_warm(&faults, &[endpoint_started_at(&server, timestamp(0))]).await;
+            slow_to_warm(&faults, &[endpoint_started_at(&backend, timestamp(0))]).await;
         let available_capacity = available_capacity(&mut proxy, 0).await;
         assert!(
             (0.1..0.2).contains(&available_capacity),
@@ -73,18 +72,18 @@
     }
 }
 
-/// A server that restarts is cold from then on and not for longer, however the clock by which it is
-/// `endpoint_started_at` was stepped.
+/// The backend warms up from then on and no longer, however the clock behind its timestamps was
+/// stepped.
 #[tokio::test]
 async fn restart_is_detected_whichever_way_its_timestamp_moves() {
-    let server = ScriptedServer::new().await;
+    let backend = ScriptedServer::new().await;
     for step in CLOCK_STEPS_SECONDS {
         let faults = FaultInjection::new();
         let (mut proxy, mut watch) = slow_to_warm(
             &faults,
             &[
-                endpoint_started_at(&server, timestamp(-20_000)),
-                endpoint("t", server.address(), "active"),
+                endpoint_started_at(&backend, timestamp(-20_000)),
+                endpoint("t", backend.address(), "active"),
             ],
         )
         .await;
@@ -93,7 +92,7 @@
             .send_list(
                 2,
                 false,
-                &[endpoint_started_at(&server, timestamp(-20_000 + step))],
+                &[endpoint_started_at(&backend, timestamp(-20_000 + step))],
             )
             .await;
         proxy.wait_for_revision(2).await;
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -28,17 +28,17 @@
     cases.push(bad.to_string());
     for case in cases {
         let output = run_to_exit(&case, &[]).await;
-        let told = String::from_utf8(output.stderr).expect("text");
+        let message = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success(), "{case}");
-        assert_eq!(told.lines().count(), 1, "{case}: {told}");
+        assert_eq!(message.lines().count(), 1, "{case}: {message}");
     }
 }
 
-/// A log that nobody reads any more must not end the proxy: writing to it fails from then on.
+/// Every write to it fails from then on.
 #[tokio::test]
 async fn closed_log_does_not_end_the_process() {
-    let server = ScriptedServer::new().await;
-    let (mut proxy, discovery, mut watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (mut proxy, discovery, mut watch) = serve(&[("s", &backend)]).await;
     proxy.close_log();
     for _ in 0..2 {
         watch.send_line("not json").await; // Logged, and the watch is opened again after that.
@@ -46,7 +46,7 @@
     }
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.respond("200 OK", "", "").await;
+    let (mut connection, _) = backend.accept_request().await;
+    connection.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
 }
--- a/crates/proxy/tests/upstream_attempts.rs
+++ b/crates/proxy/tests/upstream_attempts.rs
@@ -6,8 +6,8 @@
 
 #[tokio::test]
 async fn request_and_response_are_forwarded_unchanged() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     client
         .write(
@@ -15,7 +15,7 @@
              X-Tenant-Id: one\r\nIdempotency-Key: 5c0f\r\nCookie: obj=7\r\nContent-Length: 5\r\n\r\nhello",
         )
         .await;
-    let (mut wire, request) = server.accept_request().await;
+    let (mut connection, request) = backend.accept_request().await;
     assert_eq!(request.start, "POST /keyed/a%20b;c?x=1&y=%2F HTTP/1.1");
     assert_eq!(request.body, b"hello");
     for (name, value) in [
@@ -33,7 +33,7 @@
         wait.parse::<u64>().expect("a number") < 9_000_000,
         "what remains is less than what there was"
     );
-    wire.respond("200 OK", "X-More: 1\r\n", "bye").await;
+    connection.respond("200 OK", "X-More: 1\r\n", "bye").await;
     let answer = client.read().await.expect("an answer");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -41,7 +41,7 @@
     );
 }
 
-/// Only the mark proves that a request did not run: a bare 503 may come from behind the work.
+/// A 503 without the header may come from behind the work.
 #[tokio::test]
 async fn non_idempotent_request_fails_on_503_without_not_processed() {
     let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -49,11 +49,13 @@
     for headers in ["", "X-Not-Processed: 0\r\n"] {
         let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
-        let ((mut wire, _), other) = tokio::select! {
+        let ((mut connection, _), other) = tokio::select! {
             got = one.accept_request() => (got, &two),
             got = two.accept_request() => (got, &one),
         };
-        wire.respond("503 Service Unavailable", headers, "").await;
+        connection
+            .respond("503 Service Unavailable", headers, "")
+            .await;
         let status = client.read().await.expect("an answer").status();
         assert!(
             ![200, 429, 503].contains(&status),
@@ -69,20 +71,20 @@
     let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let ((mut wire, first), other) = tokio::select! {
+    let ((mut connection, first), other) = tokio::select! {
         got = one.accept_request() => (got, &two),
         got = two.accept_request() => (got, &one),
     };
-    wire.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+    connection
+        .respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
-    let (mut wire, second) = other.accept_request().await;
+    let (mut connection, second) = other.accept_request().await;
     assert_eq!(first.header("x-request-id"), second.header("x-request-id"));
-    wire.respond("200 OK", "", "done").await;
+    connection.respond("200 OK", "", "done").await;
     assert_eq!(client.read().await.expect("an answer").body, b"done");
 }
 
-/// A connection that breaks after the request, even in the middle of its answer, leaves open
-/// whether it ran.
+/// Also in the middle of the response.
 #[tokio::test]
 async fn reset_after_the_request_counts_as_possibly_executed() {
     let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -90,19 +92,18 @@
     for begun in ["", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"] {
         let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
-        let ((mut wire, _), other) = tokio::select! {
+        let ((mut connection, _), other) = tokio::select! {
             got = one.accept_request() => (got, &two),
             got = two.accept_request() => (got, &one),
         };
-        wire.write(begun).await;
-        drop(wire);
+        connection.write(begun).await;
+        drop(connection);
         assert_eq!(client.read().await.expect("an answer").status(), 504);
         assert!(other.is_untouched().await, "sent again");
     }
 }
 
-/// With no second copies allowed, the connection of a spoilt or broken attempt is closed before the
-/// next one is written: not for an instant are there two.
+/// Without hedging there must never be two attempts in flight.
 #[tokio::test]
 async fn failed_attempt_is_closed_before_the_retry_is_written() {
     for spoilt in [
@@ -119,15 +120,14 @@
         };
         first.write(spoilt).await;
         let (mut second, _) = other.accept_request().await;
-        // Asked without waiting: what is closed later shows as open.
+        // Checked without waiting: a later close shows as open.
         assert!(first.is_closed(), "both are out after {spoilt:?}");
         second.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
 }
 
-/// A body of which a part was written, and the connection then broke, is no proof of anything where
-/// all of it may have come.
+/// All of the body may have arrived although a part of the write failed.
 #[tokio::test]
 async fn non_idempotent_request_is_not_retried_after_a_reset_mid_response() {
     let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -139,12 +139,12 @@
         let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
         let mut client = proxy.connect().await;
         client.send_with_body("r", &"x".repeat(60_000)).await;
-        let ((mut wire, _), other) = tokio::select! {
+        let ((mut connection, _), other) = tokio::select! {
             got = one.accept_request() => (got, &two),
             got = two.accept_request() => (got, &one),
         };
-        wire.write(answered).await;
-        wire.reset();
+        connection.write(answered).await;
+        connection.reset();
         assert_eq!(
             client.read().await.expect("an answer").status(),
             504,
@@ -154,13 +154,12 @@
     }
 }
 
-/// A refused connection carried nothing, so that even an unsafe request may be refused: the client
-/// may come again.
+/// Even a non-idempotent request may then be rejected, so that its client tries again.
 #[tokio::test]
 async fn refused_connection_counts_as_not_executed() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
-    drop(server);
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
+    drop(backend);
     let answer = proxy
         .connect()
         .await
@@ -171,73 +170,74 @@
     assert_eq!(answer.header("retry-after"), Some("1.500"));
 }
 
-/// Without a look at the socket first, the request is written to a connection that the server has
-/// closed, and is lost to it.
+/// A request written to it would be lost.
 #[tokio::test]
 async fn connection_closed_while_idle_is_not_reused() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     for _ in 0..20 {
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.accept_request().await;
-        wire.respond("200 OK", "", "").await;
+        let (mut connection, _) = backend.accept_request().await;
+        connection.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
-        wire.close().await;
+        connection.close().await;
     }
 }
 
-/// A server closes an idle connection, or sends more on it, in the moment in which the next request
-/// comes: both are noticed in one turn.
+/// The backend closes the connection, or sends more on it, as the next request arrives; the process
+/// notices both in one turn.
 #[tokio::test]
 async fn connection_closed_as_the_next_request_arrives_is_not_reused() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     for late in ["", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"] {
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.accept_request().await;
-        wire.respond("200 OK", "", "").await;
+        let (mut connection, _) = backend.accept_request().await;
+        connection.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
         tokio::time::sleep(Duration::from_millis(50)).await; // It rests first.
         proxy.signal("STOP").await;
-        wire.write(late).await;
+        connection.write(late).await;
         if late.is_empty() {
-            drop(wire);
+            drop(connection);
         }
         client.send("unsafe", "20000m").await;
         proxy.signal("CONT").await;
-        let (mut wire, _) = server.accept_request().await;
-        wire.respond("200 OK", "Connection: close\r\n", "own").await;
+        let (mut connection, _) = backend.accept_request().await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", "own")
+            .await;
         assert_eq!(client.read().await.expect("an answer").body, b"own");
     }
 }
 
 #[tokio::test]
 async fn connection_is_reused() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     for _ in 0..3 {
-        wire.respond("200 OK", "", "").await;
+        connection.respond("200 OK", "", "").await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
-        // It rests for a moment first, lest more than the answer is on its way.
+        // It idles for a moment first, in case more than the response is on its way.
         tokio::time::sleep(Duration::from_millis(50)).await;
         client.send("unsafe", "20000m").await;
-        wire.read()
+        connection
+            .read()
             .await
             .expect("the next request on the same connection");
     }
 }
 
-/// What is behind an answer would be taken for the answer to the next request on that connection:
-/// with a second copy that client would get another's answer.
+/// They would be taken for the response to the next request on that connection.
 #[tokio::test]
 async fn bytes_after_a_response_end_the_connection() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     let answer = |body: &str| {
         format!(
@@ -255,23 +255,23 @@
     .enumerate()
     {
         client.send("unsafe", "20000m").await;
-        let (mut wire, _) = server.accept_request().await;
-        wire.write(&(answer(&k.to_string()) + &with)).await;
+        let (mut connection, _) = backend.accept_request().await;
+        connection.write(&(answer(&k.to_string()) + &with)).await;
         assert_eq!(
             client.read().await.expect("an answer").body,
             k.to_string().as_bytes()
         );
-        wire.write(later).await; // It is given back by then.
-        wire.expect_closed().await;
+        connection.write(later).await; // It is given back by then.
+        connection.expect_closed().await;
     }
 }
 
-/// An answer that is not surely whole is none. Its request may have run, and its connection is
-/// closed at once, not when the client's time is up: an endless one would go on growing.
+/// The request may have been executed. The connection is closed at once: an endless response would
+/// go on growing.
 #[tokio::test]
 async fn malformed_responses_end_the_attempt() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let endless = |head: &str, part: &str| {
         format!(
             "HTTP/1.1 200 OK\r\n{head}{}",
@@ -296,69 +296,68 @@
     for answer in spoilt {
         let mut client = proxy.connect().await;
         client.send("unsafe", "60000m").await;
-        let (mut wire, _) = server.accept_request().await;
-        wire.write_until_closed(&answer).await;
+        let (mut connection, _) = backend.accept_request().await;
+        connection.write_until_closed(&answer).await;
         let status = client.read().await.expect("an answer").status();
         assert_eq!(status, 504, "{answer:.80}");
-        wire.drain_until_closed().await;
+        connection.drain_until_closed().await;
     }
     assert!(proxy.peak_memory_kib() < MEMORY_MB << 10);
 }
 
-/// Interim answers are skipped, and load reports that can't be read are ignored: neither spoils the
-/// answer.
 #[tokio::test]
 async fn interim_responses_and_malformed_load_reports_are_tolerated() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut wire, _) = server.accept_request().await;
-    wire.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
+    let (mut connection, _) = backend.accept_request().await;
+    connection
+        .write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
         .await;
-    wire.respond("200 OK", "X-Server-Load: {\"inflight\":[,\r\n", "served")
+    connection
+        .respond("200 OK", "X-Server-Load: {\"inflight\":[,\r\n", "served")
         .await;
     assert_eq!(client.read().await.expect("an answer").body, b"served");
 }
 
-/// A server that says nothing costs the client no answer: it comes before the client's time is up,
-/// and the attempt's connection is closed.
+/// The attempt's connection is closed.
 #[tokio::test]
 async fn request_to_a_hung_backend_fails_within_its_deadline() {
-    let server = ScriptedServer::new().await;
-    let (proxy, _discovery, _watch) = serve(&[("s", &server)]).await;
+    let backend = ScriptedServer::new().await;
+    let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "400m").await;
-    let (mut wire, _) = server.accept_request().await;
+    let (mut connection, _) = backend.accept_request().await;
     assert_eq!(client.read().await.expect("an answer").status(), 504);
-    wire.expect_closed().await;
+    connection.expect_closed().await;
 }
 
-/// Nothing is owed to a client that has left, and nothing more is sent for it.
 #[tokio::test]
 async fn no_retry_after_the_client_disconnected() {
     let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
     let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
     let mut client = proxy.connect().await;
     client.send("safe", "20000m").await;
-    let ((mut wire, first), other) = tokio::select! {
+    let ((mut connection, first), other) = tokio::select! {
         got = one.accept_request() => (got, &two),
         got = two.accept_request() => (got, &one),
     };
     client.close().await;
-    wire.respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
+    connection
+        .respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
     assert!(other.is_untouched().await, "sent again");
     let mut client = proxy.connect().await;
     client.send("safe", "20000m").await;
     let next = tokio::select! {
-        next = wire.read() => next.expect("a request"),
+        next = connection.read() => next.expect("a request"),
         (_, next) = other.accept_request() => next,
     };
     assert_ne!(first.header("x-request-id"), next.header("x-request-id"));
 }
 
-/// Reports come under the names that the settings give, beside figures that nobody asked for.
+/// Load reports come under the names in the settings, beside fields that nobody asked for.
 #[tokio::test]
 async fn load_probes_select_the_idle_backend() {
     let (busy, idle) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -390,17 +389,17 @@
             r#"{"spare":"x","outstanding":0,"utilization":0.0}"#,
         ),
     ];
-    for (server, name, report) in reports {
+    for (backend, name, report) in reports {
         let served = served.clone();
         tokio::spawn(async move {
             loop {
-                let (mut wire, served) = (server.accept().await, served.clone());
+                let (mut connection, served) = (backend.accept().await, served.clone());
                 tokio::spawn(async move {
-                    while let Some(request) = wire.read().await {
+                    while let Some(request) = connection.read().await {
                         if request.start == "GET /stats HTTP/1.1" {
-                            wire.respond("200 OK", "", report).await;
+                            connection.respond("200 OK", "", report).await;
                         } else {
-                            wire.respond("200 OK", "", "").await;
+                            connection.respond("200 OK", "", "").await;
                             let _ = served.send(name);
                         }
                     }
@@ -408,8 +407,8 @@
             }
         });
     }
-    // On a busy machine a report may come too late to be heeded. Without any, so long a row is a
-    // matter of 1 in 10^6.
+    // On a busy machine a report may come too late to count. Without reports, so long a row has a
+    // probability of 1e-6.
     let in_a_row = async {
         let mut row = 0;
         while row < 20 {
