--- a/crates/fault-injection-preload/src/next.rs
+++ b/crates/fault-injection-preload/src/next_symbol.rs
@@ -1,28 +1,29 @@
-//! The C library's own functions, behind those that the shim defines under the same names.
+//! The C library's own functions, which this library's functions of the same names hide.
 
 use libc::{c_char, c_int, c_uint, c_void, iovec, pollfd, sockaddr, socklen_t, ssize_t, timespec};
 use std::sync::atomic::{AtomicPtr, Ordering};
 
-macro_rules! behind {
+/// Defines functions that look up the next symbol of their name, once, and call it.
+macro_rules! next_symbols {
     ($(fn $name:ident($($argument:ident: $kind:ty),*) -> $result:ty;)*) => {$(
-        pub unsafe fn $name($($argument: $kind),*) -> $result {
+        pub(crate) unsafe fn $name($($argument: $kind),*) -> $result {
             static FOUND: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
             let mut found = FOUND.load(Ordering::Relaxed);
             if found.is_null() {
                 found = libc::dlsym(libc::RTLD_NEXT, concat!(stringify!($name), "\0").as_ptr().cast());
                 if found.is_null() {
-                    libc::abort(); // There is no C library without it.
+                    libc::abort(); // No C library lacks it.
                 }
                 FOUND.store(found, Ordering::Relaxed);
             }
-            // SAFETY: The symbol of this name is the C library's function, and that has this type.
+            // SAFETY: The symbol of this name is the C library's function, which has this type.
             let function: unsafe extern "C" fn($($kind),*) -> $result = std::mem::transmute(found);
             function($($argument),*)
         }
     )*};
 }
 
-behind! {
+next_symbols! {
     fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int;
     fn bind(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int;
     fn listen(fd: c_int, backlog: c_int) -> c_int;
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)] // Each test file uses its part.
 
-use fault_injection::{SharedControl, VARIABLE};
+use fault_injection::{ControlFile, CONTROL_FILE_VARIABLE};
 use serde_json::{json, Value};
 use socket2::SockRef;
 use std::future::Future;
@@ -456,7 +456,7 @@
 
 /// System calls of a node that fail as a test says.
 pub struct FaultyCalls {
-    pub control: SharedControl,
+    pub control: ControlFile,
     path: PathBuf,
     library: PathBuf,
 }
@@ -468,7 +468,7 @@
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
         let path = path.join(format!("{}-{number}.faults", std::process::id()));
-        let control = SharedControl::create(&path).expect("a control file");
+        let control = ControlFile::create(&path).expect("a control file");
         let this = std::env::current_exe().expect("this program");
         let library = this.with_file_name("libfault_injection_preload.so");
         assert!(library.exists(), "{library:?} was not built");
@@ -483,7 +483,10 @@
     pub fn variables(&self) -> [(&str, &str); 2] {
         [
             ("LD_PRELOAD", self.library.to_str().expect("a path of text")),
-            (VARIABLE, self.path.to_str().expect("a path of text")),
+            (
+                CONTROL_FILE_VARIABLE,
+                self.path.to_str().expect("a path of text"),
+            ),
         ]
     }
 }
--- a/crates/proxy/tests/faults.rs
+++ b/crates/proxy/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use fault_injection::Call;
+use fault_injection::SystemCall;
 use std::time::Duration;
 
 /// For a moment the system may be out of anything: that is no reason not to start.
@@ -12,24 +12,29 @@
     let server = Peer::new().await;
     faults
         .control
-        .faults(Call::Socket)
+        .faults(SystemCall::Socket)
         .fail_next(3, &[libc::ENFILE]);
     faults
         .control
-        .faults(Call::Bind)
+        .faults(SystemCall::Bind)
         .fail_next(2, &[libc::EADDRINUSE]);
     faults
         .control
-        .faults(Call::Listen)
+        .faults(SystemCall::Listen)
         .fail_next(2, &[libc::EADDRINUSE]);
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_next(2, &[libc::ENFILE]);
     let (node, _discovery, _watch) = Node::faulty(&faults, &[("s", &server)]).await;
-    for call in [Call::Socket, Call::Bind, Call::Listen, Call::OpenRead] {
+    for call in [
+        SystemCall::Socket,
+        SystemCall::Bind,
+        SystemCall::Listen,
+        SystemCall::OpenRead,
+    ] {
         assert_eq!(
-            faults.control.faults(call).left(),
+            faults.control.faults(call).remaining_failures(),
             0,
             "{call:?} was not made"
         );
@@ -48,9 +53,9 @@
     let faults = FaultyCalls::new();
     let server = Peer::new().await;
     let (node, discovery, mut watch) = Node::faulty(&faults, &[("s", &server)]).await;
-    let held_up = &faults.control.after_wait;
+    let held_up = &faults.control.after_epoll_wait;
     held_up.pause_next(1, Duration::from_secs(4));
-    while held_up.begun() == 0 {
+    while held_up.pause_count() == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     watch
@@ -76,7 +81,7 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     let closing = &faults.control.before_shutdown;
     closing.pause_next(1, Duration::from_secs(1));
-    while closing.begun() == 0 {
+    while closing.pause_count() == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     client.send("safe", "20000m").await;
@@ -101,13 +106,19 @@
     let (mut node, _discovery, _watch) = Node::faulty(&faults, &[("s", &server)]).await;
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_next(3, &[libc::ENFILE, libc::EIO]);
     node.reconfigure("discovery", serde_json::json!(other.address().to_string()))
         .await;
     let (_, request) = other.request().await;
     assert!(request.start.starts_with("GET /registry/instances"));
-    assert_eq!(faults.control.faults(Call::OpenRead).left(), 0);
+    assert_eq!(
+        faults
+            .control
+            .faults(SystemCall::OpenRead)
+            .remaining_failures(),
+        0
+    );
 }
 
 /// A connection that ended before it was accepted says nothing of the next one, which may be taken
@@ -124,13 +135,22 @@
         libc::ENETUNREACH,
         libc::EHOSTUNREACH,
     ];
-    faults.control.faults(Call::Accept).fail_next(1000, &ended);
+    faults
+        .control
+        .faults(SystemCall::Accept)
+        .fail_next(1000, &ended);
     let mut client = node.client().await;
     client.send("safe", "60000m").await;
     let (mut wire, _) = server.request().await;
     wire.answer("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    assert_eq!(faults.control.faults(Call::Accept).left(), 0);
+    assert_eq!(
+        faults
+            .control
+            .faults(SystemCall::Accept)
+            .remaining_failures(),
+        0
+    );
 }
 
 /// What the node itself runs out of for a moment says nothing of a server, and fails no request
@@ -141,7 +161,10 @@
     let server = Peer::new().await;
     let (node, _discovery, _watch) = Node::faulty(&faults, &[("s", &server)]).await;
     let short = [libc::ENFILE, libc::ENOBUFS, libc::EADDRNOTAVAIL];
-    faults.control.faults(Call::Connect).fail_next(5, &short);
+    faults
+        .control
+        .faults(SystemCall::Connect)
+        .fail_next(5, &short);
     let mut client = node.client().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.request().await;
@@ -424,10 +447,7 @@
     let faults = FaultyCalls::new();
     let server = Peer::new().await;
     let (node, discovery, mut watch) = Node::faulty(&faults, &[("s", &server)]).await;
-    faults.control.short_rate.store(
-        fault_injection::MILLION,
-        std::sync::atomic::Ordering::SeqCst,
-    );
+    faults.control.set_short_io_rate(fault_injection::ALWAYS);
     watch
         .list(2, false, &[member("s", server.address(), "leaving")])
         .await;
--- a/crates/proxy/tests/kept.rs
+++ b/crates/proxy/tests/kept.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use fault_injection::Call;
+use fault_injection::SystemCall;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 
@@ -72,12 +72,12 @@
     // The steps: the lock and the new file are opened, the new file is written, synced and renamed,
     // the folder is synced.
     let steps = [
-        (Call::OpenWrite, 0),
-        (Call::OpenWrite, 1),
-        (Call::Write, 0),
-        (Call::Sync, 0),
-        (Call::Rename, 0),
-        (Call::Sync, 1),
+        (SystemCall::OpenWrite, 0),
+        (SystemCall::OpenWrite, 1),
+        (SystemCall::Write, 0),
+        (SystemCall::Sync, 0),
+        (SystemCall::Rename, 0),
+        (SystemCall::Sync, 1),
     ];
     for (call, before) in steps {
         for error in [libc::ENOSPC, libc::EIO] {
@@ -88,7 +88,7 @@
                 "{call:?} after {before}"
             );
             assert_eq!(
-                faults.control.faults(call).left(),
+                faults.control.faults(call).remaining_failures(),
                 0,
                 "{call:?} after {before} was not made"
             );
@@ -128,10 +128,16 @@
     // The first to be read is the configuration.
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_after(1, 3, &[libc::EIO]);
     let (mut node, _watch) = place.start(&faults).await;
-    assert_eq!(faults.control.faults(Call::OpenRead).left(), 0);
+    assert_eq!(
+        faults
+            .control
+            .faults(SystemCall::OpenRead)
+            .remaining_failures(),
+        0
+    );
     let mut client = node.client().await;
     for _ in 0..8 {
         client.send("safe", "20000m").await;
@@ -144,11 +150,16 @@
         r#"{"version":1,"node":"n","word":{"draining":false,"out":["a","b"],"returned":{}}}"#;
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_next(5, &[libc::EIO]);
     std::fs::write(place.folder.join("another"), another).expect("a file");
     std::fs::rename(place.folder.join("another"), place.folder.join(KEPT)).expect("a file");
-    while faults.control.faults(Call::OpenRead).left() > 0 {
+    while faults
+        .control
+        .faults(SystemCall::OpenRead)
+        .remaining_failures()
+        > 0
+    {
         assert_eq!(node.call("POST", "/healthcheck/fail").await, 500);
     }
     node.logged("told beside draining=false left_out=2").await;
--- a/crates/soak-test/src/node.rs
+++ b/crates/soak-test/src/node.rs
@@ -4,7 +4,7 @@
 use crate::http::Connection;
 use crate::judge::Rule;
 use crate::world::Shared;
-use fault_injection::{SharedControl, VARIABLE};
+use fault_injection::{ControlFile, CONTROL_FILE_VARIABLE};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     /// Where clients connect.
     pub address: SocketAddr,
     /// Its system calls.
-    pub control: SharedControl,
+    pub control: ControlFile,
     world: Shared,
     folder: PathBuf,
     program: PathBuf,
@@ -63,7 +63,7 @@
     ) -> std::io::Result<Rc<Self>> {
         let folder = folder.join(format!("n{index}"));
         std::fs::create_dir_all(folder.join("tmp"))?;
-        let control = SharedControl::create(&folder.join("faults"))?;
+        let control = ControlFile::create(&folder.join("faults"))?;
         // The port is given out by the system once, and is the node's for good: nobody else uses
         // the address.
         let address = std::net::TcpListener::bind(world.address(1, index))?.local_addr()?;
@@ -140,7 +140,7 @@
             .env("GW_CONFIG", self.folder.join("config.json"))
             .env("TMPDIR", self.folder.join("tmp"))
             .env("LD_PRELOAD", &self.shim)
-            .env(VARIABLE, self.folder.join("faults"))
+            .env(CONTROL_FILE_VARIABLE, self.folder.join("faults"))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .kill_on_drop(true);
--- a/crates/soak-test/src/play.rs
+++ b/crates/soak-test/src/play.rs
@@ -7,7 +7,7 @@
 use crate::plan::{Conduct, Episode, FailingCalls, Plan, Trouble};
 use crate::server;
 use crate::world::{Discovery, Phase, Server, Shared, World};
-use fault_injection::Call;
+use fault_injection::SystemCall;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::path::Path;
@@ -63,9 +63,7 @@
     let mut nodes = Vec::new();
     for index in 0..world.plan.nodes {
         let node = Node::new(&world, index, folder, programs.node, programs.shim).await?;
-        node.control
-            .seed
-            .store(world.plan.seed, std::sync::atomic::Ordering::Relaxed);
+        node.control.set_seed(world.plan.seed);
         nodes.push(node);
     }
     let starting: Vec<_> = nodes
@@ -198,17 +196,21 @@
                 .iter()
                 .for_each(|&node| fail_calls(&nodes[node], *calls));
             sleep(episode.length).await;
-            chosen.iter().for_each(|&node| nodes[node].control.quiet());
+            chosen
+                .iter()
+                .for_each(|&node| nodes[node].control.clear_faults());
         }
         Trouble::HeldUp(chosen) => {
             chosen.iter().for_each(|&node| {
                 nodes[node]
                     .control
-                    .after_wait
+                    .after_epoll_wait
                     .set_rate(SOMETIMES, HELD_UP, BETWEEN);
             });
             sleep(episode.length).await;
-            chosen.iter().for_each(|&node| nodes[node].control.quiet());
+            chosen
+                .iter()
+                .for_each(|&node| nodes[node].control.clear_faults());
         }
         Trouble::Step(chosen, seconds) => {
             chosen
@@ -268,7 +270,7 @@
     match calls {
         FailingCalls::Accept => {
             set(
-                Call::Accept,
+                SystemCall::Accept,
                 10 * SOMETIMES,
                 &[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EINTR],
             );
@@ -280,20 +282,18 @@
                 libc::EADDRNOTAVAIL,
                 libc::ENETUNREACH,
             ];
-            set(Call::Socket, 5 * SOMETIMES, &[libc::ENFILE]);
-            set(Call::Connect, 10 * SOMETIMES, &errors);
+            set(SystemCall::Socket, 5 * SOMETIMES, &[libc::ENFILE]);
+            set(SystemCall::Connect, 10 * SOMETIMES, &errors);
         }
         FailingCalls::Waits => {
-            set(Call::Wait, 10 * SOMETIMES, &[libc::EINTR]);
-            set(Call::Poll, 10 * SOMETIMES, &[libc::EINTR]);
+            set(SystemCall::EpollWait, 10 * SOMETIMES, &[libc::EINTR]);
+            set(SystemCall::Poll, 10 * SOMETIMES, &[libc::EINTR]);
         }
         FailingCalls::Short => {
-            node.control
-                .short_rate
-                .store(10 * SOMETIMES, std::sync::atomic::Ordering::Relaxed);
+            node.control.set_short_io_rate(10 * SOMETIMES);
         }
         FailingCalls::Broken => set(
-            Call::Receive,
+            SystemCall::Receive,
             SOMETIMES / 4,
             &[libc::ETIMEDOUT, libc::EHOSTUNREACH],
         ),
