--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,11 +1,12 @@
 //! The operators' side: a listener of its own, with places of its own, and the calls that it takes.
 
-use crate::downstream::listener::{accept_failed, discard, ShutdownPhase, MOST_LINGERING};
+use crate::downstream::listener::{accept_failed, discard, MOST_LINGERING};
 use crate::http1::error::MessageError;
 use crate::http1::framing::parse_request_head;
 use crate::http1::limits::MAX_HEAD_BYTES;
 use crate::operator_state::store::{OperatorState, OperatorStateStore};
 use crate::requests::dispatcher::Dispatcher;
+use crate::shutdown::{ShutdownController, ShutdownPhase};
 use crate::socket::Socket;
 use bytes::BytesMut;
 use hyper::StatusCode;
@@ -17,7 +18,6 @@
 use std::time::{Duration, SystemTime};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::watch;
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
@@ -35,7 +35,7 @@
 /// See the module's own words.
 pub struct AdminServer {
     engine: Rc<Dispatcher>,
-    phase: Rc<watch::Sender<ShutdownPhase>>,
+    shutdown: Rc<ShutdownController>,
     keeper: Rc<OperatorStateStore>,
     warm_up: Duration,
     /// The latest look at what another process was told has failed.
@@ -50,13 +50,13 @@
     /// use are warm after `warm_up`.
     pub fn new(
         engine: Rc<Dispatcher>,
-        phase: Rc<watch::Sender<ShutdownPhase>>,
+        shutdown: Rc<ShutdownController>,
         keeper: Rc<OperatorStateStore>,
         warm_up: Duration,
     ) -> Rc<Self> {
         let console = Rc::new(AdminServer {
             engine,
-            phase,
+            shutdown,
             keeper,
             warm_up,
             look_failed: Cell::new(false),
@@ -106,16 +106,7 @@
     fn apply(&self) {
         let word = self.keeper.state();
         self.engine.apply_operator_state(&word);
-        self.phase.send_if_modified(|phase| {
-            let drained = if word.draining {
-                ShutdownPhase::Draining
-            } else {
-                ShutdownPhase::Serving
-            };
-            let turns = *phase <= ShutdownPhase::Draining && *phase != drained;
-            *phase = if turns { drained } else { *phase };
-            turns
-        });
+        self.shutdown.set_draining(word.draining);
     }
 
     /// Changes the operators' word, for every process of this node, and puts it in force.
@@ -199,7 +190,7 @@
             .strip_prefix("/backends/")
             .and_then(|rest| rest.rsplit_once('/'));
         Ok(match (method, path, backend) {
-            ("GET", "/healthcheck", _) => match *self.phase.borrow() {
+            ("GET", "/healthcheck", _) => match self.shutdown.phase() {
                 ShutdownPhase::Serving | ShutdownPhase::Draining if !self.engine.ready() => {
                     (StatusCode::SERVICE_UNAVAILABLE, "no list of backends")
                 }
@@ -208,7 +199,7 @@
                 _ => (StatusCode::SERVICE_UNAVAILABLE, "leaving"),
             },
             ("POST", "/healthcheck/fail" | "/healthcheck/ok", _) => {
-                if *self.phase.borrow() > ShutdownPhase::Draining {
+                if self.shutdown.phase() > ShutdownPhase::Draining {
                     return Err((StatusCode::CONFLICT, "the process is leaving"));
                 }
                 let draining = path == "/healthcheck/fail";
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -12,6 +12,7 @@
 use crate::requests::dispatcher::{Dispatcher, FinalResponse, ForwardRequest};
 use crate::resizable_semaphore::ResizableSemaphore;
 use crate::send_invariants::{self, Invariant};
+use crate::shutdown::ShutdownPhase;
 use crate::socket::{is_closed_by_peer, is_open_and_drained};
 use crate::transient_errors;
 use crate::upstream::backend_registry::{ResponseBody, MOST_BUFFERED};
@@ -82,21 +83,6 @@
 /// `accept` that failed for want of resources is not tried again at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far the node's end has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ShutdownPhase {
-    /// It serves.
-    Serving,
-    /// It serves, and asks clients to go elsewhere until the drain ends.
-    Draining,
-    /// It serves, and asks clients to go elsewhere next.
-    Leaving,
-    /// The same, while another process takes what comes to the listener.
-    HandingOver,
-    /// It takes no connections and finishes what it has.
-    Closing,
-}
-
 /// What a connection needs to know.
 pub struct Listener {
     engine: Rc<Dispatcher>,
@@ -220,7 +206,7 @@
         // In a drain each answer says to close: who is idle has been so since before.
         let idle = match phase {
             ShutdownPhase::Serving => IDLE,
-            ShutdownPhase::Draining | ShutdownPhase::Leaving | ShutdownPhase::HandingOver => {
+            ShutdownPhase::Draining | ShutdownPhase::ShuttingDown | ShutdownPhase::HandingOver => {
                 IDLE_LEAST
             }
             ShutdownPhase::Closing => Duration::ZERO,
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -6,36 +6,24 @@
 use crate::config::{Config, ConfigError, ConfigText};
 use crate::discovery::state::{DiscoveryEvent, DiscoveryMode};
 use crate::discovery::watch_loop::EndpointWatcher;
-use crate::downstream::listener::{Listener, ShutdownPhase};
+use crate::downstream::listener::Listener;
 use crate::event_log::EventLog;
 use crate::listener_inheritance::inherit_listener;
 use crate::operator_state::store::OperatorStateStore;
 use crate::requests::dispatcher::Dispatcher;
+use crate::resource_limits::ResourceLimits;
+use crate::shutdown::ShutdownController;
 use crate::transient_errors::retry_at_start;
 use crate::upstream::backend_registry;
 use crate::upstream::backend_registry::BackendRegistry;
 use crate::{metrics, send_invariants, transient_errors};
-use rustix::process::{getrlimit, Resource};
 use std::error::Error;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::signal::unix::{signal, SignalKind};
-use tokio::sync::watch;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Clients go on coming for this long after a signal.
-const LEAVE: Duration = Duration::from_millis(500);
-/// Beyond the longest deadline, for the last answers to be written.
-const LAST_WRITES: Duration = Duration::from_millis(100);
-/// Beyond that, for large messages on their way: nobody waits for a process for ever.
-const LAST_LARGE: Duration = Duration::from_secs(30);
-/// Descriptors for all that is no client and no backend: standard streams, listener, discovery, the
-/// runtime.
-const RESERVED_SOCKETS: usize = 32;
-/// Most that one request may hold: its body and answer, and the buffers of both connections.
-/// Measured with bodies of the largest kind at every place.
-const REQUEST_MEMORY: usize = 200 << 10;
 /// How often a process looks for another of its node, and for what that one was told.
 const LOOK: Duration = Duration::from_millis(100);
 /// Where lists are pushed, a new process waits so long for its first before it goes by the one of
@@ -86,36 +74,21 @@
         .unwrap_or_default();
     let warm_up = settings.protocol_limits.slow_start_duration;
     let effects = settings.classes.iter().map(|c| c.idempotency).collect();
-    // Three quarters of memory are for requests; clients and backends share what descriptors there
-    // are. That is more than the third that clients need for requests: the rest is for those that
-    // say nothing.
-    let reserved = RESERVED_SOCKETS + config.console.map_or(0, |_| server::SOCKETS);
     let operated = config.console.is_some() || config.inherited.is_some();
     let place = std::env::var_os("TMPDIR").filter(|_| operated);
     let unkept = operated && place.is_none();
     let (keeper, unread) = OperatorStateStore::open(place.map(Into::into), &config.name);
     let keeper = Rc::new(keeper);
-    // Two processes of a node have one machine between them. What the system allows a process is
-    // its own.
-    let allowed = getrlimit(Resource::Nofile)
-        .current
-        .and_then(|most| usize::try_from(most).ok());
-    let allowed = allowed.unwrap_or(usize::MAX);
-    let plan = move |accompanied: bool| {
-        let part = 1 + usize::from(accompanied);
-        let sockets = (config.sockets / part)
-            .min(allowed)
-            .saturating_sub(reserved)
-            .max(2);
-        let clients = (sockets / 2)
-            .min(config.memory / part / 4 * 3 / REQUEST_MEMORY)
-            .max(1);
-        (clients, sockets - clients)
-    };
+    let resource_limits = ResourceLimits::new(
+        config.sockets,
+        config.memory,
+        config.console.map_or(0, |_| server::SOCKETS),
+    );
     let mut accompanied = keeper.peer_process_running();
-    let (clients, connections) = plan(accompanied);
+    let pool_sizes = resource_limits.pool_sizes(accompanied);
+    let clients = pool_sizes.client_connections;
     let limits = backend_registry::Limits {
-        connections,
+        connections: pool_sizes.upstream_connections,
         connect_timeout: or(settings.connect_timeout, Duration::from_millis(250)),
         conn_idle: or(settings.idle_timeout, Duration::from_secs(5)),
     };
@@ -194,9 +167,8 @@
             "TMPDIR is not set: maintenance and drain end with this process"
         ));
     }
-    let (phase, phases) = watch::channel(ShutdownPhase::Serving);
-    let phase = Rc::new(phase);
-    let console = AdminServer::new(engine.clone(), phase.clone(), keeper.clone(), warm_up);
+    let shutdown = Rc::new(ShutdownController::new());
+    let console = AdminServer::new(engine.clone(), shutdown.clone(), keeper.clone(), warm_up);
     engine.known(config.known.as_ref());
     watcher.start(engine.revision());
     let (reloading, rewatching) = (engine.clone(), watcher.clone());
@@ -222,7 +194,13 @@
         engine.log(format_args!("console at {}", calls.local_addr()?));
         spawn_local(console.clone().serve(calls));
     }
-    let frontend = Listener::new(engine.clone(), effects, clients, listening_since, phases);
+    let frontend = Listener::new(
+        engine.clone(),
+        effects,
+        clients,
+        listening_since,
+        shutdown.subscribe(),
+    );
     if operated {
         let (engine, keeper, frontend) = (engine.clone(), keeper.clone(), frontend.clone());
         spawn_local(async move {
@@ -232,11 +210,12 @@
                 console.look().await;
                 let now = keeper.peer_process_running();
                 if std::mem::replace(&mut accompanied, now) != now {
-                    let (clients, upstream) = plan(now);
-                    frontend.resize(clients);
-                    sharing.resize(upstream);
+                    let sizes = resource_limits.pool_sizes(now);
+                    frontend.resize(sizes.client_connections);
+                    sharing.resize(sizes.upstream_connections);
                     engine.log(format_args!(
-                        "accompanied={now} clients={clients} upstream={upstream}"
+                        "accompanied={now} clients={} upstream={}",
+                        sizes.client_connections, sizes.upstream_connections
                     ));
                 }
             }
@@ -263,25 +242,9 @@
     }
     let handing_over = inherited && keeper.peer_process_running();
     engine.log(format_args!("leaving handing_over={handing_over}"));
-    phase.send_replace(if handing_over {
-        ShutdownPhase::HandingOver
-    } else {
-        ShutdownPhase::Leaving
-    });
-    tokio::time::sleep(LEAVE).await;
-    phase.send_replace(ShutdownPhase::Closing);
-    // What was taken last is due within the longest deadline. Large messages take the time that
-    // their peers need.
-    let mut served = std::pin::pin!(served);
-    if tokio::time::timeout(longest + LAST_WRITES, served.as_mut())
-        .await
-        .is_err()
-    {
-        let by = tokio::time::Instant::now() + LAST_LARGE;
-        while ending.in_hand() && tokio::time::Instant::now() < by && !served.is_finished() {
-            tokio::time::sleep(UNREADY).await;
-        }
-    }
+    shutdown
+        .run(handing_over, longest, served, || ending.in_hand())
+        .await;
     let open = engine.open_requests();
     if send_invariants::may_exit(open).is_err() {
         engine.log(format_args!("violations_ProcessExit={open}"));
