--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use fault_injection::Call;
+use fault_injection::SystemCall;
 use std::time::Duration;
 
 /// For a moment the system may be out of anything: that is no reason not to start.
@@ -12,24 +12,29 @@
     let server = ScriptedServer::new().await;
     faults
         .control
-        .faults(Call::Socket)
+        .faults(SystemCall::Socket)
         .fail_next(3, &[libc::ENFILE]);
     faults
         .control
-        .faults(Call::Bind)
+        .faults(SystemCall::Bind)
         .fail_next(2, &[libc::EADDRINUSE]);
     faults
         .control
-        .faults(Call::Listen)
+        .faults(SystemCall::Listen)
         .fail_next(2, &[libc::EADDRINUSE]);
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_next(2, &[libc::ENFILE]);
     let (proxy, _discovery, _watch) = serve_with_faults(&faults, &[("s", &server)]).await;
-    for call in [Call::Socket, Call::Bind, Call::Listen, Call::OpenRead] {
+    for call in [
+        SystemCall::Socket,
+        SystemCall::Bind,
+        SystemCall::Listen,
+        SystemCall::OpenRead,
+    ] {
         assert_eq!(
-            faults.control.faults(call).left(),
+            faults.control.faults(call).remaining_failures(),
             0,
             "{call:?} was not made"
         );
@@ -48,9 +53,9 @@
     let faults = FaultInjection::new();
     let server = ScriptedServer::new().await;
     let (proxy, discovery, mut watch) = serve_with_faults(&faults, &[("s", &server)]).await;
-    let held_up = &faults.control.after_wait;
+    let held_up = &faults.control.after_epoll_wait;
     held_up.pause_next(1, Duration::from_secs(4));
-    while held_up.begun() == 0 {
+    while held_up.pause_count() == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     watch
@@ -76,7 +81,7 @@
     assert_eq!(client.read().await.expect("an answer").status(), 200);
     let closing = &faults.control.before_shutdown;
     closing.pause_next(1, Duration::from_secs(1));
-    while closing.begun() == 0 {
+    while closing.pause_count() == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     client.send("safe", "20000m").await;
@@ -101,14 +106,20 @@
     let (mut proxy, _discovery, _watch) = serve_with_faults(&faults, &[("s", &server)]).await;
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_next(3, &[libc::ENFILE, libc::EIO]);
     proxy
         .reconfigure("discovery", serde_json::json!(other.address().to_string()))
         .await;
     let (_, request) = other.accept_request().await;
     assert!(request.start.starts_with("GET /registry/instances"));
-    assert_eq!(faults.control.faults(Call::OpenRead).left(), 0);
+    assert_eq!(
+        faults
+            .control
+            .faults(SystemCall::OpenRead)
+            .remaining_failures(),
+        0
+    );
 }
 
 /// A connection that ended before it was accepted says nothing of the next one, which may be taken
@@ -125,13 +136,22 @@
         libc::ENETUNREACH,
         libc::EHOSTUNREACH,
     ];
-    faults.control.faults(Call::Accept).fail_next(1000, &ended);
+    faults
+        .control
+        .faults(SystemCall::Accept)
+        .fail_next(1000, &ended);
     let mut client = proxy.connect().await;
     client.send("safe", "60000m").await;
     let (mut wire, _) = server.accept_request().await;
     wire.respond("200 OK", "", "").await;
     assert_eq!(client.read().await.expect("an answer").status(), 200);
-    assert_eq!(faults.control.faults(Call::Accept).left(), 0);
+    assert_eq!(
+        faults
+            .control
+            .faults(SystemCall::Accept)
+            .remaining_failures(),
+        0
+    );
 }
 
 /// What the proxy itself runs out of for a moment says nothing of a server, and fails no request
@@ -142,7 +162,10 @@
     let server = ScriptedServer::new().await;
     let (proxy, _discovery, _watch) = serve_with_faults(&faults, &[("s", &server)]).await;
     let short = [libc::ENFILE, libc::ENOBUFS, libc::EADDRNOTAVAIL];
-    faults.control.faults(Call::Connect).fail_next(5, &short);
+    faults
+        .control
+        .faults(SystemCall::Connect)
+        .fail_next(5, &short);
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.accept_request().await;
@@ -236,10 +259,7 @@
     let faults = FaultInjection::new();
     let server = ScriptedServer::new().await;
     let (proxy, discovery, mut watch) = serve_with_faults(&faults, &[("s", &server)]).await;
-    faults.control.short_rate.store(
-        fault_injection::MILLION,
-        std::sync::atomic::Ordering::SeqCst,
-    );
+    faults.control.set_short_io_rate(fault_injection::ALWAYS);
     watch
         .send_list(2, false, &[endpoint("s", server.address(), "leaving")])
         .await;
