--- a/crates/proxy/tests/operator_state.rs
+++ b/crates/proxy/tests/operator_state.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use fault_injection::Call;
+use fault_injection::SystemCall;
 use serde_json::Value;
 
 const STATE_FILE: &str = "birchswitch.json";
@@ -60,12 +60,12 @@
     // The steps: the lock and the new file are opened, the new file is written, synced and renamed,
     // the folder is synced.
     let steps = [
-        (Call::OpenWrite, 0),
-        (Call::OpenWrite, 1),
-        (Call::Write, 0),
-        (Call::Sync, 0),
-        (Call::Rename, 0),
-        (Call::Sync, 1),
+        (SystemCall::OpenWrite, 0),
+        (SystemCall::OpenWrite, 1),
+        (SystemCall::Write, 0),
+        (SystemCall::Sync, 0),
+        (SystemCall::Rename, 0),
+        (SystemCall::Sync, 1),
     ];
     for (call, before) in steps {
         for error in [libc::ENOSPC, libc::EIO] {
@@ -76,7 +76,7 @@
                 "{call:?} after {before}"
             );
             assert_eq!(
-                faults.control.faults(call).left(),
+                faults.control.faults(call).remaining_failures(),
                 0,
                 "{call:?} after {before} was not made"
             );
@@ -119,10 +119,16 @@
     // The first to be read is the configuration.
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_after(1, 3, &[libc::EIO]);
     let (mut proxy, _watch) = node_state.start(&faults).await;
-    assert_eq!(faults.control.faults(Call::OpenRead).left(), 0);
+    assert_eq!(
+        faults
+            .control
+            .faults(SystemCall::OpenRead)
+            .remaining_failures(),
+        0
+    );
     let mut client = proxy.connect().await;
     for _ in 0..8 {
         client.send("safe", "20000m").await;
@@ -137,7 +143,7 @@
         r#"{"version":1,"node":"n","word":{"draining":false,"out":["a","b"],"returned":{}}}"#;
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_next(5, &[libc::EIO]);
     std::fs::write(node_state.folder.path.join("another"), another).expect("a file");
     std::fs::rename(
@@ -145,7 +151,12 @@
         node_state.folder.path.join(STATE_FILE),
     )
     .expect("a file");
-    while faults.control.faults(Call::OpenRead).left() > 0 {
+    while faults
+        .control
+        .faults(SystemCall::OpenRead)
+        .remaining_failures()
+        > 0
+    {
         assert_eq!(proxy.admin_call("POST", "/healthcheck/fail").await, 500);
     }
     proxy
