--- a/crates/proxy/tests/operator_state.rs
+++ b/crates/proxy/tests/operator_state.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use fault_injection::Call;
+use fault_injection::SystemCall;
 use serde_json::Value;
 
 const STATE_FILE: &str = "birchswitch.json";
@@ -49,8 +49,7 @@
     }
 }
 
-/// A yes lasts. Whatever step of the writing fails, the answer is a no, and the file says what it
-/// said before.
+/// Whichever step of the write fails, the call fails and the file keeps its content.
 #[tokio::test]
 async fn admin_call_succeeds_only_once_its_state_is_durable() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -61,12 +60,12 @@
     // The steps: the lock and the new file are opened, the new file is written, synced and renamed,
     // the folder is synced.
     let steps = [
-        (Call::OpenWrite, 0),
-        (Call::OpenWrite, 1),
-        (Call::Write, 0),
-        (Call::Sync, 0),
-        (Call::Rename, 0),
-        (Call::Sync, 1),
+        (SystemCall::OpenWrite, 0),
+        (SystemCall::OpenWrite, 1),
+        (SystemCall::Write, 0),
+        (SystemCall::Sync, 0),
+        (SystemCall::Rename, 0),
+        (SystemCall::Sync, 1),
     ];
     for (call, before) in steps {
         for error in [libc::ENOSPC, libc::EIO] {
@@ -77,7 +76,7 @@
                 "{call:?} after {before}"
             );
             assert_eq!(
-                faults.control.faults(call).left(),
+                faults.control.faults(call).remaining_failures(),
                 0,
                 "{call:?} after {before} was not made"
             );
@@ -92,8 +91,7 @@
     assert_eq!(node_state.in_maintenance(), ["a", "b"]);
 }
 
-/// A process that was killed between the writing and the renaming leaves a file behind that nobody
-/// goes by.
+/// A process killed between write and rename leaves it behind.
 #[tokio::test]
 async fn leftover_temporary_file_is_ignored() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -109,7 +107,7 @@
     assert_eq!(node_state.in_maintenance(), ["a"]);
 }
 
-/// A file that can't be read for a moment is not taken as empty, and not as read either.
+/// The file counts neither as empty nor as read.
 #[tokio::test]
 async fn transient_read_failure_does_not_lose_the_state() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -121,23 +119,31 @@
     // The first to be read is the configuration.
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_after(1, 3, &[libc::EIO]);
     let (mut proxy, _watch) = node_state.start(&faults).await;
-    assert_eq!(faults.control.faults(Call::OpenRead).left(), 0);
+    assert_eq!(
+        faults
+            .control
+            .faults(SystemCall::OpenRead)
+            .remaining_failures(),
+        0
+    );
     let mut client = proxy.connect().await;
     for _ in 0..8 {
         client.send("safe", "20000m").await;
-        let (mut wire, _) = b.accept_request().await;
-        wire.respond("200 OK", "Connection: close\r\n", "").await;
+        let (mut connection, _) = b.accept_request().await;
+        connection
+            .respond("200 OK", "Connection: close\r\n", "")
+            .await;
         assert_eq!(client.read().await.expect("an answer").status(), 200);
     }
-    // Another process's change, of which the reading fails: it is not lost, and not written over.
+    // The change of another process, which cannot be read for a moment, is not lost or overwritten.
     let another =
         r#"{"version":1,"node":"n","word":{"draining":false,"out":["a","b"],"returned":{}}}"#;
     faults
         .control
-        .faults(Call::OpenRead)
+        .faults(SystemCall::OpenRead)
         .fail_next(5, &[libc::EIO]);
     std::fs::write(node_state.folder.path.join("another"), another).expect("a file");
     std::fs::rename(
@@ -145,7 +151,12 @@
         node_state.folder.path.join(STATE_FILE),
     )
     .expect("a file");
-    while faults.control.faults(Call::OpenRead).left() > 0 {
+    while faults
+        .control
+        .faults(SystemCall::OpenRead)
+        .remaining_failures()
+        > 0
+    {
         assert_eq!(proxy.admin_call("POST", "/healthcheck/fail").await, 500);
     }
     proxy
