--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,6 +1,7 @@
 //! The operators' side: a listener of its own, with places of its own, and the calls that it takes.
 
 use crate::downstream::listener::{accept_failed, discard, MOST_LINGERING};
+use crate::endpoint_updates::EndpointUpdates;
 use crate::http1::error::MessageError;
 use crate::http1::framing::parse_request_head;
 use crate::http1::limits::MAX_HEAD_BYTES;
@@ -35,6 +36,7 @@
 /// See the module's own words.
 pub struct AdminServer {
     engine: Rc<Dispatcher>,
+    endpoints: Rc<EndpointUpdates>,
     shutdown: Rc<ShutdownController>,
     keeper: Rc<OperatorStateStore>,
     warm_up: Duration,
@@ -50,12 +52,14 @@
     /// use are warm after `warm_up`.
     pub fn new(
         engine: Rc<Dispatcher>,
+        endpoints: Rc<EndpointUpdates>,
         shutdown: Rc<ShutdownController>,
         keeper: Rc<OperatorStateStore>,
         warm_up: Duration,
     ) -> Rc<Self> {
         let console = Rc::new(AdminServer {
             engine,
+            endpoints,
             shutdown,
             keeper,
             warm_up,
@@ -69,7 +73,7 @@
     /// back into use once they are warm: the next process could not tell for how long they have
     /// been.
     pub async fn look(&self) {
-        let warm = |name: &String| self.engine.warmed_up(name, self.warm_up);
+        let warm = |name: &String| self.endpoints.has_warmed_up(name, self.warm_up);
         let settled = self
             .keeper
             .state()
@@ -105,7 +109,7 @@
     /// Puts the operators' word in force.
     fn apply(&self) {
         let word = self.keeper.state();
-        self.engine.apply_operator_state(&word);
+        self.endpoints.apply_operator_state(&word);
         self.shutdown.set_draining(word.draining);
     }
 
@@ -191,7 +195,7 @@
             .and_then(|rest| rest.rsplit_once('/'));
         Ok(match (method, path, backend) {
             ("GET", "/healthcheck", _) => match self.shutdown.phase() {
-                ShutdownPhase::Serving | ShutdownPhase::Draining if !self.engine.ready() => {
+                ShutdownPhase::Serving | ShutdownPhase::Draining if !self.endpoints.is_ready() => {
                     (StatusCode::SERVICE_UNAVAILABLE, "no list of backends")
                 }
                 ShutdownPhase::Serving => (StatusCode::OK, "ready"),
@@ -210,7 +214,7 @@
                 )
             }
             ("POST", _, Some((id, "maint"))) => {
-                let known = self.engine.knows(id);
+                let known = self.endpoints.is_listed(id);
                 let out = |word: &mut OperatorState| {
                     let known = known || word.in_maintenance.contains(id);
                     known
@@ -220,7 +224,7 @@
                 known_backend(self.say(out).await?, "left out")
             }
             ("POST", _, Some((id, "ready"))) => {
-                let known = self.engine.knows(id);
+                let known = self.endpoints.is_listed(id);
                 let back = |word: &mut OperatorState| {
                     if word.in_maintenance.remove(id) {
                         word.mark_returned(id, SystemTime::now());
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,6 +1,7 @@
 //! The clients' side: takes connections and requests, checks them, and writes the final answers.
 
 use crate::downstream::request_head::{RequestError, RequestHead, MAX_TIMEOUT};
+use crate::endpoint_updates::EndpointUpdates;
 use crate::http1::body::{buffer_body, BodyError, BufferedPart};
 use crate::http1::error::MessageError;
 use crate::http1::framing::{parse_request_head, Expected, Head};
@@ -88,6 +89,7 @@
 /// What a connection needs to know.
 pub struct Listener {
     engine: Rc<Dispatcher>,
+    endpoints: Rc<EndpointUpdates>,
     effects: Vec<Idempotency>,
     phase: watch::Receiver<ShutdownPhase>,
     slots: ResizableSemaphore,
@@ -295,6 +297,7 @@
     /// Takes at most `connections` at a time. They may have been made since `listening_since`.
     pub fn new(
         engine: Rc<Dispatcher>,
+        endpoints: Rc<EndpointUpdates>,
         effects: Vec<Idempotency>,
         connections: usize,
         listening_since: Instant,
@@ -302,6 +305,7 @@
     ) -> Rc<Self> {
         Rc::new(Listener {
             engine,
+            endpoints,
             effects,
             phase,
             slots: ResizableSemaphore::new(connections),
@@ -324,7 +328,7 @@
                     .clients
                     .borrow()
                     .values()
-                    .for_each(|c| c.sweep(phase, sweeping.engine.stats()));
+                    .for_each(|c| c.sweep(phase, sweeping.engine.metrics()));
             }
         });
         let mut phase = self.phase.clone();
@@ -412,7 +416,7 @@
             .take(self.slots.capacity().div_ceil(EVICTED_PART))
         {
             self.engine
-                .stats()
+                .metrics()
                 .count_rejected_message(client.stage.get().evicted());
             client.leave();
         }
@@ -430,7 +434,7 @@
     ) {
         let _ = stream.set_nodelay(true);
         let came_with_it = !is_open_and_drained(&stream);
-        self.engine.stats().count(|c| c.connections_accepted += 1);
+        self.engine.metrics().count(|c| c.connections_accepted += 1);
         let client = Rc::new(ClientConnection {
             socket: Rc::new(stream),
             stage: Cell::new(ConnectionState::New),
@@ -478,13 +482,15 @@
                 .get()
                 .iter()
                 .for_each(|why: &&RejectedRequest| {
-                    self.engine.stats().count_rejected_message(why.0)
+                    self.engine.metrics().count_rejected_message(why.0)
                 });
             // A client that is told to close goes elsewhere next. Where places run short each is:
             // many ask once and keep their connection, and until those may be closed nobody else
             // would get in.
             if *self.phase.borrow() > ShutdownPhase::Serving || self.scarce() {
-                self.engine.stats().count(|c| c.connection_close_sent += 1);
+                self.engine
+                    .metrics()
+                    .count(|c| c.connection_close_sent += 1);
                 close(&mut response);
             }
             if let ResponseBody::StreamingResponse(_) = response.body().body {
@@ -515,7 +521,7 @@
             if client.stage.get() == ConnectionState::Leaving {
                 if client.crossed() {
                     self.engine
-                        .stats()
+                        .metrics()
                         .invariants
                         .prevented(Invariant::ConnectionClose);
                     client.stage.set(client.left.get());
@@ -553,7 +559,8 @@
     ) -> Response<ClientBody> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/health/ready") => {
-                let ready = self.engine.ready() && *self.phase.borrow() == ShutdownPhase::Serving;
+                let ready =
+                    self.endpoints.is_ready() && *self.phase.borrow() == ShutdownPhase::Serving;
                 return plain(
                     if ready {
                         StatusCode::OK
@@ -564,7 +571,10 @@
                 );
             }
             (&Method::GET, "/health/live") => {
-                return plain(StatusCode::OK, format!("list {}\n", self.engine.revision()));
+                return plain(
+                    StatusCode::OK,
+                    format!("list {}\n", self.endpoints.revision()),
+                );
             }
             _ => {}
         }
@@ -614,7 +624,7 @@
             id,
             ..
         } = order;
-        let taken = self.engine.arrival(ForwardRequest {
+        let taken = self.engine.submit(ForwardRequest {
             class,
             tenant,
             work,
@@ -635,13 +645,13 @@
                 Some(upload) => {
                     upload.ended().await;
                     if upload.is_complete() {
-                        self.engine.uploaded(id);
+                        self.engine.request_body_received(id);
                     }
                     tokio::time::sleep(remaining + margin / OVERDUE).await;
                 }
             }
         };
-        let answer = taken.answer(over).await;
+        let answer = taken.response(over).await;
         if let Some(upload) = upload.filter(|upload| !upload.is_complete()) {
             client.unread.set(true);
             if let Some(error) = upload.error() {
@@ -754,7 +764,7 @@
 pub async fn accept_failed(engine: &Dispatcher, what: &str, error: &std::io::Error) {
     if transient_errors::is_one_connections(error) {
         return engine
-            .stats()
+            .metrics()
             .count_rejected_message("closed before it was accepted");
     }
     engine.log(format_args!("{what}: {error}"));
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -6,6 +6,7 @@
 mod config;
 mod discovery;
 mod downstream;
+mod endpoint_updates;
 mod event_log;
 mod http1;
 mod listener_inheritance;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -7,6 +7,7 @@
 use crate::discovery::state::{DiscoveryEvent, DiscoveryMode};
 use crate::discovery::watch_loop::EndpointWatcher;
 use crate::downstream::listener::Listener;
+use crate::endpoint_updates::EndpointUpdates;
 use crate::event_log::EventLog;
 use crate::listener_inheritance::inherit_listener;
 use crate::metrics::Metrics;
@@ -127,7 +128,7 @@
         &config.site.load_report_fields,
         metrics,
     );
-    let backends = BackendRegistry::new(config.site.names, pool.clone());
+    let backends = Rc::new(BackendRegistry::new(config.site.names, pool.clone()));
     let log = EventLog::new(&config.name);
     let mode = if settings.polled_discovery {
         DiscoveryMode::Polled
@@ -137,22 +138,23 @@
     let watcher = EndpointWatcher::new(mode, config.discovery, config.seed, log.clone());
     let refreshed = watcher.clone();
     let engine = Dispatcher::new(
-        log,
+        log.clone(),
         settings,
         config.seed,
-        Rc::new(backends),
+        backends.clone(),
         Rc::new(client),
         move || refreshed.refresh(),
     )?;
-    let dispatcher = Rc::downgrade(&engine);
+    let endpoints = EndpointUpdates::new(backends, engine.clone(), log);
+    let updates = Rc::downgrade(&endpoints);
     watcher.set_event_handler(move |event| {
-        let Some(dispatcher) = dispatcher.upgrade() else {
+        let Some(updates) = updates.upgrade() else {
             return;
         };
         match event {
-            DiscoveryEvent::EndpointList(list) => dispatcher.list(list),
-            DiscoveryEvent::WatchOpened => dispatcher.endpoint_list_unchanged(),
-            DiscoveryEvent::WatchFailed => dispatcher.endpoint_list_failed(),
+            DiscoveryEvent::EndpointList(list) => updates.apply_discovered_list(list),
+            DiscoveryEvent::WatchOpened => updates.poll_answered(),
+            DiscoveryEvent::WatchFailed => updates.poll_failed(),
         }
     });
     let bound = |address| {
@@ -179,9 +181,15 @@
         ));
     }
     let shutdown = Rc::new(ShutdownController::new());
-    let console = AdminServer::new(engine.clone(), shutdown.clone(), keeper.clone(), warm_up);
-    engine.known(config.known.as_ref());
-    watcher.start(engine.revision());
+    let console = AdminServer::new(
+        engine.clone(),
+        endpoints.clone(),
+        shutdown.clone(),
+        keeper.clone(),
+        warm_up,
+    );
+    endpoints.apply_configured_list(config.known.as_ref());
+    watcher.start(endpoints.revision());
     let (reloading, rewatching) = (engine.clone(), watcher.clone());
     spawn_local(async move {
         while hangup.recv().await.is_some() {
@@ -198,7 +206,7 @@
         );
         loop {
             every.tick().await;
-            counted.log_stats();
+            counted.log_statistics();
         }
     });
     if let Some(calls) = calls {
@@ -207,6 +215,7 @@
     }
     let frontend = Listener::new(
         engine.clone(),
+        endpoints.clone(),
         effects,
         clients,
         listening_since,
@@ -233,7 +242,7 @@
         });
     }
     let ending = frontend.clone();
-    let (serving, beside, ready) = (frontend.clone(), keeper.clone(), engine.clone());
+    let (serving, beside, ready) = (frontend.clone(), keeper.clone(), endpoints.clone());
     let settling = watcher.clone();
     let served = spawn_local(async move {
         // A request that is read now would go by a list that may be old.
@@ -242,7 +251,7 @@
             tokio::time::sleep(UNREADY).await;
         }
         // While this process has no list, the one beside it can serve what comes.
-        while inherited && !ready.ready() && beside.peer_process_running() {
+        while inherited && !ready.is_ready() && beside.peer_process_running() {
             tokio::time::sleep(UNREADY).await;
         }
         serving.serve(listener).await;
--- a/crates/proxy/src/requests/attempts.rs
+++ b/crates/proxy/src/requests/attempts.rs
@@ -13,7 +13,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use tokio::sync::oneshot;
-use tokio::task::AbortHandle;
+use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
 /// How an attempt ended.
@@ -75,6 +75,22 @@
         (attempt, end)
     }
 
+    /// Starts an attempt's task.
+    pub fn spawn<O: AttemptObserver + 'static>(task: AttemptTask<O>, started_at: Instant) -> Self {
+        let backend = task.backend.id();
+        let identity = task.backend.identity();
+        let progress = task.terms.progress.clone();
+        Attempt {
+            backend,
+            identity,
+            started_at,
+            state: AttemptState::InFlight {
+                task: spawn_local(task.run()).abort_handle(),
+                progress,
+            },
+        }
+    }
+
     /// Whether it has not ended.
     pub fn is_in_flight(&self) -> bool {
         matches!(self.state, AttemptState::InFlight { .. })
--- a/crates/proxy/src/requests/mod.rs
+++ b/crates/proxy/src/requests/mod.rs
@@ -5,8 +5,12 @@
 //! lines about them are written in [`request_log`] and [`statistics_log`].
 
 mod attempts;
+mod class_policies;
 pub mod dispatcher;
+mod load_probe;
+mod pending_request;
 mod registry;
 pub mod request;
 mod request_log;
+mod responder;
 mod statistics_log;
--- a/crates/proxy/src/requests/registry.rs
+++ b/crates/proxy/src/requests/registry.rs
@@ -1,10 +1,10 @@
 //! All requests that have no final response yet or an attempt in flight.
 
-use super::attempts::{Attempt, AttemptEnd};
+use super::attempts::{Attempt, AttemptEnd, AttemptState};
 use super::request::{FinalResponse, ForwardRequest};
 use crate::http1::upload::RequestBody;
 use crate::socket::is_closed_by_peer;
-use balancer::{AttemptResult, ClassId, RequestId, TenantId};
+use balancer::{AttemptOutcome, AttemptResult, ClassId, LoadReport, RequestId, TenantId};
 use hyper::Request;
 use rustc_hash::FxHashMap;
 use std::collections::HashSet;
@@ -72,6 +72,26 @@
         last_byte_at.map_or(start, |at| start.max(at)).elapsed()
     }
 
+    /// Marks an attempt as ended. Returns `None` if it has ended before.
+    pub fn end_attempt(
+        &mut self,
+        index: u32,
+        outcome: AttemptOutcome,
+        load_report: Option<LoadReport>,
+    ) -> Option<AttemptEnd> {
+        let attempt = self.attempts.get(index as usize)?;
+        if !attempt.is_in_flight() {
+            return None;
+        }
+        let end = AttemptEnd {
+            outcome,
+            latency: self.elapsed_since(attempt.started_at),
+            load_report,
+        };
+        self.attempts[index as usize].state = AttemptState::Ended(end);
+        Some(end)
+    }
+
     /// The end of one of its attempts for the balancer.
     pub fn attempt_result(&self, attempt: AttemptId, end: AttemptEnd) -> AttemptResult {
         AttemptResult {
@@ -160,6 +180,27 @@
             .count()
     }
 
+    /// Cancels an attempt. Returns its result, or `None` if it has ended already.
+    pub fn cancel_attempt(&mut self, id: AttemptId) -> Option<AttemptResult> {
+        let record = self.records.get_mut(&id.request)?;
+        let end = record.attempts.get_mut(id.index as usize)?.cancel()?;
+        Some(record.attempt_result(id, end))
+    }
+
+    /// Stops the attempts of a request of which nothing has been written, and returns their results.
+    pub fn revoke_unsent_attempts(&mut self, request: RequestId) -> Vec<AttemptResult> {
+        let Some(record) = self.records.get_mut(&request) else {
+            return Vec::new();
+        };
+        let mut results = Vec::new();
+        for index in 0..record.attempts.len() as u32 {
+            if let Some(end) = record.attempts[index as usize].revoke_unsent() {
+                results.push(record.attempt_result(AttemptId { request, index }, end));
+            }
+        }
+        results
+    }
+
     /// Forgets a request that is closed and has no attempt in flight.
     pub fn remove_if_settled(&mut self, id: RequestId) {
         if !self.records.get(&id).is_some_and(RequestRecord::is_settled) {
--- a/crates/proxy/src/requests/request.rs
+++ b/crates/proxy/src/requests/request.rs
@@ -2,7 +2,7 @@
 
 use crate::http1::upload::RequestBody;
 use crate::upstream::response::ResponseBody;
-use balancer::{ClassId, TenantId};
+use balancer::{ClassId, RequestArrival, RequestId, TenantId};
 use hyper::{Request, Response};
 use std::rc::Weak;
 use std::time::Duration;
@@ -31,6 +31,20 @@
     pub client: Weak<TcpStream>,
 }
 
+impl ForwardRequest {
+    /// Its arrival for the balancer, which knows it by `id`.
+    pub(super) fn arrival(&self, id: RequestId) -> RequestArrival {
+        RequestArrival {
+            request: id,
+            class: self.class,
+            tenant: self.tenant,
+            remaining: self.remaining,
+            work: self.work,
+            body_pending: self.request.body().upload().is_some(),
+        }
+    }
+}
+
 /// The one final response to a request.
 pub enum FinalResponse {
     /// A backend's response.
--- a/crates/proxy/src/requests/request_log.rs
+++ b/crates/proxy/src/requests/request_log.rs
@@ -2,6 +2,7 @@
 
 use super::attempts::Attempt;
 use super::registry::RequestRecord;
+use super::request::FinalResponse;
 use crate::upstream::response::ExchangeError;
 use balancer::GiveUpReason;
 use std::fmt::{self, Write as _};
@@ -11,19 +12,31 @@
 /// Bytes of a client's request id that are logged.
 const MAX_LOGGED_ID_BYTES: usize = 64;
 
-/// How a request was given up.
+/// A final response without a backend's.
 #[derive(Clone, Copy, Debug)]
 pub enum GivenUpResponse {
-    /// Rejected.
-    Rejected,
-    /// Failed.
+    /// See [`FinalResponse::Rejected`].
+    Rejected {
+        /// When the client should come back.
+        retry_after: Option<Duration>,
+    },
+    /// See [`FinalResponse::Failed`].
     Failed,
 }
 
+impl From<GivenUpResponse> for FinalResponse {
+    fn from(response: GivenUpResponse) -> Self {
+        match response {
+            GivenUpResponse::Rejected { retry_after } => FinalResponse::Rejected { retry_after },
+            GivenUpResponse::Failed => FinalResponse::Failed,
+        }
+    }
+}
+
 impl fmt::Display for GivenUpResponse {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
-            GivenUpResponse::Rejected => "rejected",
+            GivenUpResponse::Rejected { .. } => "rejected",
             GivenUpResponse::Failed => "failed",
         })
     }
