--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -18,9 +18,6 @@
     "proxy/src/downstream/listener.rs",
     "proxy/src/node.rs",
     "proxy/src/requests/dispatcher.rs",
-    "soak-test/src/judge.rs",
-    "soak-test/src/play.rs",
-    "soak-test/src/server.rs",
 ];
 
 #[test]
--- /dev/null
+++ b/crates/soak-test/src/clients/malformed_peer.rs
@@ -0,0 +1,52 @@
+//! Peers that send no proper request, with
+//! [`Invariant::MalformedPeerRejected`].
+
+use super::Clients;
+use crate::invariants::{Invariant, OBSERVER_ALLOWANCE};
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// Malformed peers are owed an error or a close within this.
+const RESPONSE_LIMIT: Duration = Duration::from_millis(3050);
+/// The smallest status code of an error.
+const FIRST_ERROR_STATUS: u16 = 400;
+/// What they send.
+const MALFORMED_REQUESTS: [&str; 6] = [
+    "",
+    "GET /read HT",
+    "GET /read HTTP/1.1\r\nHost: a\r\n",
+    "nonsense\r\n\r\n",
+    "POST /pay HTTP/1.1\r\nHost: a\r\nX-Request-ID: bad\r\nX-Timeout: 900m\r\nContent-Length: 100\r\n\r\nabc",
+    "GET /read HTTP/1.1\r\nHost: a\r\nX-Timeout: 900m\r\n\r\n",
+];
+
+impl Clients {
+    /// Sends one malformed request and waits for an error or a close.
+    pub(super) async fn run_malformed_peer(&self, number: u64) {
+        let Some(mut connection) = self.connect().await else {
+            return;
+        };
+        let generation = self.node.generation();
+        let text = MALFORMED_REQUESTS[number as usize % MALFORMED_REQUESTS.len()];
+        if connection.write(text.as_bytes()).await.is_err() {
+            return;
+        }
+        let response = timeout(RESPONSE_LIMIT + OBSERVER_ALLOWANCE, connection.read()).await;
+        let problem = match response {
+            Ok(Ok(response))
+                if response
+                    .status()
+                    .is_some_and(|status| status < FIRST_ERROR_STATUS) =>
+            {
+                "was served"
+            }
+            Ok(_) => return,
+            Err(_) if self.node.was_killed(generation) => return,
+            Err(_) => "got neither an error nor a close",
+        };
+        self.cluster.checker().violated(
+            Invariant::MalformedPeerRejected,
+            format!("a peer that sent {text:?} {problem}"),
+        );
+    }
+}
--- a/crates/soak-test/src/http.rs
+++ b/crates/soak-test/src/http.rs
@@ -1,45 +1,81 @@
-//! As much HTTP/1.1 as clients, servers and discovery of the soak test need.
+//! As much HTTP/1.1 as clients, backends and discovery of the soak test need.
 
 use std::io;
+use std::os::fd::AsRawFd;
 use std::rc::Rc;
 use std::time::Instant;
+use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Most that one message may hold.
-const MOST: usize = 1 << 20;
+/// Largest message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Ends a message's head.
+const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A message as it came.
+/// A message as it was received.
 pub struct Message {
-    /// Request or status line.
-    pub start: String,
-    headers: Vec<(String, String)>,
-    /// What its `Content-Length` covers.
+    /// Request line or status line.
+    pub start_line: String,
+    headers: Vec<Header>,
+    /// As much as its `Content-Length` covers.
     pub body: Vec<u8>,
     /// When its first byte was seen.
-    pub first: Instant,
-    /// When its last byte was seen.
-    pub last: Instant,
+    pub first_byte: Instant,
+}
+
+struct Header {
+    name: String,
+    value: String,
 }
 
 impl Message {
+    /// A message without its body.
+    fn from_head(head: &str, first_byte: Instant) -> Self {
+        let mut lines = head.trim_end().lines();
+        let start_line = lines.next().unwrap_or_default().to_owned();
+        let headers = lines.filter_map(Header::parse).collect();
+        Message {
+            start_line,
+            headers,
+            body: Vec::new(),
+            first_byte,
+        }
+    }
+
     /// The value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|header| header.0.eq_ignore_ascii_case(name))
-            .map(|header| header.1.as_str())
+            .find(|header| header.name.eq_ignore_ascii_case(name))
+            .map(|header| header.value.as_str())
     }
 
-    /// The status of an answer.
+    /// The status code of a response.
     pub fn status(&self) -> Option<u16> {
-        self.start.split(' ').nth(1)?.parse().ok()
+        self.start_line.split(' ').nth(1)?.parse().ok()
+    }
+
+    fn content_length(&self) -> usize {
+        self.header("content-length")
+            .and_then(|value| value.parse().ok())
+            .unwrap_or(0)
+    }
+}
+
+impl Header {
+    fn parse(line: &str) -> Option<Self> {
+        let (name, value) = line.split_once(':')?;
+        Some(Header {
+            name: name.to_owned(),
+            value: value.trim().to_owned(),
+        })
     }
 }
 
-/// How a connection ended that was to bring a message.
+/// How a connection ended before a message was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// The other side closed it, with so many bytes of a message sent.
+pub enum ConnectionEnd {
+    /// The peer closed it, after this many bytes of a message.
     Closed(usize),
     /// It was reset.
     Reset,
@@ -47,22 +83,27 @@
 
 /// A connection that is read message by message.
 pub struct Connection {
-    /// The socket, for whoever has to know whether it is open still.
+    /// The socket, shared with whoever has to know whether it is still open.
     pub socket: Rc<TcpStream>,
-    held: Vec<u8>,
+    /// Bytes that were received and belong to no message yet.
+    received: Vec<u8>,
 }
 
 impl Connection {
-    /// On a socket that nothing was read from.
+    /// A connection on a socket from which nothing was read.
     pub fn new(socket: TcpStream) -> Self {
         let _ = socket.set_nodelay(true);
         Connection {
             socket: Rc::new(socket),
-            held: Vec::new(),
+            received: Vec::new(),
         }
     }
 
-    /// Writes all of this.
+    /// Writes all of these bytes.
+    ///
+    /// # Errors
+    ///
+    /// The connection is closed or reset.
     pub async fn write(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             self.socket.writable().await?;
@@ -75,84 +116,89 @@
         Ok(())
     }
 
-    async fn fill(&mut self) -> Result<(), End> {
+    /// Receives some more bytes.
+    async fn fill(&mut self) -> Result<(), ConnectionEnd> {
         loop {
-            self.socket.readable().await.map_err(|_| End::Reset)?;
-            match self.socket.try_read_buf(&mut self.held) {
-                Ok(0) => return Err(End::Closed(self.held.len())),
-                Ok(_) if self.held.len() > MOST => return Err(End::Reset),
+            self.socket
+                .readable()
+                .await
+                .map_err(|_| ConnectionEnd::Reset)?;
+            match self.socket.try_read_buf(&mut self.received) {
+                Ok(0) => return Err(ConnectionEnd::Closed(self.received.len())),
+                Ok(_) if self.received.len() > MAX_MESSAGE_BYTES => {
+                    return Err(ConnectionEnd::Reset)
+                }
                 Ok(_) => return Ok(()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => return Err(End::Reset),
+                Err(_) => return Err(ConnectionEnd::Reset),
             }
         }
     }
 
-    /// The next message.
-    pub async fn read(&mut self) -> Result<Message, End> {
-        if self.held.is_empty() {
+    /// Reads the next message.
+    ///
+    /// # Errors
+    ///
+    /// The connection ended before the message was complete.
+    ///
+    /// # Cancellation
+    ///
+    /// Bytes that were received stay for the next call.
+    pub async fn read(&mut self) -> Result<Message, ConnectionEnd> {
+        if self.received.is_empty() {
             self.fill().await?;
         }
-        let first = Instant::now();
-        let length = loop {
-            match self.held.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
-                Some(at) => break at + 4,
-                None => self.fill().await?,
-            }
-        };
-        let head = String::from_utf8_lossy(&self.held[..length]).into_owned();
-        let mut lines = head.trim_end().lines();
-        let start = lines.next().unwrap_or_default().to_owned();
-        let split = |line: &str| {
-            line.split_once(':')
-                .map(|(name, value)| (name.to_owned(), value.trim().to_owned()))
-        };
-        let headers = lines.filter_map(split).collect();
-        let mut message = Message {
-            start,
-            headers,
-            body: Vec::new(),
-            first,
-            last: first,
-        };
-        let body = message
-            .header("content-length")
-            .and_then(|value| value.parse().ok())
-            .unwrap_or(0);
-        while self.held.len() < length + body {
+        let first_byte = Instant::now();
+        let head_length = self.read_head().await?;
+        let head = String::from_utf8_lossy(&self.received[..head_length]);
+        let mut message = Message::from_head(&head, first_byte);
+        let length = head_length + message.content_length();
+        while self.received.len() < length {
             self.fill().await?;
         }
-        message.last = Instant::now();
-        message.body = self.held[length..length + body].to_vec();
-        self.held.drain(..length + body);
+        message.body = self.received[head_length..length].to_vec();
+        self.received.drain(..length);
         Ok(message)
     }
 
-    /// Whether the other side has neither closed nor reset it, asked of the system.
+    /// Receives until a head is complete. Returns its length, in bytes.
+    async fn read_head(&mut self) -> Result<usize, ConnectionEnd> {
+        loop {
+            let end = self
+                .received
+                .windows(HEAD_END.len())
+                .position(|bytes| bytes == HEAD_END);
+            match end {
+                Some(end) => return Ok(end + HEAD_END.len()),
+                None => self.fill().await?,
+            }
+        }
+    }
+
+    /// Whether the peer has neither closed nor reset it, as the system knows.
     pub fn is_open(socket: &TcpStream) -> bool {
-        let mut byte = [0];
-        match socket.try_io(tokio::io::Interest::READABLE, || peek(socket, &mut byte)) {
+        match socket.try_io(Interest::READABLE, || peek(socket)) {
             Ok(read) => read > 0,
             Err(error) => error.kind() == io::ErrorKind::WouldBlock,
         }
     }
 
-    /// Ends it by a reset.
+    /// Lets its end be a reset.
     pub fn reset(&self) {
         let _ = self.socket.set_zero_linger();
     }
 }
 
-/// `recv` that leaves what it reads, asked of the system whatever the runtime knows.
-fn peek(socket: &TcpStream, byte: &mut [u8; 1]) -> io::Result<usize> {
-    use std::os::fd::AsRawFd;
+/// Looks at the next byte and leaves it. Asks the system, whatever the runtime knows.
+fn peek(socket: &TcpStream) -> io::Result<usize> {
+    let mut byte = [0u8];
     // SAFETY: The descriptor is the socket's, which is borrowed, and the buffer is one byte long.
     #[allow(unsafe_code)]
     let read = unsafe {
         libc::recv(
             socket.as_raw_fd(),
             byte.as_mut_ptr().cast(),
-            1,
+            byte.len(),
             libc::MSG_PEEK | libc::MSG_DONTWAIT,
         )
     };
--- /dev/null
+++ b/crates/soak-test/src/invariants/drain.rs
@@ -0,0 +1,141 @@
+//! [`Invariant::SafeDrain`](super::Invariant::SafeDrain): no attempt starts at a backend longer than
+//! the grace period after its node was notified that the backend drains or is removed.
+
+use super::{InvariantChecker, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
+use crate::discovery_mode::DiscoveryMode;
+use std::collections::HashMap;
+use std::time::{Duration, Instant};
+
+/// A node counts as notified of a change this long after discovery had it and could be reached.
+const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
+/// A node counts as notified of a change this long after a reload.
+const NOTIFICATION_LIMIT_AFTER_RELOAD: Duration = Duration::from_secs(4);
+/// A watch that was silent may miss changes for this long after the silence began.
+const SILENT_WATCH_LIMIT: Duration = Duration::from_secs(12);
+/// Nodes call discovery ten times a second: they may miss one that is up for less time.
+const MIN_REACHABLE_PERIOD: Duration = Duration::from_millis(250);
+
+/// What discovery has written to a node's process.
+#[derive(Clone)]
+pub(super) struct NodeNotifications {
+    process_started: Instant,
+    last_reload: Option<Instant>,
+    /// When it was written that a backend drains or is removed, by backend.
+    drains_written: HashMap<usize, Instant>,
+    /// When a backend's start was written, by backend.
+    starts_written: HashMap<usize, Instant>,
+}
+
+impl NodeNotifications {
+    /// Of a process that starts now.
+    pub(super) fn new(process_started: Instant) -> Self {
+        NodeNotifications {
+            process_started,
+            last_reload: None,
+            drains_written: HashMap::new(),
+            starts_written: HashMap::new(),
+        }
+    }
+
+    /// Whether a backend's start was written before `at`.
+    pub(super) fn knew_start(&self, backend: usize, at: Instant) -> bool {
+        self.starts_written
+            .get(&backend)
+            .is_some_and(|written| *written < at)
+    }
+
+    /// Forgets a backend's earlier start.
+    pub(super) fn forget_start(&mut self, backend: usize) {
+        self.starts_written.remove(&backend);
+    }
+}
+
+impl InvariantChecker {
+    /// A node's process starts.
+    pub fn node_started(&mut self, node: usize) {
+        self.nodes[node] = NodeNotifications::new(Instant::now());
+    }
+
+    /// A node was signalled to read its configuration again.
+    pub fn node_reloaded(&mut self, node: usize) {
+        self.nodes[node].last_reload = Some(Instant::now());
+    }
+
+    /// Discovery has written to a node that a backend drains or is removed.
+    pub fn drain_written(&mut self, node: usize, backend: usize) {
+        self.nodes[node]
+            .drains_written
+            .entry(backend)
+            .or_insert_with(Instant::now);
+    }
+
+    /// Discovery has written a backend's start to a node.
+    pub fn start_written(&mut self, node: usize, backend: usize) {
+        self.nodes[node]
+            .starts_written
+            .entry(backend)
+            .or_insert_with(Instant::now);
+    }
+
+    /// A backend begins to drain or is removed.
+    pub fn backend_taken_out(&mut self, backend: usize) {
+        self.backends[backend]
+            .taken_out
+            .get_or_insert_with(Instant::now);
+    }
+
+    /// What is wrong with an attempt that began at `first_byte`, if the backend drains.
+    pub(super) fn drain_problem(
+        &self,
+        node: usize,
+        backend: usize,
+        first_byte: Instant,
+    ) -> Option<String> {
+        let notified = self.notified_of_drain(node, backend)?;
+        let limit = notified + self.plan.drain_grace + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
+        if first_byte <= limit {
+            return None;
+        }
+        let late = (first_byte - notified).as_millis();
+        let discovery = self.discovery.describe(self.traffic_started);
+        Some(format!(
+            "sent to server {backend}, {late} ms after the node was notified (discovery: {discovery})"
+        ))
+    }
+
+    /// When a node counted as notified that a backend drains or is removed, if it did.
+    fn notified_of_drain(&self, node: usize, backend: usize) -> Option<Instant> {
+        let taken_out = self.backends[backend].taken_out?;
+        let notifications = &self.nodes[node];
+        let since = taken_out.max(notifications.process_started);
+        let reachable =
+            self.discovery
+                .first_period(since, Duration::ZERO, DiscoveryMode::is_responding);
+        let by_poll = reachable.map(|at| at + NOTIFICATION_LIMIT);
+        let by_reload = notifications
+            .last_reload
+            .filter(|_| reachable.is_some())
+            .map(|reload| since.max(reload) + NOTIFICATION_LIMIT_AFTER_RELOAD);
+        let written = notifications.drains_written.get(&backend).copied();
+        [by_poll, self.pushed_after(since), by_reload, written]
+            .into_iter()
+            .flatten()
+            .min()
+    }
+
+    /// When a change since `since` counted as pushed, where lists are pushed.
+    fn pushed_after(&self, since: Instant) -> Option<Instant> {
+        if !self.plan.discovery_pushed {
+            return None;
+        }
+        let at =
+            self.discovery
+                .first_period(since, MIN_REACHABLE_PERIOD, DiscoveryMode::is_prompt)?;
+        // What a silent watch misses has longer.
+        let watches_work = self
+            .discovery
+            .last_silence(at)
+            .is_none_or(|silence| at - silence > SILENT_WATCH_LIMIT);
+        watches_work.then_some(at)
+    }
+}
--- a/crates/soak-test/src/main.rs
+++ b/crates/soak-test/src/main.rs
@@ -1,42 +1,33 @@
-//! `soak`: plays real nodes on loopback under overlapping troubles, and judges them by the rules of
-//! the pages alone.
+//! `soak-test`: runs the plans of consecutive seeds, several at a time.
 //!
-//! A seed decides settings, sizes and troubles, and plays the same again. The last lines count the
-//! broken rules and give the verdict; the program fails if any rule was broken.
-
-mod client;
-mod discovery;
-mod http;
-mod judge;
-mod node;
-mod plan;
-mod play;
-mod server;
-mod world;
+//! The last lines count the violated invariants and give the verdict; the program fails if any
+//! invariant was violated or any seed proved nothing.
 
 use clap::Parser;
-use judge::Rule;
-use plan::Plan;
-use play::{Programs, Report};
+use soak_test::invariants::Invariant;
+use soak_test::plan::Plan;
+use soak_test::proxy_node::Programs;
+use soak_test::run::{run, RunReport};
 use std::collections::BTreeMap;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
+use tempfile::TempDir;
 use tokio::task::LocalSet;
 
-/// A play whose observer was later than this itself proves nothing, and is played again.
-const MOST_LAG: Duration = Duration::from_millis(75);
-/// How often a play is repeated for that.
-const REPEATS: usize = 3;
-/// Violations of one play that are told one by one.
-const MOST_TOLD: usize = 6;
-/// The first network of the plays within 127.0.0.0/8; each that runs at the same time has one of
-/// its own.
+/// A run whose observer was later than this proves nothing, and is repeated.
+const MAX_OBSERVER_LAG: Duration = Duration::from_millis(75);
+/// How often a seed is run at most.
+const MAX_RUNS: usize = 3;
+/// Violations of one run that are printed one by one.
+const MAX_PRINTED_VIOLATIONS: usize = 6;
+/// The first network of the runs within 127.0.0.0/8; each that runs at the same time has its own.
 const FIRST_NETWORK: u8 = 100;
 
-/// Plays nodes under overlapping troubles and judges them by their rules.
+/// Runs proxy processes under overlapping faults and checks their invariants.
 #[derive(Parser)]
 #[command(version)]
 struct Options {
@@ -46,185 +37,227 @@
     /// How many seeds.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// Plays at a time.
+    /// Runs at a time.
     #[arg(long, default_value_t = 4)]
     jobs: u8,
-    /// Nodes of each play.
+    /// Nodes of each run.
     #[arg(long, default_value_t = 4)]
     nodes: usize,
-    /// Seconds of traffic of each play.
+    /// Seconds of traffic of each run.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
-    /// The node's program; by default the one that was built beside this one.
+    /// The proxy; by default the one that was built beside this program.
     #[arg(long)]
-    node: Option<PathBuf>,
-    /// The library that makes system calls fail; by default the one that was built beside this one.
+    proxy: Option<PathBuf>,
+    /// The fault injection library; by default the one that was built beside this program.
     #[arg(long)]
-    shim: Option<PathBuf>,
-    /// Keeps the folders of plays that broke a rule, with the nodes' logs, here.
+    fault_library: Option<PathBuf>,
+    /// Keeps the folders of runs that violated an invariant, with the nodes' logs, here.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-/// What came of all plays.
+/// What came of all runs.
 #[derive(Default)]
 struct Summary {
     passed: u64,
-    failed: Vec<u64>,
-    unproven: Vec<u64>,
-    violations: BTreeMap<Rule, usize>,
+    failed_seeds: Vec<u64>,
+    unproven_seeds: Vec<u64>,
+    violations: BTreeMap<Invariant, usize>,
+}
+
+/// A run that proved something.
+struct ProvenRun {
+    report: RunReport,
+    folder: TempDir,
 }
 
 fn main() -> ExitCode {
     let options = Options::parse();
-    let beside = std::env::current_exe().unwrap_or_default();
-    let node = options
-        .node
+    let this_program = std::env::current_exe().unwrap_or_default();
+    let proxy = options
+        .proxy
         .clone()
-        .unwrap_or_else(|| beside.with_file_name("balancer-proxy"));
-    let shim = options.shim.clone().unwrap_or_else(|| find_shim(&beside));
-    for needed in [&node, &shim] {
-        if !needed.exists() {
-            eprintln!(
-                "soak: {} is not there; build the workspace first",
-                needed.display()
-            );
+        .unwrap_or_else(|| this_program.with_file_name("balancer-proxy"));
+    let fault_library = options
+        .fault_library
+        .clone()
+        .unwrap_or_else(|| find_fault_library(&this_program));
+    for path in [&proxy, &fault_library] {
+        if !path.exists() {
+            let path = path.display();
+            eprintln!("soak-test: {path} does not exist; build the workspace first");
             return ExitCode::FAILURE;
         }
     }
-    let (next, summary) = (AtomicU64::new(options.seed), Mutex::new(Summary::default()));
+    let programs = Programs {
+        proxy: &proxy,
+        fault_library: &fault_library,
+    };
+    let summary = run_all_seeds(&options, programs);
+    summary.print();
+    if summary.is_success() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
+}
+
+/// The library stands beside this program, or among what it depends on.
+fn find_fault_library(this_program: &Path) -> PathBuf {
+    let name = "libfault_injection_preload.so";
+    let beside = this_program.with_file_name(name);
+    if beside.exists() {
+        beside
+    } else {
+        this_program.with_file_name("deps").join(name)
+    }
+}
+
+/// Runs all seeds, one thread for each of the runs at a time.
+fn run_all_seeds(options: &Options, programs: Programs<'_>) -> Summary {
+    let next_seed = AtomicU64::new(options.seed);
+    let summary = Mutex::new(Summary::default());
     std::thread::scope(|scope| {
         for job in 0..options.jobs.max(1) {
-            let (options, next, summary) = (&options, &next, &summary);
-            let programs = Programs {
-                node: &node,
-                shim: &shim,
-            };
+            let (next_seed, summary) = (&next_seed, &summary);
             scope.spawn(move || loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
                 if seed >= options.seed + options.count {
                     return;
                 }
-                play_seed(seed, FIRST_NETWORK + job, options, &programs, summary);
+                let proven = run_seed(seed, FIRST_NETWORK + job, options, programs);
+                lock(summary).add(seed, proven, options.keep.as_deref());
             });
         }
     });
-    let summary = summary.into_inner().unwrap_or_default();
-    for (rule, count) in &summary.violations {
-        println!("broken: {rule:?} {count}");
-    }
-    if !summary.failed.is_empty() {
-        println!("failed seeds: {:?}", summary.failed);
-    }
-    if !summary.unproven.is_empty() {
-        println!(
-            "unproven seeds, the observer was late itself: {:?}",
-            summary.unproven
-        );
-    }
-    println!(
-        "{} passed, {} failed",
-        summary.passed,
-        summary.failed.len() + summary.unproven.len()
-    );
-    ExitCode::from(u8::from(
-        !summary.failed.is_empty() || !summary.unproven.is_empty(),
-    ))
+    summary.into_inner().unwrap_or_default()
 }
 
-/// The shim stands beside this program, or among what it depends on.
-fn find_shim(beside: &Path) -> PathBuf {
-    let name = "libfault_injection_preload.so";
-    let near = beside.with_file_name(name);
-    if near.exists() {
-        near
-    } else {
-        beside.with_file_name("deps").join(name)
-    }
+/// A thread that panicked has counted what it did.
+fn lock(summary: &Mutex<Summary>) -> MutexGuard<'_, Summary> {
+    summary.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn play_seed(
+/// Runs a seed until a run proves something. `None`: none did.
+fn run_seed(
     seed: u64,
     network: u8,
     options: &Options,
-    programs: &Programs,
-    summary: &Mutex<Summary>,
-) {
-    for _ in 0..REPEATS {
+    programs: Programs<'_>,
+) -> Option<ProvenRun> {
+    for _ in 0..MAX_RUNS {
         let folder = match tempfile::tempdir() {
             Ok(folder) => folder,
-            Err(error) => return eprintln!("soak: no folder: {error}"),
-        };
-        let plan = Plan::draw(seed, options.nodes, Duration::from_secs(options.seconds));
-        let runtime = tokio::runtime::Builder::new_current_thread()
-            .enable_all()
-            .build();
-        let runtime = runtime.expect("a runtime can be built");
-        let played =
-            LocalSet::new().block_on(&runtime, play::play(plan, network, folder.path(), programs));
-        let report = match played {
-            Ok(report) => report,
             Err(error) => {
-                eprintln!("soak: seed {seed} could not be played: {error}");
-                continue;
+                eprintln!("soak-test: cannot create a folder: {error}");
+                return None;
             }
         };
-        if report.lag > MOST_LAG {
-            println!(
-                "seed {seed}: the observer was {} ms late itself, again",
-                report.lag.as_millis()
-            );
-            continue;
-        }
-        tell(seed, &report);
-        let mut summary = summary
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
-        for violation in &report.violations {
-            *summary.violations.entry(violation.rule).or_default() += 1;
-        }
-        if report.violations.is_empty() {
-            summary.passed += 1;
-        } else {
-            summary.failed.push(seed);
-            if let Some(keep) = &options.keep {
-                let _ = std::fs::create_dir_all(keep);
-                let _ = std::fs::rename(folder.keep(), keep.join(format!("seed-{seed}")));
+        let plan = Plan::draw(seed, options.nodes, Duration::from_secs(options.seconds));
+        match run_once(plan, network, folder.path(), programs) {
+            Ok(report) if report.max_observer_lag > MAX_OBSERVER_LAG => {
+                let lag = report.max_observer_lag.as_millis();
+                println!("seed {seed}: the observer was {lag} ms late itself, again");
             }
+            Ok(report) => {
+                print_report(seed, &report);
+                return Some(ProvenRun { report, folder });
+            }
+            Err(error) => eprintln!("soak-test: seed {seed} could not be run: {error}"),
         }
-        return;
     }
-    summary
-        .lock()
-        .unwrap_or_else(std::sync::PoisonError::into_inner)
-        .unproven
-        .push(seed);
+    None
+}
+
+fn run_once(
+    plan: Plan,
+    network: u8,
+    folder: &Path,
+    programs: Programs<'_>,
+) -> io::Result<RunReport> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    LocalSet::new().block_on(&runtime, run(plan, network, folder, programs))
 }
 
-fn tell(seed: u64, report: &Report) {
+fn print_report(seed: u64, report: &RunReport) {
+    let verdict = if report.violations.is_empty() {
+        "ok"
+    } else {
+        "VIOLATED"
+    };
     let totals = &report.totals;
-    let troubles: Vec<String> = report
+    let faults: Vec<String> = report
         .plan
-        .episodes
+        .faults
         .iter()
-        .map(|episode| format!("{:.1}s {:?}", episode.at.as_secs_f64(), episode.trouble))
+        .map(|scheduled| format!("{:.1}s {:?}", scheduled.at.as_secs_f64(), scheduled.fault))
         .collect();
     println!(
-        "seed {seed}: {} requests={} served={} refused={} failed={} unanswered={} attempts={} lag_ms={} [{}]",
-        if report.violations.is_empty() { "ok" } else { "BROKEN" },
+        "seed {seed}: {verdict} requests={} served={} rejected={} failed={} unanswered={} attempts={} \
+         lag_ms={} [{}]",
         totals.requests,
         totals.served,
-        totals.refused,
+        totals.rejected,
         totals.failed,
         totals.unanswered,
         totals.attempts,
-        report.lag.as_millis(),
-        troubles.join(", "),
+        report.max_observer_lag.as_millis(),
+        faults.join(", "),
     );
-    for violation in report.violations.iter().take(MOST_TOLD) {
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  {violation}");
     }
-    if report.violations.len() > MOST_TOLD {
-        println!("  and {} more", report.violations.len() - MOST_TOLD);
+    if report.violations.len() > MAX_PRINTED_VIOLATIONS {
+        let more = report.violations.len() - MAX_PRINTED_VIOLATIONS;
+        println!("  and {more} more");
+    }
+}
+
+impl Summary {
+    /// Counts a seed. The folder of a violated invariant is moved to `keep`, where that is given.
+    fn add(&mut self, seed: u64, proven: Option<ProvenRun>, keep: Option<&Path>) {
+        let Some(ProvenRun { report, folder }) = proven else {
+            return self.unproven_seeds.push(seed);
+        };
+        for violation in &report.violations {
+            *self.violations.entry(violation.invariant).or_default() += 1;
+        }
+        if report.violations.is_empty() {
+            self.passed += 1;
+            return;
+        }
+        self.failed_seeds.push(seed);
+        if let Some(keep) = keep {
+            let _ = std::fs::create_dir_all(keep);
+            let _ = std::fs::rename(folder.keep(), keep.join(format!("seed-{seed}")));
+        }
+    }
+
+    fn is_success(&self) -> bool {
+        self.failed_seeds.is_empty() && self.unproven_seeds.is_empty()
+    }
+
+    /// Prints the verdict. CI reads these lines.
+    fn print(&self) {
+        for (invariant, count) in &self.violations {
+            println!("violated: {invariant:?} {count}");
+        }
+        if !self.failed_seeds.is_empty() {
+            println!("failed seeds: {:?}", self.failed_seeds);
+        }
+        if !self.unproven_seeds.is_empty() {
+            println!(
+                "unproven seeds, the observer was late itself: {:?}",
+                self.unproven_seeds
+            );
+        }
+        println!(
+            "{} passed, {} failed",
+            self.passed,
+            self.failed_seeds.len() + self.unproven_seeds.len()
+        );
     }
 }
--- /dev/null
+++ b/crates/soak-test/src/plan/fault.rs
@@ -0,0 +1,107 @@
+//! What goes wrong in a run, and when.
+
+use std::time::Duration;
+
+/// How a backend treats requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BackendBehavior {
+    /// Serves them.
+    Normal,
+    /// Never responds.
+    Hang,
+    /// Responds with 500.
+    ServerError,
+    /// Responds that it has not executed them.
+    Reject,
+    /// Resets the connection once it has read the whole request.
+    Reset,
+    /// Responds with half a head and resets the connection.
+    PartialResponse,
+    /// Responds with bytes that are no HTTP.
+    Garbage,
+    /// Serves them, and closes the connection soon after without announcing it.
+    CloseAfterResponse,
+}
+
+/// All behaviors but the normal one, in the order in which they are drawn.
+pub(super) const FAULTY_BEHAVIORS: [BackendBehavior; 7] = [
+    BackendBehavior::Hang,
+    BackendBehavior::ServerError,
+    BackendBehavior::Reject,
+    BackendBehavior::Reset,
+    BackendBehavior::PartialResponse,
+    BackendBehavior::Garbage,
+    BackendBehavior::CloseAfterResponse,
+];
+
+/// System calls of nodes that fail at random.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SystemCallFault {
+    /// `accept` fails, for reasons of one connection or of the system.
+    Accept,
+    /// `socket` and `connect` fail.
+    Connect,
+    /// `epoll_wait` and `poll` are interrupted.
+    InterruptedWaits,
+    /// Reads and writes move a few bytes only.
+    ShortIo,
+    /// Connections break with ETIMEDOUT or EHOSTUNREACH.
+    BrokenConnections,
+}
+
+/// All faults of system calls, in the order in which they are drawn.
+pub(super) const SYSTEM_CALL_FAULTS: [SystemCallFault; 5] = [
+    SystemCallFault::Accept,
+    SystemCallFault::Connect,
+    SystemCallFault::InterruptedWaits,
+    SystemCallFault::ShortIo,
+    SystemCallFault::BrokenConnections,
+];
+
+/// What goes wrong. Nodes and backends are named by their positions.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Fault {
+    /// Nodes get SIGTERM, and start again once they have ended.
+    TerminateNodes(Vec<usize>),
+    /// Nodes get SIGKILL, and start again at once.
+    KillNodes(Vec<usize>),
+    /// Nodes get a configuration with another address of discovery, and SIGHUP.
+    ReloadNodes(Vec<usize>),
+    /// Backends begin to drain, and stay up.
+    DrainBackends(Vec<usize>),
+    /// Backends leave the endpoint list, and go on responding.
+    RemoveBackends(Vec<usize>),
+    /// Backends restart under the same id.
+    RestartBackends(Vec<usize>),
+    /// Backends behave like this for a while.
+    Misbehave(Vec<usize>, BackendBehavior),
+    /// Discovery refuses every call and ends its watches for a while.
+    DiscoveryDown,
+    /// Open watches and calls of discovery get no more bytes for a while.
+    DiscoverySilent,
+    /// Discovery delays its responses by this much for a while.
+    DiscoverySlow(Duration),
+    /// All open watches are reset once.
+    ResetWatches,
+    /// System calls of nodes fail for a while.
+    FailSystemCalls(Vec<usize>, SystemCallFault),
+    /// Nodes pause at times between reading events and reacting to them, for a while.
+    PauseNodes(Vec<usize>),
+    /// The wall clock of nodes is set this many seconds ahead of the system's.
+    StepWallClock(Vec<usize>, i64),
+    /// Clients disconnect before their response, for a while.
+    ImpatientClients,
+    /// Peers that send no proper request come, for a while.
+    MalformedPeers,
+}
+
+/// A fault and its time.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ScheduledFault {
+    /// When it begins, from the beginning of the traffic.
+    pub at: Duration,
+    /// How long it lasts, where it lasts.
+    pub duration: Duration,
+    /// What goes wrong.
+    pub fault: Fault,
+}
