--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -14,9 +14,7 @@
 /// Files that are still to be split, to which the limits on lines do not apply until then. An entry
 /// that is no longer needed fails the test.
 const NOT_YET_SPLIT: &[&str] = &[
-    "proxy/src/config.rs",
     "proxy/src/downstream/listener.rs",
-    "proxy/src/node.rs",
     "proxy/src/requests/dispatcher.rs",
     "soak-test/src/judge.rs",
     "soak-test/src/play.rs",
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -24,7 +24,7 @@
 /// Calls at a time. Who comes beyond them takes the place of the one that has come first.
 const PLACES: usize = 16;
 /// Descriptors for all that.
-pub const SOCKETS: usize = PLACES + 2;
+pub const DESCRIPTORS: usize = PLACES + 2;
 /// For a call to come whole: operators wait for less.
 const WHOLE: Duration = Duration::from_secs(2);
 /// For what a caller still sends behind its call.
@@ -68,7 +68,7 @@
     /// Takes in what another process of this node was told, and forgets which backends were put
     /// back into use once they are warm: the next process could not tell for how long they have
     /// been.
-    pub async fn look(&self) {
+    pub async fn refresh_operator_state(&self) {
         let warm = |name: &String| self.engine.warmed_up(name, self.warm_up);
         let settled = self
             .keeper
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,15 +1,22 @@
-//! What a node is told at its start: the `GW_*` variables and the JSON file that one of them names.
+//! The process's configuration: the `GW_*` variables and the JSON file that one of them names.
 
 use crate::discovery::wire::EndpointList;
+use crate::listener_inheritance::LISTEN_FD_VARIABLE;
 use serde::Deserialize;
 use serde_json::value::RawValue;
+use settings::InstanceSettings;
 use std::net::SocketAddr;
 
-/// Why a node cannot start with what it was told.
+/// The variable that names the configuration file.
+const CONFIG_VARIABLE: &str = "GW_CONFIG";
+/// Fewer descriptors than this leave none to serve clients with.
+const MIN_DESCRIPTORS: usize = 64;
+
+/// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// No configuration file is named.
-    #[error("GW_CONFIG is not set: it names the configuration file")]
+    #[error("{CONFIG_VARIABLE} is not set: it names the configuration file")]
     NoFile,
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
@@ -19,7 +26,7 @@
         /// What the system says.
         source: std::io::Error,
     },
-    /// The file is not what it should be.
+    /// The file is not JSON, or lacks a key.
     #[error("{path}: {source}")]
     Json {
         /// The file.
@@ -27,7 +34,7 @@
         /// What is wrong, and where.
         source: serde_json::Error,
     },
-    /// The settings inside it are not what they should be.
+    /// The settings in the file cannot be read.
     #[error("{path}: {source}")]
     Settings {
         /// The file.
@@ -35,15 +42,15 @@
         /// What is wrong, and where.
         source: settings::ParseError,
     },
-    /// The settings can be read but don't make sense.
+    /// The settings can be read, and contradict each other or are out of range.
     #[error("{path}: {source}")]
-    Figures {
+    InvalidSettings {
         /// The file.
         path: String,
-        /// What makes no sense.
-        source: settings::InvalidSettings,
+        /// What is wrong.
+        source: balancer::SettingsError,
     },
-    /// A value that is given neither as a variable nor in the file.
+    /// A value is given neither as a variable nor in the file.
     #[error("neither {variable} nor the configuration's `{key}` is given")]
     Missing {
         /// The variable.
@@ -51,183 +58,217 @@
         /// The file's key.
         key: &'static str,
     },
-    /// A value that makes no sense.
-    #[error("{what} {value:?} is not {wanted}")]
-    Senseless {
-        /// What it is for.
-        what: &'static str,
+    /// A value cannot be used.
+    #[error("{key} {value:?} is not {expected}")]
+    InvalidValue {
+        /// The file's key.
+        key: &'static str,
         /// What was given.
         value: String,
         /// What it should be.
-        wanted: &'static str,
+        expected: &'static str,
     },
 }
 
 /// A node's configuration.
 pub struct Config {
-    /// Its name, for its log.
+    /// The node's name, for its log.
     pub name: String,
-    /// Where clients connect.
-    pub listen: SocketAddr,
-    /// The descriptor of a listener that the process inherits, if it does.
-    pub inherited: Option<String>,
-    /// Where operators call, if they do.
-    pub console: Option<SocketAddr>,
+    /// Where the process listens.
+    pub listen: ListenConfig,
     /// Where discovery answers.
     pub discovery: SocketAddr,
-    /// The file's word on that, which counts when the file is read again.
+    /// The same as the file gives it, which counts when the file is reloaded.
     pub discovery_in_file: Option<SocketAddr>,
     /// For random numbers.
     pub seed: u64,
-    /// File descriptors that the process may hold.
-    pub sockets: usize,
-    /// Memory that it may use, in bytes.
-    pub memory: usize,
-    /// The servers as last known, if they are.
-    pub known: Option<EndpointList>,
-    /// The site's settings.
-    pub site: settings::InstanceSettings,
+    /// Descriptors that the node's processes may hold together.
+    pub descriptors: usize,
+    /// Memory that the node's processes may use together, in bytes.
+    pub memory_bytes: usize,
+    /// The endpoints as last known, if they are.
+    pub known_endpoints: Option<EndpointList>,
+    /// The settings of the balancer and their names.
+    pub instance: InstanceSettings,
+}
+
+/// Where a process listens.
+pub struct ListenConfig {
+    /// Where clients connect.
+    pub clients: SocketAddr,
+    /// The number of the descriptor for clients, if the process inherits one.
+    pub inherited_descriptor: Option<String>,
+    /// Where operators connect, if they do.
+    pub admin: Option<SocketAddr>,
+}
+
+impl ListenConfig {
+    /// Whether operators may change the node's state, at this process or at a peer process.
+    pub fn is_operated(&self) -> bool {
+        self.admin.is_some() || self.inherited_descriptor.is_some()
+    }
 }
 
+/// The configuration file. Its keys stay as they are.
 #[derive(Deserialize)]
-struct File<'a> {
+struct ConfigFile<'a> {
     #[serde(default)]
     name: String,
     listen: Option<String>,
     discovery: Option<String>,
-    console: Option<String>,
+    #[serde(rename = "console")]
+    admin: Option<String>,
     seed: String,
     #[serde(default)]
-    limits: Limits,
-    known: Option<EndpointList>,
+    limits: FileLimits,
+    #[serde(rename = "known")]
+    known_endpoints: Option<EndpointList>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct Limits {
+struct FileLimits {
     memory_mb: usize,
-    sockets: usize,
+    #[serde(rename = "sockets")]
+    descriptors: usize,
 }
 
-impl Default for Limits {
+impl Default for FileLimits {
     fn default() -> Self {
-        Limits {
+        FileLimits {
             memory_mb: 192,
-            sockets: 1024,
+            descriptors: 1024,
         }
     }
 }
 
-/// Fewer descriptors than this leave no room to serve anyone.
-const LEAST_SOCKETS: usize = 64;
-
-/// The file that the process's variables name, as it was read.
+/// The text of the configuration file that the process's variables name.
 pub struct ConfigText {
     path: String,
     text: String,
 }
 
 impl ConfigText {
-    /// Reads it by `read`.
+    /// Reads the file with `read`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no file is named, or with the error of `read`.
     pub fn from_env(
         read: impl FnOnce(&str) -> std::io::Result<String>,
     ) -> Result<ConfigText, ConfigError> {
-        let path = variable("GW_CONFIG").ok_or(ConfigError::NoFile)?;
+        let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::NoFile)?;
         match read(&path) {
             Ok(text) => Ok(ConfigText { path, text }),
             Err(source) => Err(ConfigError::Unreadable { path, source }),
         }
     }
 
-    /// What it says, under the process's variables.
+    /// Parses and checks the whole file. The process's variables, where set, take precedence.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first value that is missing or cannot be used.
     pub fn parse(&self) -> Result<Config, ConfigError> {
-        Config::read(&self.path, &self.text, variable)
+        let file: ConfigFile =
+            serde_json::from_str(&self.text).map_err(|source| ConfigError::Json {
+                path: self.path.clone(),
+                source,
+            })?;
+        let instance = self.parse_settings(file.settings)?;
+        // Addresses in the file are checked also where a variable takes precedence: they may be used
+        // after a reload.
+        let listen_in_file = parse_address("listen", file.listen)?;
+        let clients = address_variable("GW_LISTEN", "listen")?
+            .or(listen_in_file)
+            .ok_or_else(|| missing("GW_LISTEN", "listen"))?;
+        let discovery_in_file = parse_address("discovery", file.discovery)?;
+        let discovery = address_variable("GW_DISCOVERY", "discovery")?
+            .or(discovery_in_file)
+            .ok_or_else(|| missing("GW_DISCOVERY", "discovery"))?;
+        let admin_in_file = parse_address("console", file.admin)?;
+        let admin = address_variable("GW_CONSOLE", "GW_CONSOLE")?.or(admin_in_file);
+        Ok(Config {
+            name: variable("GW_NAME").unwrap_or(file.name),
+            listen: ListenConfig {
+                clients,
+                inherited_descriptor: variable(LISTEN_FD_VARIABLE),
+                admin,
+            },
+            discovery,
+            discovery_in_file,
+            seed: parse_seed(&file.seed)?,
+            descriptors: checked_descriptors(file.limits.descriptors)?,
+            memory_bytes: file.limits.memory_mb.saturating_mul(1 << 20),
+            known_endpoints: file.known_endpoints,
+            instance,
+        })
+    }
+
+    fn parse_settings(&self, json: &RawValue) -> Result<InstanceSettings, ConfigError> {
+        let instance =
+            settings::parse(json.get().as_bytes()).map_err(|source| ConfigError::Settings {
+                path: self.path.clone(),
+                source,
+            })?;
+        match instance.settings.check() {
+            Ok(()) => Ok(instance),
+            Err(source) => Err(ConfigError::InvalidSettings {
+                path: self.path.clone(),
+                source,
+            }),
+        }
     }
 }
 
+/// The value of an environment variable, unless it is empty.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-impl Config {
-    /// The variables, where set, prevail over the file.
-    fn read(
-        path: &str,
-        text: &str,
-        variable: impl Fn(&str) -> Option<String>,
-    ) -> Result<Self, ConfigError> {
-        let path = || path.to_owned();
-        let file: File = serde_json::from_str(text).map_err(|source| ConfigError::Json {
-            path: path(),
-            source,
-        })?;
-        let site = settings::parse(file.settings.get().as_bytes()).map_err(|source| {
-            ConfigError::Settings {
-                path: path(),
-                source,
-            }
-        })?;
-        site.settings
-            .check()
-            .map_err(|source| ConfigError::Figures {
-                path: path(),
-                source: source.into(),
-            })?;
-        // Both are checked wherever they are given: what is not used now may be at the next
-        // reading.
-        let address = |key: &'static str, value: Option<String>| {
-            let wanted = "an address and port";
-            value
-                .map(|v| {
-                    v.parse().map_err(|_| ConfigError::Senseless {
-                        what: key,
-                        value: v,
-                        wanted,
-                    })
-                })
-                .transpose()
-        };
-        let either = |name: &'static str, key: &'static str, in_file: Option<SocketAddr>| {
-            address(key, variable(name))?
-                .or(in_file)
-                .ok_or(ConfigError::Missing {
-                    variable: name,
-                    key,
-                })
-        };
-        let listen = either("GW_LISTEN", "listen", address("listen", file.listen)?)?;
-        let discovery_in_file = address("discovery", file.discovery)?;
-        let discovery = either("GW_DISCOVERY", "discovery", discovery_in_file)?;
-        let console_in_file = address("console", file.console)?;
-        let console = address("GW_CONSOLE", variable("GW_CONSOLE"))?.or(console_in_file);
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Senseless {
-            what: "seed",
-            value: file.seed.clone(),
-            wanted: "a hexadecimal number of at most 16 digits",
-        })?;
-        let sockets = file.limits.sockets;
-        if sockets < LEAST_SOCKETS {
-            let (value, wanted) = (sockets.to_string(), "at least 64");
-            return Err(ConfigError::Senseless {
-                what: "limits.sockets",
-                value,
-                wanted,
-            });
-        }
-        Ok(Config {
-            name: variable("GW_NAME").unwrap_or(file.name),
-            listen,
-            inherited: variable("GW_LISTEN_FD"),
-            console,
-            discovery,
-            discovery_in_file,
-            seed,
-            sockets,
-            memory: file.limits.memory_mb.saturating_mul(1 << 20),
-            known: file.known,
-            site,
+fn address_variable(name: &str, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+    parse_address(key, variable(name))
+}
+
+fn parse_address(
+    key: &'static str,
+    value: Option<String>,
+) -> Result<Option<SocketAddr>, ConfigError> {
+    let Some(value) = value else {
+        return Ok(None);
+    };
+    match value.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(_) => Err(ConfigError::InvalidValue {
+            key,
+            value,
+            expected: "an address and port",
+        }),
+    }
+}
+
+fn missing(variable: &'static str, key: &'static str) -> ConfigError {
+    ConfigError::Missing { variable, key }
+}
+
+fn parse_seed(seed: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(seed, 16).map_err(|_| ConfigError::InvalidValue {
+        key: "seed",
+        value: seed.to_owned(),
+        expected: "a hexadecimal number of at most 16 digits",
+    })
+}
+
+fn checked_descriptors(descriptors: usize) -> Result<usize, ConfigError> {
+    if descriptors >= MIN_DESCRIPTORS {
+        Ok(descriptors)
+    } else {
+        Err(ConfigError::InvalidValue {
+            key: "limits.sockets",
+            value: descriptors.to_string(),
+            expected: "at least 64",
         })
     }
 }
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -47,22 +47,22 @@
     #[error("{0}")]
     Http(#[from] hyper::Error),
     /// The call was rejected.
-    #[error("answered {0}")]
+    #[error("rejected with {0}")]
     Status(StatusCode),
     /// Discovery ended the watch.
-    #[error("ended")]
+    #[error("ended by discovery")]
     Ended,
     /// What came cannot be split into lists.
-    #[error("unusable line: {0}")]
+    #[error("invalid list: {0}")]
     Decode(#[from] DecodeError),
     /// What came is not an endpoint list.
-    #[error("unusable line: {0}")]
+    #[error("invalid list: {0}")]
     List(#[from] InvalidList),
     /// A snapshot could not be read to its end.
-    #[error("unusable line: {0}")]
+    #[error("invalid list: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// A delta came where a snapshot was asked for.
-    #[error("unusable line: the list is not complete")]
+    #[error("invalid list: the list is not complete")]
     NotSnapshot,
 }
 
--- a/crates/proxy/src/discovery/json_lines.rs
+++ b/crates/proxy/src/discovery/json_lines.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
     /// Something else than an object begins.
-    #[error("no list begins like this")]
+    #[error("not the beginning of a list")]
     NotObject,
     /// An object exceeds [`MAX_OBJECT_BYTES`].
     #[error("over {MAX_OBJECT_BYTES} bytes")]
--- a/crates/proxy/src/discovery/watch_loop.rs
+++ b/crates/proxy/src/discovery/watch_loop.rs
@@ -82,7 +82,8 @@
     /// taken, and the endpoints last known stay, until the new address has sent a snapshot.
     pub fn change_address(&self, address: SocketAddr) {
         if self.state.address() != address {
-            self.state.log(format_args!("discovery is now {address}"));
+            self.state
+                .log(format_args!("discovery address changed to {address}"));
             self.state.set_address(address, self.watch.take());
             self.refresh();
         }
@@ -127,7 +128,7 @@
                 .max(INITIAL_BACKOFF)
                 .mul_f64(1.0 - BACKOFF_JITTER * self.random());
             self.state.log(format_args!(
-                "watch: {error}; again in {} ms",
+                "watch: {error}; retrying in {} ms",
                 pause.as_millis()
             ));
             tokio::time::sleep(pause).await;
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -751,7 +751,7 @@
 
 /// Logs a failed `accept`, and waits where the next would fail as well.
 pub async fn accept_failed(engine: &Dispatcher, what: &str, error: &std::io::Error) {
-    if transient_errors::is_one_connections(error) {
+    if transient_errors::is_single_connection_error(error) {
         return engine
             .stats()
             .count_rejected_message("closed before it was accepted");
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,6 +4,7 @@
 mod admin;
 mod clock;
 mod config;
+mod config_reload;
 mod discovery;
 mod downstream;
 mod event_log;
@@ -12,6 +13,7 @@
 mod metrics;
 mod node;
 mod operator_state;
+mod peer_process;
 mod requests;
 mod resizable_semaphore;
 mod resource_limits;
@@ -19,6 +21,7 @@
 mod shutdown;
 mod socket;
 mod start_times;
+mod startup;
 mod transient_errors;
 mod upstream;
 
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -1,43 +1,62 @@
 //! The proxy process: reads the configuration, wires the parts together, runs until a signal and
 //! shuts down.
 
-use crate::admin::server;
-use crate::admin::server::AdminServer;
+use crate::admin::server::{self, AdminServer};
 use crate::config::{Config, ConfigError, ConfigText};
+use crate::config_reload;
 use crate::discovery::state::{DiscoveryEvent, DiscoveryMode};
 use crate::discovery::watch_loop::EndpointWatcher;
 use crate::downstream::listener::Listener;
 use crate::event_log::EventLog;
-use crate::listener_inheritance::inherit_listener;
-use crate::metrics::Metrics;
+use crate::metrics::{Metrics, LOG_INTERVAL};
 use crate::operator_state::store::OperatorStateStore;
+use crate::peer_process::PeerProcessMonitor;
 use crate::requests::dispatcher::Dispatcher;
-use crate::resource_limits::ResourceLimits;
+use crate::resource_limits::{PoolSizes, ResourceLimits};
+use crate::send_invariants;
 use crate::shutdown::ShutdownController;
+use crate::startup::{
+    local_address, Listeners, OpenedOperatorState, Signals, StartupError, STATE_FOLDER_VARIABLE,
+};
 use crate::transient_errors::retry_at_start;
 use crate::upstream::backend_registry::BackendRegistry;
 use crate::upstream::exchange::UpstreamClient;
 use crate::upstream::pool::{ConnectionPool, PoolLimits};
-use crate::{metrics, send_invariants, transient_errors};
-use std::error::Error;
+use balancer::{Idempotency, Settings};
+use settings::{InstanceSettings, SettingNames};
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket};
-use tokio::signal::unix::{signal, SignalKind};
+use tokio::signal::unix::Signal;
 use tokio::task::{spawn_local, LocalSet};
+use tokio::time::{interval_at, sleep, Instant};
 
-/// How often a process looks for another of its node, and for what that one was told.
-const LOOK: Duration = Duration::from_millis(100);
-/// Where lists are pushed, a new process waits so long for its first before it goes by the one of
-/// its configuration.
-const FIRST_LIST: Duration = Duration::from_millis(600);
-/// For so long a configuration that can't be read is asked for again: what the new discovery says
-/// counts as told 4 s after the signal.
-const RELOAD_PATIENCE: Duration = Duration::from_secs(2);
-/// How often it looks whether it can serve.
-const UNREADY: Duration = Duration::from_millis(10);
-/// Connections that the system holds until they are accepted.
-const BACKLOG: u32 = 1024;
+/// Where lists are pushed, how long a new process waits for its first one before it serves by the
+/// list of its configuration.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(600);
+/// How often a new process checks whether it can serve.
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// For a connection to a backend, where the settings give no time.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// After which backends close idle connections, where the settings give no time.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Why the process could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum NodeError {
+    /// The configuration cannot be used.
+    #[error("{0}")]
+    Config(#[from] ConfigError),
+    /// The asynchronous runtime cannot be built.
+    #[error("cannot start the runtime: {0}")]
+    Runtime(io::Error),
+    /// The system refuses what the process needs.
+    #[error("{0}")]
+    Startup(#[from] StartupError),
+    /// The balancer's settings contradict each other or are out of range.
+    #[error("{0}")]
+    Settings(#[from] balancer::SettingsError),
+}
 
 /// Reads the configuration named by the environment and runs the proxy until it is told to stop.
 ///
@@ -45,108 +64,253 @@
 ///
 /// Returns the first failure of the start: a configuration that cannot be used, an address that
 /// cannot be bound, a runtime that cannot be built.
-pub fn run_from_environment() -> Result<(), Box<dyn Error>> {
+pub fn run_from_environment() -> Result<(), NodeError> {
     let text = ConfigText::from_env(|path| {
         retry_at_start(format_args!("reading {path}"), || {
             std::fs::read_to_string(path)
         })
     })?;
     let config = text.parse()?;
-    let build = || {
+    let build_runtime = || {
         tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
     };
-    let runtime = retry_at_start("the runtime's start", build)?;
+    let runtime =
+        retry_at_start("the runtime's start", build_runtime).map_err(NodeError::Runtime)?;
     LocalSet::new().block_on(&runtime, run(config))
 }
 
-async fn run(config: Config) -> Result<(), Box<dyn Error>> {
-    let handled = |kind| retry_at_start("the handling of a signal", || signal(kind));
-    let mut terminate = handled(SignalKind::terminate())?;
-    let mut interrupt = handled(SignalKind::interrupt())?;
-    // Without a handler SIGHUP ends the process; with one it is borne to the very end.
-    let mut hangup = handled(SignalKind::hangup())?;
-    let settings = config.site.settings;
-    let longest = settings
-        .classes
-        .iter()
-        .map(|c| c.deadline)
-        .max()
-        .unwrap_or_default();
-    let warm_up = settings.protocol_limits.slow_start_duration;
-    let effects = settings.classes.iter().map(|c| c.idempotency).collect();
-    let operated = config.console.is_some() || config.inherited.is_some();
-    let place = std::env::var_os("TMPDIR").filter(|_| operated);
-    let unkept = operated && place.is_none();
-    let (keeper, unread) = OperatorStateStore::open(place.map(Into::into), &config.name);
-    let keeper = Rc::new(keeper);
-    let resource_limits = ResourceLimits::new(
-        config.sockets,
-        config.memory,
-        config.console.map_or(0, |_| server::SOCKETS),
-    );
-    let mut accompanied = keeper.peer_process_running();
-    let pool_sizes = resource_limits.pool_sizes(accompanied);
-    let clients = pool_sizes.client_connections;
-    let limits = PoolLimits {
-        max_connections: pool_sizes.upstream_connections,
-        connect_timeout: or(settings.connect_timeout, Duration::from_millis(250)),
-        idle_timeout: or(settings.idle_timeout, Duration::from_secs(5)),
-    };
-    let classes = config.site.names.classes.iter().zip(&settings.classes);
-    let classes: Vec<String> = classes
-        .map(|(name, c)| {
-            format!(
-                "{}:aim_ms={}:deadline_ms={}",
-                name.escape_debug(),
-                ms(c.latency_objective),
-                ms(c.deadline)
-            )
+async fn run(config: Config) -> Result<(), NodeError> {
+    let signals = Signals::install()?;
+    Node::build(config)?.run(signals).await
+}
+
+/// The parts of a proxy process that is about to serve.
+struct Node {
+    log: EventLog,
+    limits: RequestLimits,
+    resource_limits: ResourceLimits,
+    /// Whether a peer process was running when the connection pools were sized.
+    peer_process_running: bool,
+    operator_state: OpenedOperatorState,
+    inherits_listener: bool,
+    listeners: Listeners,
+    upstream_pool: Rc<ConnectionPool>,
+    dispatcher: Rc<Dispatcher>,
+    endpoint_watcher: Rc<EndpointWatcher>,
+    shutdown: Rc<ShutdownController>,
+    admin: Rc<AdminServer>,
+}
+
+impl Node {
+    /// Builds the parts, binds the listeners, and applies the operator state and the endpoint list
+    /// as last known.
+    fn build(config: Config) -> Result<Self, NodeError> {
+        let log = EventLog::new(&config.name);
+        let operator_state = OpenedOperatorState::open(&config.name, config.listen.is_operated());
+        let admin_descriptors = config.listen.admin.map_or(0, |_| server::DESCRIPTORS);
+        let resource_limits =
+            ResourceLimits::new(config.descriptors, config.memory_bytes, admin_descriptors);
+        let peer_process_running = operator_state.store.peer_process_running();
+        let pool_sizes = resource_limits.pool_sizes(peer_process_running);
+        let limits = RequestLimits::new(&config.instance.settings);
+        let summary = settings_summary(&config.instance, pool_sizes);
+        let metrics = Rc::new(Metrics::new());
+        let upstream_pool = Rc::new(ConnectionPool::new(
+            pool_limits(&config.instance.settings, pool_sizes),
+            metrics.clone(),
+        ));
+        let endpoint_watcher = EndpointWatcher::new(
+            discovery_mode(&config.instance.settings),
+            config.discovery,
+            config.seed,
+            log.clone(),
+        );
+        let dispatcher = build_dispatcher(
+            &log,
+            config.instance,
+            config.seed,
+            metrics,
+            &upstream_pool,
+            &endpoint_watcher,
+        )?;
+        let listeners = Listeners::open(&config.listen)?;
+        log_start(&log, &listeners, &summary, &operator_state)?;
+        let shutdown = Rc::new(ShutdownController::new());
+        let admin = AdminServer::new(
+            dispatcher.clone(),
+            shutdown.clone(),
+            operator_state.store.clone(),
+            limits.slow_start_duration,
+        );
+        dispatcher.known(config.known_endpoints.as_ref());
+        endpoint_watcher.start(dispatcher.revision());
+        Ok(Node {
+            log,
+            limits,
+            resource_limits,
+            peer_process_running,
+            operator_state,
+            inherits_listener: config.listen.inherited_descriptor.is_some(),
+            listeners,
+            upstream_pool,
+            dispatcher,
+            endpoint_watcher,
+            shutdown,
+            admin,
         })
-        .collect();
-    let figures = format!(
-        "settings nodes={} cold_from={} fall_multiple={} warm_up_ms={} drain_grace_ms={} \
-         conn_idle_ms={} max_retry_after_ms={} clients={clients} \
-         upstream={} {}",
-        settings.nodes,
-        settings.protocol_limits.slow_start_initial_capacity,
-        settings.protocol_limits.overload_multiple,
-        ms(settings.protocol_limits.slow_start_duration),
-        ms(settings.protocol_limits.drain_grace),
-        ms(settings.idle_timeout),
-        ms(settings.max_retry_after.unwrap_or_default()),
-        limits.max_connections,
-        classes.join(" ")
-    );
-    let metrics = Rc::new(Metrics::new());
-    let pool = Rc::new(ConnectionPool::new(limits, metrics.clone()));
-    let client = UpstreamClient::new(
-        pool.clone(),
-        &config.site.names,
-        &config.site.load_report_fields,
-        metrics,
-    );
-    let backends = BackendRegistry::new(config.site.names, pool.clone());
-    let log = EventLog::new(&config.name);
-    let mode = if settings.polled_discovery {
+    }
+
+    /// Starts the tasks that need no listener.
+    fn spawn_background_tasks(&self, hangup: Signal) {
+        spawn_local(config_reload::run(
+            hangup,
+            self.log.clone(),
+            self.endpoint_watcher.clone(),
+        ));
+        let pool = self.upstream_pool.clone();
+        spawn_local(async move { pool.close_expired().await });
+        spawn_local(log_stats(self.dispatcher.clone()));
+    }
+
+    /// Serves until a signal, and shuts down.
+    async fn run(self, signals: Signals) -> Result<(), NodeError> {
+        let Signals {
+            mut termination,
+            hangup,
+        } = signals;
+        self.spawn_background_tasks(hangup);
+        if let Some(listener) = self.listeners.admin {
+            let address = local_address(&listener)?;
+            self.log.log(format_args!("admin server at {address}"));
+            spawn_local(self.admin.clone().serve(listener));
+        }
+        let client_listener = Listener::new(
+            self.dispatcher.clone(),
+            self.limits.idempotency,
+            self.resource_limits
+                .pool_sizes(self.peer_process_running)
+                .client_connections,
+            self.listeners.listening_since,
+            self.shutdown.subscribe(),
+        );
+        if self.operator_state.is_operated {
+            let monitor = PeerProcessMonitor {
+                admin: self.admin,
+                operator_state: self.operator_state.store.clone(),
+                resource_limits: self.resource_limits,
+                listener: client_listener.clone(),
+                upstream_pool: self.upstream_pool,
+                log: self.log.clone(),
+                peer_process_running: self.peer_process_running,
+            };
+            spawn_local(monitor.run());
+        }
+        let readiness = Readiness {
+            endpoint_watcher: self.endpoint_watcher,
+            dispatcher: self.dispatcher.clone(),
+            operator_state: self.operator_state.store.clone(),
+            inherits_listener: self.inherits_listener,
+        };
+        let server = client_listener.clone();
+        let clients = self.listeners.clients;
+        let serving = spawn_local(async move {
+            readiness.wait().await;
+            server.serve(clients).await;
+        });
+        termination.recv().await;
+        let handing_over =
+            self.inherits_listener && self.operator_state.store.peer_process_running();
+        self.log
+            .log(format_args!("shutting down handing_over={handing_over}"));
+        self.shutdown
+            .run(handing_over, self.limits.longest_deadline, serving, || {
+                client_listener.in_hand()
+            })
+            .await;
+        log_end(&self.log, &self.dispatcher);
+        Ok(())
+    }
+}
+
+/// What other parts than the balancer need of its settings.
+struct RequestLimits {
+    /// By class.
+    idempotency: Vec<Idempotency>,
+    /// The longest deadline of any class.
+    longest_deadline: Duration,
+    /// How long a backend takes to warm up.
+    slow_start_duration: Duration,
+}
+
+impl RequestLimits {
+    fn new(settings: &Settings) -> Self {
+        let classes = &settings.classes;
+        RequestLimits {
+            idempotency: classes.iter().map(|class| class.idempotency).collect(),
+            longest_deadline: classes
+                .iter()
+                .map(|class| class.deadline)
+                .max()
+                .unwrap_or_default(),
+            slow_start_duration: settings.protocol_limits.slow_start_duration,
+        }
+    }
+}
+
+fn pool_limits(settings: &Settings, pool_sizes: PoolSizes) -> PoolLimits {
+    PoolLimits {
+        max_connections: pool_sizes.upstream_connections,
+        connect_timeout: non_zero_or(settings.connect_timeout, DEFAULT_CONNECT_TIMEOUT),
+        idle_timeout: non_zero_or(settings.idle_timeout, DEFAULT_IDLE_TIMEOUT),
+    }
+}
+
+fn non_zero_or(duration: Duration, default: Duration) -> Duration {
+    if duration.is_zero() {
+        default
+    } else {
+        duration
+    }
+}
+
+fn discovery_mode(settings: &Settings) -> DiscoveryMode {
+    if settings.polled_discovery {
         DiscoveryMode::Polled
     } else {
         DiscoveryMode::Pushed
-    };
-    let watcher = EndpointWatcher::new(mode, config.discovery, config.seed, log.clone());
-    let refreshed = watcher.clone();
-    let engine = Dispatcher::new(
-        log,
-        settings,
-        config.seed,
+    }
+}
+
+/// Builds the dispatcher and connects it with discovery, in both directions.
+fn build_dispatcher(
+    log: &EventLog,
+    instance: InstanceSettings,
+    seed: u64,
+    metrics: Rc<Metrics>,
+    upstream_pool: &Rc<ConnectionPool>,
+    endpoint_watcher: &Rc<EndpointWatcher>,
+) -> Result<Rc<Dispatcher>, balancer::SettingsError> {
+    let client = UpstreamClient::new(
+        upstream_pool.clone(),
+        &instance.names,
+        &instance.load_report_fields,
+        metrics,
+    );
+    let backends = BackendRegistry::new(instance.names, upstream_pool.clone());
+    let refreshed_watcher = endpoint_watcher.clone();
+    let dispatcher = Dispatcher::new(
+        log.clone(),
+        instance.settings,
+        seed,
         Rc::new(backends),
         Rc::new(client),
-        move || refreshed.refresh(),
+        move || refreshed_watcher.refresh(),
     )?;
-    let dispatcher = Rc::downgrade(&engine);
-    watcher.set_event_handler(move |event| {
-        let Some(dispatcher) = dispatcher.upgrade() else {
+    let event_receiver = Rc::downgrade(&dispatcher);
+    endpoint_watcher.set_event_handler(move |event| {
+        let Some(dispatcher) = event_receiver.upgrade() else {
             return;
         };
         match event {
@@ -155,172 +319,106 @@
             DiscoveryEvent::WatchFailed => dispatcher.endpoint_list_failed(),
         }
     });
-    let bound = |address| {
-        let listening = retry_at_start(format_args!("the listener at {address}"), || {
-            listen(address)
-        });
-        listening.map_err(|e| format!("cannot listen on {address}: {e}"))
-    };
-    let inherited = config.inherited.is_some();
-    let listener = match &config.inherited {
-        Some(number) => TcpListener::from_std(inherit_listener(number, config.listen)?)?,
-        None => bound(config.listen)?,
-    };
-    let listening_since = tokio::time::Instant::now();
-    let calls = config.console.map(bound).transpose()?;
-    engine.log(format_args!("listening on {}", listener.local_addr()?));
-    engine.log(format_args!("{figures}"));
-    unread
-        .iter()
-        .for_each(|problem| engine.log(format_args!("taken as empty: {problem}")));
-    if unkept {
-        engine.log(format_args!(
-            "TMPDIR is not set: maintenance and drain end with this process"
-        ));
-    }
-    let shutdown = Rc::new(ShutdownController::new());
-    let console = AdminServer::new(engine.clone(), shutdown.clone(), keeper.clone(), warm_up);
-    engine.known(config.known.as_ref());
-    watcher.start(engine.revision());
-    let (reloading, rewatching) = (engine.clone(), watcher.clone());
-    spawn_local(async move {
-        while hangup.recv().await.is_some() {
-            reload(&reloading, &rewatching).await;
-        }
-    });
-    let expiring = pool.clone();
-    spawn_local(async move { expiring.close_expired().await });
-    let counted = engine.clone();
-    spawn_local(async move {
-        let mut every = tokio::time::interval_at(
-            tokio::time::Instant::now() + metrics::LOG_INTERVAL,
-            metrics::LOG_INTERVAL,
-        );
-        loop {
-            every.tick().await;
-            counted.log_stats();
-        }
-    });
-    if let Some(calls) = calls {
-        engine.log(format_args!("console at {}", calls.local_addr()?));
-        spawn_local(console.clone().serve(calls));
-    }
-    let frontend = Listener::new(
-        engine.clone(),
-        effects,
-        clients,
-        listening_since,
-        shutdown.subscribe(),
-    );
-    if operated {
-        let (engine, keeper, frontend) = (engine.clone(), keeper.clone(), frontend.clone());
-        spawn_local(async move {
-            let mut every = tokio::time::interval(LOOK);
-            loop {
-                every.tick().await;
-                console.look().await;
-                let now = keeper.peer_process_running();
-                if std::mem::replace(&mut accompanied, now) != now {
-                    let sizes = resource_limits.pool_sizes(now);
-                    frontend.resize(sizes.client_connections);
-                    pool.resize(sizes.upstream_connections);
-                    engine.log(format_args!(
-                        "accompanied={now} clients={} upstream={}",
-                        sizes.client_connections, sizes.upstream_connections
-                    ));
-                }
-            }
-        });
-    }
-    let ending = frontend.clone();
-    let (serving, beside, ready) = (frontend.clone(), keeper.clone(), engine.clone());
-    let settling = watcher.clone();
-    let served = spawn_local(async move {
-        // A request that is read now would go by a list that may be old.
-        let by = tokio::time::Instant::now() + FIRST_LIST;
-        while !settling.is_settled() && tokio::time::Instant::now() < by {
-            tokio::time::sleep(UNREADY).await;
-        }
-        // While this process has no list, the one beside it can serve what comes.
-        while inherited && !ready.ready() && beside.peer_process_running() {
-            tokio::time::sleep(UNREADY).await;
-        }
-        serving.serve(listener).await;
-    });
-    tokio::select! {
-        _ = terminate.recv() => {}
-        _ = interrupt.recv() => {}
-    }
-    let handing_over = inherited && keeper.peer_process_running();
-    engine.log(format_args!("leaving handing_over={handing_over}"));
-    shutdown
-        .run(handing_over, longest, served, || ending.in_hand())
-        .await;
-    let open = engine.open_requests();
-    if send_invariants::may_exit(open).is_err() {
-        engine.log(format_args!("violations_ProcessExit={open}"));
-    }
-    engine.log(format_args!("left"));
-    Ok(())
+    Ok(dispatcher)
 }
 
-/// Reads the configuration again. The whole file is checked before anything of it is used: one that
-/// is bad changes nothing. What the file says prevails now over what the environment said at the
-/// start.
-async fn reload(engine: &Dispatcher, watcher: &EndpointWatcher) {
-    match read_again(engine).await.and_then(|text| text.parse()) {
-        Ok(config) => {
-            engine.log(format_args!("configuration read again"));
-            config
-                .discovery_in_file
-                .into_iter()
-                .for_each(|address| watcher.change_address(address));
-        }
-        Err(error) => engine.log(format_args!("the configuration stays as it is: {error}")),
+/// Logs the counters at regular intervals.
+async fn log_stats(dispatcher: Rc<Dispatcher>) {
+    let mut interval = interval_at(Instant::now() + LOG_INTERVAL, LOG_INTERVAL);
+    loop {
+        interval.tick().await;
+        dispatcher.log_stats();
     }
 }
 
-/// Reads the configuration's text. Where that fails for a moment the signal is owed another try: it
-/// isn't sent again.
-async fn read_again(engine: &Dispatcher) -> Result<ConfigText, ConfigError> {
-    let by = tokio::time::Instant::now() + RELOAD_PATIENCE;
-    let mut logged = false;
-    loop {
-        match ConfigText::from_env(|path| std::fs::read_to_string(path)) {
-            Err(ConfigError::Unreadable { path, source })
-                if transient_errors::may_pass(&source) && tokio::time::Instant::now() < by =>
-            {
-                if !std::mem::replace(&mut logged, true) {
-                    engine.log(format_args!(
-                        "reading {path} failed, and is tried again: {source}"
-                    ));
-                }
-                tokio::time::sleep(transient_errors::TRY_AGAIN).await;
-            }
-            read => return read,
+/// What a new process waits for before it accepts connections.
+struct Readiness {
+    endpoint_watcher: Rc<EndpointWatcher>,
+    dispatcher: Rc<Dispatcher>,
+    operator_state: Rc<OperatorStateStore>,
+    inherits_listener: bool,
+}
+
+impl Readiness {
+    /// Waits for a first endpoint list, for a moment; and for as long as a peer process can serve
+    /// what comes to the inherited listener, for a list that names an active endpoint.
+    async fn wait(&self) {
+        let deadline = Instant::now() + FIRST_LIST_TIMEOUT;
+        while !self.endpoint_watcher.is_settled() && Instant::now() < deadline {
+            sleep(READINESS_POLL_INTERVAL).await;
+        }
+        while self.inherits_listener
+            && !self.dispatcher.ready()
+            && self.operator_state.peer_process_running()
+        {
+            sleep(READINESS_POLL_INTERVAL).await;
         }
     }
 }
 
-fn ms(time: Duration) -> u128 {
-    time.as_millis()
+/// Logs what the process starts with.
+fn log_start(
+    log: &EventLog,
+    listeners: &Listeners,
+    settings_summary: &str,
+    operator_state: &OpenedOperatorState,
+) -> Result<(), StartupError> {
+    let address = local_address(&listeners.clients)?;
+    log.log(format_args!("listening on {address}"));
+    log.log(format_args!("{settings_summary}"));
+    if let Some(problem) = &operator_state.problem {
+        log.log(format_args!("stored operator state ignored: {problem}"));
+    }
+    if operator_state.is_operated && !operator_state.is_stored {
+        log.log(format_args!(
+            "{STATE_FOLDER_VARIABLE} is not set: maintenance and drain state ends with this process"
+        ));
+    }
+    Ok(())
 }
 
-fn or(figure: Duration, otherwise: Duration) -> Duration {
-    if figure.is_zero() {
-        otherwise
-    } else {
-        figure
+/// Logs the end of the process, and requests that are left without a response.
+fn log_end(log: &EventLog, dispatcher: &Dispatcher) {
+    let open_requests = dispatcher.open_requests();
+    if send_invariants::may_exit(open_requests).is_err() {
+        log.log(format_args!("violations_ProcessExit={open_requests}"));
     }
+    log.log(format_args!("shutdown complete"));
 }
 
-fn listen(address: std::net::SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = if address.is_ipv4() {
-        TcpSocket::new_v4()
-    } else {
-        TcpSocket::new_v6()
-    }?;
-    socket.set_reuseaddr(true)?;
-    socket.bind(address)?;
-    socket.listen(BACKLOG)
+/// The line of the log that tells the settings in force.
+fn settings_summary(instance: &InstanceSettings, pool_sizes: PoolSizes) -> String {
+    let settings = &instance.settings;
+    let limits = &settings.protocol_limits;
+    format!(
+        "settings nodes={} slow_start_initial_capacity={} overload_multiple={} slow_start_ms={} \
+         drain_grace_ms={} idle_timeout_ms={} max_retry_after_ms={} clients={} upstream={} {}",
+        settings.nodes,
+        limits.slow_start_initial_capacity,
+        limits.overload_multiple,
+        limits.slow_start_duration.as_millis(),
+        limits.drain_grace.as_millis(),
+        settings.idle_timeout.as_millis(),
+        settings.max_retry_after.unwrap_or_default().as_millis(),
+        pool_sizes.client_connections,
+        pool_sizes.upstream_connections,
+        classes_summary(&instance.names, settings)
+    )
+}
+
+fn classes_summary(names: &SettingNames, settings: &Settings) -> String {
+    let classes: Vec<String> = names
+        .classes
+        .iter()
+        .zip(&settings.classes)
+        .map(|(name, class)| {
+            format!(
+                "{}:latency_objective_ms={}:deadline_ms={}",
+                name.escape_debug(),
+                class.latency_objective.as_millis(),
+                class.deadline.as_millis()
+            )
+        })
+        .collect();
+    classes.join(" ")
 }
--- a/crates/proxy/src/transient_errors.rs
+++ b/crates/proxy/src/transient_errors.rs
@@ -1,13 +1,13 @@
-//! Which failures of system calls pass by themselves, and how those of the start are tried again.
+//! Which failures of system calls pass by themselves, and how those at the start are retried.
 
 use std::fmt::Display;
 use std::io::{self, ErrorKind, Write as _};
 use std::time::{Duration, Instant};
 
-/// A start goes on trying for so long. A front waits longer for a node that starts again.
-pub const START_PATIENCE: Duration = Duration::from_secs(5);
-/// Between two tries.
-pub const TRY_AGAIN: Duration = Duration::from_millis(20);
+/// How long calls at the start are retried.
+pub const MAX_START_RETRY_DURATION: Duration = Duration::from_secs(5);
+/// Pause between two attempts of a call.
+pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Whether a failed call may succeed a moment later, with nothing changed by anyone.
 pub fn may_pass(error: &io::Error) -> bool {
@@ -22,7 +22,7 @@
 
 /// Whether a call failed for want of something that this process or its machine has run out of:
 /// descriptors, memory, buffers or ports.
-pub fn is_shortage(error: &io::Error) -> bool {
+pub fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(
@@ -37,10 +37,10 @@
     )
 }
 
-/// Whether `accept` told of one connection's own end, or was interrupted: the next connection can
-/// be taken at once. Linux passes network errors that are pending on a new socket on as errors of
-/// `accept`.
-pub fn is_one_connections(error: &io::Error) -> bool {
+/// Whether `accept` reported the failure of a single connection, or was interrupted, so that the next
+/// connection can be accepted at once. Linux reports network errors that are pending on a new socket
+/// as errors of `accept`.
+pub fn is_single_connection_error(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(
@@ -61,25 +61,30 @@
     )
 }
 
-/// Makes a call of the start until it succeeds, fails for good, or has failed for
-/// [`START_PATIENCE`]. The first failure is logged. Nothing else runs in the process yet, so that
-/// waiting holds up nothing.
+/// Retries a call of the start until it succeeds, fails for good, or has failed for
+/// [`MAX_START_RETRY_DURATION`]. Logs the first failure. Blocks the thread: nothing else runs in the
+/// process yet.
+///
+/// # Errors
+///
+/// Returns the error of the last attempt.
 pub fn retry_at_start<T>(
-    what: impl Display,
+    operation: impl Display,
     mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let by = Instant::now() + START_PATIENCE;
-    let mut logged = false;
+    let deadline = Instant::now() + MAX_START_RETRY_DURATION;
+    let mut is_logged = false;
     loop {
         match call() {
-            Err(error) if may_pass(&error) && Instant::now() < by => {
-                if !std::mem::replace(&mut logged, true) {
+            Err(error) if may_pass(&error) && Instant::now() < deadline => {
+                if !is_logged {
                     let _ = writeln!(
                         io::stderr(),
-                        "balancer-proxy: {what} failed, and is tried again: {error}"
+                        "balancer-proxy: {operation} failed, retrying: {error}"
                     );
                 }
-                std::thread::sleep(TRY_AGAIN);
+                is_logged = true;
+                std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
         }
--- a/crates/proxy/src/transient_errors_tests.rs
+++ b/crates/proxy/src/transient_errors_tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn only_errors_of_resources_deserve_a_pause() {
+fn single_connection_errors_differ_from_resource_shortages() {
     for number in [
         libc::ECONNABORTED,
         libc::EINTR,
@@ -13,33 +13,33 @@
         libc::EHOSTUNREACH,
         libc::EPROTO,
     ] {
-        assert!(is_one_connections(&error(number)), "{number}");
+        assert!(is_single_connection_error(&error(number)), "{number}");
     }
     for number in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         assert!(
-            !is_one_connections(&error(number)) && is_shortage(&error(number)),
+            !is_single_connection_error(&error(number)) && is_resource_shortage(&error(number)),
             "{number}"
         );
     }
 }
 
 #[test]
-fn a_start_tries_again_only_what_may_pass() {
-    let mut left = 3;
+fn start_retries_only_errors_that_may_pass() {
+    let mut remaining_calls = 3;
     let call = || {
-        left -= 1;
-        if left > 0 {
+        remaining_calls -= 1;
+        if remaining_calls > 0 {
             Err(error(libc::ENFILE))
         } else {
             Ok(())
         }
     };
     assert!(retry_at_start("a call", call).is_ok());
-    let mut tries = 0;
+    let mut attempts = 0;
     let call = || -> io::Result<()> {
-        tries += 1;
+        attempts += 1;
         Err(error(libc::EACCES))
     };
     assert!(retry_at_start("a call", call).is_err());
-    assert_eq!(tries, 1);
+    assert_eq!(attempts, 1);
 }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -190,7 +190,7 @@
         self.metrics.count(|c| c.backend_connects += 1);
         let stream = match timeout(self.connect_timeout, connect_with_retries(address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) if transient_errors::is_shortage(&error) => {
+            Ok(Err(error)) if transient_errors::is_resource_shortage(&error) => {
                 return Err(AcquireError::LocalShortage(address, error))
             }
             Ok(Err(error)) => return Err(AcquireError::ConnectFailed(address, error)),
@@ -236,7 +236,9 @@
 async fn connect_with_retries(address: SocketAddr) -> io::Result<TcpStream> {
     for pause in SHORTAGE_PAUSES_MS.map(Duration::from_millis) {
         match TcpStream::connect(address).await {
-            Err(error) if transient_errors::is_shortage(&error) => tokio::time::sleep(pause).await,
+            Err(error) if transient_errors::is_resource_shortage(&error) => {
+                tokio::time::sleep(pause).await
+            }
             result => return result,
         }
     }
--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -211,7 +211,7 @@
     let (mut wire, _) = a.accept_request().await;
     assert_eq!(proxy.admin_call("POST", "/healthcheck/fail").await, 200);
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving").await;
+    proxy.wait_for_log("shutting down").await;
     assert_eq!(proxy.admin_call("GET", "/healthcheck").await, 503);
     assert_eq!(proxy.admin_call("POST", "/healthcheck/ok").await, 409);
     wire.respond("200 OK", "", "").await;
@@ -250,7 +250,7 @@
     assert_eq!(proxy.admin_call("POST", "/healthcheck/fail").await, 200);
     proxy.signal("HUP").await;
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving").await;
+    proxy.wait_for_log("shutting down").await;
     let answer = hung.read().await.expect("an answer");
     assert_eq!(
         (answer.status(), answer.header("connection")),
--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -120,7 +120,7 @@
         };
         process.address = process.logged_address("listening on ").await;
         if process.config.get("console").is_some() {
-            process.admin = Some(process.logged_address("console at ").await);
+            process.admin = Some(process.logged_address("admin server at ").await);
         }
         process
     }
--- a/crates/proxy/tests/configuration_reload.rs
+++ b/crates/proxy/tests/configuration_reload.rs
@@ -80,7 +80,7 @@
 
     // Told again without a change, the watch stays; after that it moves once more.
     proxy.signal("HUP").await;
-    proxy.wait_for_log("configuration read again").await;
+    proxy.wait_for_log("configuration reloaded").await;
     proxy
         .reconfigure("discovery", json!(third.address().to_string()))
         .await;
@@ -114,7 +114,9 @@
     texts.push(bad.to_string());
     for (k, text) in texts.iter().enumerate() {
         proxy.replace_config(text).await;
-        proxy.wait_for_log("the configuration stays as it is").await;
+        proxy
+            .wait_for_log("configuration reload rejected, keeping the current one")
+            .await;
         watch.send_list(2 + k as u64, false, &[]).await;
         proxy.wait_for_revision(2 + k as u64).await;
     }
@@ -214,7 +216,7 @@
     client.send("unsafe", "20000m").await;
     let (mut wire, _) = server.accept_request().await;
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving").await;
+    proxy.wait_for_log("shutting down").await;
     for _ in 0..3 {
         proxy.signal("HUP").await;
     }
--- a/crates/proxy/tests/discovery_watch.rs
+++ b/crates/proxy/tests/discovery_watch.rs
@@ -91,9 +91,9 @@
     watch.0.reset();
     for _ in 0..8 {
         discovery.accept().await.reset();
-        let line = proxy.wait_for_log("again in ").await;
+        let line = proxy.wait_for_log("retrying in ").await;
         let pause = line
-            .rsplit("again in ")
+            .rsplit("retrying in ")
             .next()
             .and_then(|rest| rest.strip_suffix(" ms")?.parse().ok());
         assert!(pause.is_some_and(|pause: u64| pause <= 100), "{line}");
@@ -245,7 +245,7 @@
         for longest in [100, 200, 400] {
             let (mut wire, _) = discovery.accept_request().await;
             wire.respond("503 Service Unavailable", "", "").await;
-            let line = proxy.wait_for_log("again in ").await;
+            let line = proxy.wait_for_log("retrying in ").await;
             let pause: u64 = line
                 .split(' ')
                 .rev()
@@ -270,7 +270,9 @@
         wire.respond("503 Service Unavailable", "", "").await;
     }
     let (mut unanswered, _) = discovery.accept_request().await;
-    let line = proxy.wait_for_log("silent for too long; again in ").await;
+    let line = proxy
+        .wait_for_log("silent for too long; retrying in ")
+        .await;
     let pause: u64 = line
         .split(' ')
         .rev()
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -322,7 +322,7 @@
     let (mut proxy, discovery, mut watch) = serve(&[("s", &server)]).await;
     for line in bad {
         watch.send_line(&line).await;
-        proxy.wait_for_log("unusable line").await;
+        proxy.wait_for_log("invalid list").await;
         let (next, request) = discovery.accept_watch().await;
         assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
         watch = next;
@@ -439,11 +439,7 @@
             .await;
         std::future::pending::<()>().await;
     };
-    let logged = async {
-        proxy
-            .wait_for_log("unusable line: over 4194304 bytes")
-            .await
-    };
+    let logged = async { proxy.wait_for_log("invalid list: over 4194304 bytes").await };
     tokio::select! {
         () = writing => unreachable!("it waits"),
         _ = logged => {}
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -14,7 +14,7 @@
     before.send("unsafe", "20000m").await;
     let (mut first, _) = server.accept_request().await;
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving").await;
+    proxy.wait_for_log("shutting down").await;
     assert_eq!(proxy.get("/health/ready").await.status(), 503);
     let mut after = proxy.connect().await;
     after.send("unsafe", "20000m").await;
@@ -56,7 +56,7 @@
         .await;
     proxy.get("/health/live").await; // They have been read by now.
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving").await;
+    proxy.wait_for_log("shutting down").await;
     idle.expect_closed().await;
     proxy.signal("TERM").await;
     proxy.signal("HUP").await;
@@ -89,7 +89,7 @@
     wire.respond("200 OK", "Connection: close\r\n", "").await;
     assert_eq!(kept.read().await.expect("an answer").status(), 200);
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving").await;
+    proxy.wait_for_log("shutting down").await;
     proxy.signal("STOP").await;
     kept.send("unsafe", "20000m").await;
     tokio::time::sleep(std::time::Duration::from_secs(1)).await; // It is past the closing when it goes on.
@@ -121,7 +121,7 @@
     let mut waiting = proxy.connect().await;
     waiting.send("unsafe", "20000m").await;
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving").await;
+    proxy.wait_for_log("shutting down").await;
     // Past the time in which it takes more. Were the machine slower than that, the test would only
     // see less.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
--- a/crates/proxy/tests/large_messages.rs
+++ b/crates/proxy/tests/large_messages.rs
@@ -468,7 +468,7 @@
     ))
     .await;
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving").await;
+    proxy.wait_for_log("shutting down").await;
     // Past the deadline and all that is added to it. Were the machine slower, the test would only
     // see less.
     tokio::time::sleep(Duration::from_secs(2)).await;
--- a/crates/proxy/tests/listener_inheritance.rs
+++ b/crates/proxy/tests/listener_inheritance.rs
@@ -70,9 +70,9 @@
     let (mut under_way, _) = b.accept_request().await;
 
     let (mut new, _new_watch) = shared.start(&discovery, &members).await;
-    old.wait_for_log("accompanied=true").await;
+    old.wait_for_log("peer_process_running=true").await;
     old.signal("TERM").await;
-    old.wait_for_log("leaving handing_over=true").await;
+    old.wait_for_log("shutting down handing_over=true").await;
     // The kept connection's next answer is its last, and what is under way is finished.
     let answer = served(&mut kept, &b).await;
     assert_eq!(
@@ -84,7 +84,7 @@
     assert_eq!(busy.read().await.expect("an answer").status(), 200);
     assert!(old.wait_for_exit().await.success());
 
-    new.wait_for_log("accompanied=false").await;
+    new.wait_for_log("peer_process_running=false").await;
     let mut client = new.connect().await;
     for _ in 0..8 {
         assert_eq!(served(&mut client, &b).await.header("connection"), None);
@@ -125,7 +125,7 @@
     open.send("safe", "20000m").await;
     let (mut under_way, _) = a.accept_request().await;
     proxy.signal("TERM").await;
-    proxy.wait_for_log("leaving handing_over=false").await;
+    proxy.wait_for_log("shutting down handing_over=false").await;
     let mut client = proxy.connect().await;
     assert_eq!(served(&mut client, &a).await.status(), 200);
     under_way.respond("200 OK", "", "").await;
