--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -16,9 +16,6 @@
 const NOT_YET_SPLIT: &[&str] = &[
     "proxy/src/downstream/listener.rs",
     "proxy/src/requests/dispatcher.rs",
-    "soak-test/src/judge.rs",
-    "soak-test/src/play.rs",
-    "soak-test/src/server.rs",
 ];
 
 #[test]
