--- a/crates/proxy/src/endpoint_updates.rs
+++ b/crates/proxy/src/endpoint_updates.rs
@@ -39,6 +39,11 @@
         })
     }
 
+    /// The dispatcher that changes are reported to.
+    pub fn dispatcher(&self) -> &Rc<Dispatcher> {
+        &self.dispatcher
+    }
+
     /// Revision of the list that was applied last.
     pub fn revision(&self) -> u64 {
         self.revision.get()
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,6 +4,7 @@
 mod admin;
 mod clock;
 mod config;
+mod config_reload;
 mod discovery;
 mod downstream;
 mod endpoint_updates;
@@ -13,6 +14,7 @@
 mod metrics;
 mod node;
 mod operator_state;
+mod peer_process;
 mod requests;
 mod resizable_semaphore;
 mod resource_limits;
@@ -20,6 +22,7 @@
 mod shutdown;
 mod socket;
 mod start_times;
+mod startup;
 mod transient_errors;
 mod upstream;
 
