--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -17,7 +17,6 @@
     "balancer/src/logic.rs",
     "balancer/src/state.rs",
     "proxy/src/config.rs",
-    "proxy/src/downstream/listener.rs",
     "proxy/src/node.rs",
     "proxy/src/requests/dispatcher.rs",
     "proxy/src/upstream/backend_registry.rs",
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,11 +1,13 @@
 //! The operators' side: a listener of its own, with places of its own, and the calls that it takes.
 
-use crate::downstream::listener::{accept_failed, discard, ShutdownPhase, MOST_LINGERING};
+use crate::downstream::accept::handle_accept_error;
+use crate::downstream::lingering_close::{discard_input, MAX_LINGER_BYTES};
 use crate::http1::error::MessageError;
 use crate::http1::framing::parse_request_head;
 use crate::http1::limits::MAX_HEAD_BYTES;
 use crate::operator_state::store::{OperatorState, OperatorStateStore};
 use crate::requests::dispatcher::Dispatcher;
+use crate::shutdown::ShutdownPhase;
 use crate::socket::Socket;
 use bytes::BytesMut;
 use hyper::StatusCode;
@@ -147,7 +149,7 @@
                     }
                     callers.push_back(spawn_local(self.clone().call(stream)).abort_handle());
                 }
-                Err(error) => accept_failed(&self.engine, "console accept", &error).await,
+                Err(error) => handle_accept_error(&self.engine, "console accept", &error).await,
             }
         }
     }
@@ -187,7 +189,7 @@
         let ending = async {
             stream.write_all(answer.as_bytes()).await?;
             SockRef::from(&stream.0).shutdown(Shutdown::Write)?;
-            discard(&stream.0, MOST_LINGERING).await;
+            discard_input(&stream.0, MAX_LINGER_BYTES).await;
             Ok::<_, std::io::Error>(())
         };
         let _ = timeout(LINGER, ending).await;
--- /dev/null
+++ b/crates/proxy/src/downstream/connection_task.rs
@@ -0,0 +1,161 @@
+//! The task that serves one client connection: runs hyper on it, and closes it.
+
+use crate::downstream::connection::{ClientConnection, REJECTED_METHOD};
+use crate::downstream::connection_state::ConnectionState;
+use crate::downstream::connection_table::OpenConnection;
+use crate::downstream::lingering_close::{discard_input, MAX_LINGER_BYTES};
+use crate::downstream::request_handler::RequestHandler;
+use crate::downstream::responses::{rejection, rejection_reason, set_connection_close, ClientBody};
+use crate::http1::head_filter::HeadFilter;
+use crate::http1::limits::MAX_BODY_BYTES;
+use crate::metrics::Metrics;
+use crate::send_invariants::Invariant;
+use crate::shutdown::ShutdownPhase;
+use crate::upstream::backend_registry::MOST_BUFFERED;
+use hyper::body::Incoming;
+use hyper::header;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{timeout, Instant};
+
+/// How long a connection that ends has for what is still to be written, if no request is in flight.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// How long input is read after a request was rejected.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Serves one client connection.
+pub struct ConnectionTask {
+    open_connection: OpenConnection,
+    handler: Rc<RequestHandler>,
+    phase: watch::Receiver<ShutdownPhase>,
+    metrics: Rc<Metrics>,
+}
+
+impl ConnectionTask {
+    /// A task for an accepted connection.
+    pub fn new(
+        open_connection: OpenConnection,
+        handler: Rc<RequestHandler>,
+        phase: watch::Receiver<ShutdownPhase>,
+        metrics: Rc<Metrics>,
+    ) -> Self {
+        ConnectionTask {
+            open_connection,
+            handler,
+            phase,
+            metrics,
+        }
+    }
+
+    /// Serves the connection until it ends.
+    pub async fn run(self) {
+        let connection = self.open_connection.connection();
+        let service = service_fn(|request| async {
+            let response = self.respond(request).await;
+            Ok::<_, Infallible>(response)
+        });
+        // Timeouts are checked for all connections together at intervals, not by a timer on each.
+        let http = http1::Builder::new()
+            .header_read_timeout(None)
+            .max_buf_size(MOST_BUFFERED)
+            .serve_connection(
+                TokioIo::new(HeadFilter::new(
+                    connection.socket().clone(),
+                    connection.clone(),
+                )),
+                service,
+            );
+        let mut http = std::pin::pin!(http);
+        loop {
+            tokio::select! {
+                biased;
+                // Its errors are the client's, which has disconnected or does not speak HTTP.
+                _ = http.as_mut() => break,
+                () = connection.state_changed() => {}
+            }
+            match connection.state() {
+                ConnectionState::ClientDisconnected { .. } => return,
+                ConnectionState::Closing { .. } if connection.resume_if_readable() => {
+                    self.metrics
+                        .invariants
+                        .prevented(Invariant::ConnectionClose);
+                }
+                ConnectionState::Closing { .. } => {
+                    http.as_mut().graceful_shutdown();
+                    // The last response may not be written yet, and a request that was read
+                    // meanwhile is answered.
+                    while timeout(FINAL_WRITE_TIMEOUT, http.as_mut()).await.is_err()
+                        && connection.state().is_request_in_flight()
+                    {}
+                    break;
+                }
+                _ => {}
+            }
+        }
+        linger(connection).await;
+    }
+
+    async fn respond(&self, request: Request<Incoming>) -> Response<ClientBody> {
+        let connection = self.open_connection.connection();
+        let head_since = connection.start_request();
+        let mut response = match connection.rejection() {
+            Some(error) if request.method() == REJECTED_METHOD => rejection(error.into()),
+            _ => self.handle(request, head_since).await,
+        };
+        connection.set_last_request_rejected(response.status().is_client_error());
+        if let Some(error) = rejection_reason(&response) {
+            self.metrics.count_rejected_message(error);
+        }
+        // A client that is asked to close goes elsewhere next. While slots are scarce every client
+        // is asked: many send one request and keep their connection, and until those may be closed
+        // no other client would get in.
+        let is_shutting_down = *self.phase.borrow() > ShutdownPhase::Serving;
+        if is_shutting_down || self.open_connection.table().is_scarce() {
+            self.metrics.count(|c| c.connection_close_sent += 1);
+            set_connection_close(&mut response);
+        }
+        if response.body().is_streaming() {
+            connection.start_streaming();
+        }
+        response.body_mut().attach(connection.clone());
+        response
+    }
+
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+        head_since: Instant,
+    ) -> Response<ClientBody> {
+        // Only hyper knows where chunks end: what follows them is never read.
+        let is_last_request = request.headers().contains_key(header::TRANSFER_ENCODING);
+        let connection = self.open_connection.connection();
+        let mut response = self.handler.handle(request, head_since, connection).await;
+        if is_last_request {
+            set_connection_close(&mut response);
+        }
+        response
+    }
+}
+
+/// Reads what the client still sends after a response that may have come unexpectedly.
+///
+/// Closing on unread bytes resets the connection, and might take the response from the client. Where
+/// there was no response the reset itself says so: what crossed the close was not read, and the
+/// client may send it again.
+async fn linger(connection: &ClientConnection) {
+    let socket = connection.socket();
+    if connection.last_request_rejected() {
+        let discarding = discard_input(socket, MAX_LINGER_BYTES);
+        let _ = timeout(LINGER_TIMEOUT, discarding).await;
+    }
+    if connection.upload_unfinished() {
+        discard_input(socket, MAX_BODY_BYTES as usize).await;
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/eviction.rs
@@ -0,0 +1,57 @@
+//! Eviction: which connections are closed when others need their slots.
+
+use crate::downstream::connection::{ClientConnection, MIN_IDLE_TIME};
+use crate::downstream::connection_state::ConnectionState;
+use crate::metrics::Metrics;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How long a new connection is safe: what was sent with the connecting may still arrive.
+const MIN_TIME_FOR_FIRST_BYTES: Duration = Duration::from_millis(10);
+
+/// How long a connection with an incomplete head is safe.
+const MIN_TIME_FOR_HEAD: Duration = Duration::from_millis(200);
+
+/// Closes up to `limit` connections without a request, those first that have been silent for the
+/// longest.
+pub fn evict<'c>(
+    connections: impl Iterator<Item = &'c Rc<ClientConnection>>,
+    limit: usize,
+    metrics: &Metrics,
+) {
+    let mut evictable: Vec<_> = connections
+        .filter(|connection| is_evictable(connection))
+        .collect();
+    evictable.sort_unstable_by_key(|connection| connection.state().since());
+    for connection in evictable.into_iter().take(limit) {
+        metrics.count_rejected_message(eviction_reason(connection.state()));
+        connection.close();
+    }
+}
+
+fn is_evictable(connection: &ClientConnection) -> bool {
+    let state = connection.state();
+    let min_age = match state {
+        ConnectionState::AwaitingFirstRequest { .. } => MIN_TIME_FOR_FIRST_BYTES,
+        ConnectionState::ReadingHead { .. } | ConnectionState::HeadTimedOut { .. } => {
+            MIN_TIME_FOR_HEAD
+        }
+        ConnectionState::Idle { .. } => MIN_IDLE_TIME,
+        ConnectionState::RequestInFlight { .. }
+        | ConnectionState::StreamingResponse { .. }
+        | ConnectionState::Closing { .. }
+        | ConnectionState::ClientDisconnected { .. } => return false,
+    };
+    state.since().elapsed() >= min_age && connection.may_close().is_ok()
+}
+
+/// The reason that the log shows.
+fn eviction_reason(state: ConnectionState) -> &'static str {
+    match state {
+        ConnectionState::AwaitingFirstRequest { .. } => "evicted: no request received",
+        ConnectionState::ReadingHead { .. } | ConnectionState::HeadTimedOut { .. } => {
+            "evicted: head incomplete"
+        }
+        _ => "evicted: idle",
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/lingering_close.rs
@@ -0,0 +1,33 @@
+//! Reading what a client still sends before its connection is closed.
+//!
+//! Closing a socket with unread bytes resets the connection, and the reset may overtake the response
+//! that explains what was wrong with them.
+
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+/// Most that is read after a request was rejected.
+pub const MAX_LINGER_BYTES: usize = 256 << 10;
+
+/// Longest pause of a client that is still writing a request whose response it has.
+const MAX_WRITE_PAUSE: Duration = Duration::from_secs(1);
+
+/// Reads and discards what still arrives, until the end of the connection, a pause, or `max_bytes`.
+pub async fn discard_input(socket: &TcpStream, max_bytes: usize) {
+    let mut buffer = [0; 4096];
+    let mut discarded = 0;
+    while discarded < max_bytes
+        && matches!(
+            timeout(MAX_WRITE_PAUSE, socket.readable()).await,
+            Ok(Ok(()))
+        )
+    {
+        match socket.try_read(&mut buffer) {
+            Ok(0) => return,
+            Ok(length) => discarded += length,
+            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+            Err(_) => return,
+        }
+    }
+}
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,4 +1,13 @@
 //! Client connections: accepting, reading requests, writing final responses.
 
+pub mod accept;
+mod connection;
+mod connection_state;
+mod connection_table;
+mod connection_task;
+mod eviction;
+pub mod lingering_close;
 pub mod listener;
+mod request_handler;
 mod request_head;
+mod responses;
--- /dev/null
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -0,0 +1,241 @@
+//! Handling one request: health checks, and requests that go to the dispatcher.
+
+use crate::downstream::connection::ClientConnection;
+use crate::downstream::request_head::{RequestError, RequestHead, MAX_TIMEOUT};
+use crate::downstream::responses::{
+    final_response, plain_text, rejection, set_connection_close, ClientBody,
+};
+use crate::http1::body::{buffer_body, BufferedPart};
+use crate::http1::error::MessageError;
+use crate::http1::hop_by_hop::end_to_end_headers;
+use crate::http1::upload::{RequestBody, Upload};
+use crate::requests::dispatcher::{Dispatcher, ForwardRequest};
+use crate::shutdown::ShutdownPhase;
+use balancer::{Idempotency, RequestId};
+use bytes::BytesMut;
+use hyper::body::{Body as _, Incoming};
+use hyper::http::request::Parts;
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{timeout_at, Instant};
+
+/// Most of a client's timeout that is reserved for the way between it and the node, in both
+/// directions.
+const MAX_TRANSIT_MARGIN: Duration = Duration::from_millis(20);
+
+/// The margin is at most this fraction of the timeout.
+const TRANSIT_MARGIN_DIVISOR: u32 = 8;
+
+/// Fraction of the margin for which a response is awaited that the balancer owes at the deadline.
+const OVERDUE_DIVISOR: u32 = 4;
+
+/// How long a request with a buffered body may take from the beginning of its head, beside the time
+/// that the body takes at [`MIN_BODY_BYTES_PER_SECOND`].
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
+
+const MIN_BODY_BYTES_PER_SECOND: f64 = (32 << 10) as f64;
+
+/// Handles the requests of all client connections.
+pub struct RequestHandler {
+    dispatcher: Rc<Dispatcher>,
+    idempotency_by_class: Vec<Idempotency>,
+    phase: watch::Receiver<ShutdownPhase>,
+}
+
+/// A request that was read as far as it is buffered.
+struct ReceivedRequest {
+    body: RequestBody,
+    /// When its final response is due, by the time of its last byte.
+    due: Instant,
+    /// What is left of its timeout, from its last byte on.
+    remaining: Duration,
+}
+
+impl RequestHandler {
+    /// A handler for the classes with these idempotencies.
+    pub fn new(
+        dispatcher: Rc<Dispatcher>,
+        idempotency_by_class: Vec<Idempotency>,
+        phase: watch::Receiver<ShutdownPhase>,
+    ) -> Self {
+        RequestHandler {
+            dispatcher,
+            idempotency_by_class,
+            phase,
+        }
+    }
+
+    /// Handles a request whose head began at `head_since`.
+    pub async fn handle(
+        &self,
+        request: Request<Incoming>,
+        head_since: Instant,
+        connection: &ClientConnection,
+    ) -> Response<ClientBody> {
+        if let Some(response) = self.health_response(request.method(), request.uri()) {
+            return response;
+        }
+        self.forward(request, head_since, connection)
+            .await
+            .unwrap_or_else(rejection)
+    }
+
+    fn health_response(&self, method: &Method, uri: &Uri) -> Option<Response<ClientBody>> {
+        match (method, uri.path()) {
+            (&Method::GET, "/health/ready") => {
+                let is_ready =
+                    self.dispatcher.ready() && *self.phase.borrow() == ShutdownPhase::Serving;
+                let status = if is_ready {
+                    StatusCode::OK
+                } else {
+                    StatusCode::SERVICE_UNAVAILABLE
+                };
+                Some(plain_text(status, ""))
+            }
+            (&Method::GET, "/health/live") => {
+                let revision = self.dispatcher.revision();
+                Some(plain_text(StatusCode::OK, format!("list {revision}\n")))
+            }
+            _ => None,
+        }
+    }
+
+    /// Hands a request to the dispatcher, and waits for the final response.
+    async fn forward(
+        &self,
+        request: Request<Incoming>,
+        head_since: Instant,
+        connection: &ClientConnection,
+    ) -> Result<Response<ClientBody>, RequestError> {
+        let (parts, body) = request.into_parts();
+        let names = self.dispatcher.names();
+        let head = RequestHead::parse(&parts, names, &self.idempotency_by_class)?;
+        let margin = MAX_TRANSIT_MARGIN.min(head.timeout / TRANSIT_MARGIN_DIVISOR);
+        let timeout = head.timeout.saturating_sub(margin);
+        let received = receive(body, head_since, timeout, connection).await?;
+        let (due, remaining) = (received.due, received.remaining);
+        let upload = received.body.upload().cloned();
+        let pending = self
+            .dispatcher
+            .arrival(ForwardRequest {
+                class: head.class,
+                tenant: head.tenant,
+                work: head.work,
+                due,
+                remaining,
+                id: head.id,
+                since: head_since,
+                request: outgoing_request(parts, head.target, received.body),
+                client: Rc::downgrade(connection.socket()),
+            })
+            .ok_or(RequestError::DuplicateRequestId)?;
+        let id = pending.id();
+        let grace = margin / OVERDUE_DIVISOR;
+        let response = match &upload {
+            None => {
+                let overdue = tokio::time::sleep_until(due + grace);
+                pending.answer(overdue).await
+            }
+            Some(upload) => {
+                let overdue = self.streaming_overdue(id, upload, remaining + grace);
+                pending.answer(overdue).await
+            }
+        };
+        check_upload(upload.as_deref(), connection)?;
+        let mut response = final_response(response);
+        if connection.upload_unfinished() {
+            set_connection_close(&mut response);
+        }
+        Ok(response)
+    }
+
+    /// Waits until the response to a streamed request is overdue, by the end of its upload, and
+    /// reports that end to the dispatcher.
+    async fn streaming_overdue(&self, id: RequestId, upload: &Upload, time_limit: Duration) {
+        upload.ended().await;
+        if upload.is_complete() {
+            self.dispatcher.uploaded(id);
+        }
+        tokio::time::sleep(time_limit).await;
+    }
+}
+
+/// Checks whether a streamed request was read completely by the time of its response, and marks its
+/// connection if not.
+///
+/// # Errors
+///
+/// Returns what is wrong with the upload, for which the request is rejected instead.
+fn check_upload(
+    upload: Option<&Upload>,
+    connection: &ClientConnection,
+) -> Result<(), MessageError> {
+    match upload {
+        Some(upload) if !upload.is_complete() => {
+            connection.set_upload_unfinished();
+            upload.error().map_or(Ok(()), Err)
+        }
+        _ => Ok(()),
+    }
+}
+
+/// Reads a request's body as far as it is buffered. `timeout` is the client's, less the margin.
+async fn receive(
+    mut body: Incoming,
+    head_since: Instant,
+    timeout: Duration,
+    connection: &ClientConnection,
+) -> Result<ReceivedRequest, MessageError> {
+    let length = body.size_hint().exact();
+    let mut buffer = BytesMut::new();
+    let part = buffer_in_time(&mut buffer, &mut body, head_since).await?;
+    // The timeout counts from the last byte, which is here or still to come.
+    let complete_at = connection
+        .request_complete_at()
+        .unwrap_or_else(Instant::now);
+    let remaining = timeout.saturating_sub(complete_at.elapsed());
+    let buffer = buffer.freeze();
+    Ok(match part {
+        BufferedPart::Complete => ReceivedRequest {
+            body: RequestBody::Buffered(buffer),
+            due: Instant::now() + remaining,
+            remaining,
+        },
+        BufferedPart::Incomplete => ReceivedRequest {
+            body: RequestBody::Streaming(Upload::new(buffer, body, length)),
+            due: Instant::now() + MAX_TIMEOUT,
+            remaining,
+        },
+    })
+}
+
+/// Buffers a body as long as it keeps up the least rate.
+async fn buffer_in_time(
+    buffer: &mut BytesMut,
+    body: &mut Incoming,
+    head_since: Instant,
+) -> Result<BufferedPart, MessageError> {
+    loop {
+        let length = buffer.len();
+        let body_time = Duration::from_secs_f64(length as f64 / MIN_BODY_BYTES_PER_SECOND);
+        let deadline = head_since + REQUEST_TIMEOUT + body_time;
+        match timeout_at(deadline, buffer_body(buffer, body)).await {
+            Ok(Ok(part)) => return Ok(part),
+            Ok(Err(_)) => return Err(MessageError::IncompleteBody),
+            // What was received meanwhile has moved the deadline.
+            Err(_) if buffer.len() > length => {}
+            Err(_) => return Err(MessageError::BodyTimeout),
+        }
+    }
+}
+
+/// The request as backends get it.
+fn outgoing_request(parts: Parts, target: Uri, body: RequestBody) -> Request<RequestBody> {
+    let mut request = Request::new(body);
+    *request.method_mut() = parts.method;
+    *request.uri_mut() = target;
+    *request.headers_mut() = end_to_end_headers(parts.headers);
+    request
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/responses.rs
@@ -0,0 +1,154 @@
+//! Responses to clients, and the body that tells their connection when they are complete.
+
+use crate::downstream::connection::ClientConnection;
+use crate::downstream::request_head::RequestError;
+use crate::http1::body::{BodyError, PolledFrame};
+use crate::http1::hop_by_hop::end_to_end_headers;
+use crate::requests::dispatcher::FinalResponse;
+use crate::upstream::backend_registry::ResponseBody;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use hyper::header::{self, HeaderValue};
+use hyper::{Response, StatusCode};
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+/// The body of a response to a client. When it is dropped, its connection waits for the next
+/// request.
+pub struct ClientBody {
+    body: ResponseBody,
+    connection: Option<Rc<ClientConnection>>,
+}
+
+impl ClientBody {
+    fn new(body: ResponseBody) -> Self {
+        ClientBody {
+            body,
+            connection: None,
+        }
+    }
+
+    /// Makes the body report its progress and its end to the connection that it is sent on.
+    pub fn attach(&mut self, connection: Rc<ClientConnection>) {
+        self.connection = Some(connection);
+    }
+
+    /// Whether it is streamed.
+    pub fn is_streaming(&self) -> bool {
+        matches!(self.body, ResponseBody::StreamingResponse(_))
+    }
+}
+
+impl Body for ClientBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> PolledFrame {
+        let body = self.get_mut();
+        match &mut body.body {
+            ResponseBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseBody::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            ResponseBody::StreamingResponse(response) => {
+                let polled = Pin::new(response).poll_frame(cx);
+                if let (Poll::Ready(_), Some(connection)) = (&polled, &body.connection) {
+                    connection.record_progress();
+                }
+                polled
+            }
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        matches!(&self.body, ResponseBody::Whole(bytes) if bytes.is_empty())
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match &self.body {
+            ResponseBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::StreamingResponse(response) => response.size_hint(),
+        }
+    }
+}
+
+impl Drop for ClientBody {
+    fn drop(&mut self) {
+        if let Some(connection) = &self.connection {
+            connection.finish_response();
+        }
+    }
+}
+
+/// Why a request was rejected, as an extension of its response.
+#[derive(Clone, Copy)]
+struct RejectedRequest(RequestError);
+
+/// A response of plain text.
+pub fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<ClientBody> {
+    let body = ResponseBody::Whole(text.into());
+    let mut response = Response::new(ClientBody::new(body));
+    *response.status_mut() = status;
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response
+}
+
+/// The response that rejects a request.
+///
+/// It closes the connection: where one message is malformed, the next one may not begin where it
+/// seems to.
+pub fn rejection(error: RequestError) -> Response<ClientBody> {
+    let mut response = plain_text(error.status(), error.to_string());
+    response.extensions_mut().insert(RejectedRequest(error));
+    set_connection_close(&mut response);
+    response
+}
+
+/// Why the request of this response was rejected, if it was.
+pub fn rejection_reason(response: &Response<ClientBody>) -> Option<RequestError> {
+    let RejectedRequest(error) = response.extensions().get()?;
+    Some(*error)
+}
+
+/// The response to a request that the dispatcher has accepted.
+pub fn final_response(response: FinalResponse) -> Response<ClientBody> {
+    match response {
+        FinalResponse::Served(response) => forwarded(response),
+        FinalResponse::Refused(retry_after) => load_shed(retry_after),
+        FinalResponse::Failed => plain_text(
+            StatusCode::GATEWAY_TIMEOUT,
+            "failed: the request may have been carried out",
+        ),
+    }
+}
+
+/// Asks the client to close its connection.
+pub fn set_connection_close(response: &mut Response<ClientBody>) {
+    response
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
+}
+
+/// A backend's response, of which only successful ones are forwarded.
+fn forwarded(response: Response<ResponseBody>) -> Response<ClientBody> {
+    let (head, body) = response.into_parts();
+    let mut response = Response::new(ClientBody::new(body));
+    *response.headers_mut() = end_to_end_headers(head.headers);
+    response
+}
+
+fn load_shed(retry_after: Option<Duration>) -> Response<ClientBody> {
+    let mut response = plain_text(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "refused: trying again is harmless",
+    );
+    if let Some(retry_after) = retry_after {
+        let seconds = format!("{:.3}", retry_after.as_secs_f64());
+        let seconds =
+            HeaderValue::from_str(&seconds).expect("a decimal number is valid in a header");
+        response.headers_mut().insert(header::RETRY_AFTER, seconds);
+    }
+    response
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -15,6 +15,7 @@
 mod requests;
 mod resizable_semaphore;
 mod send_invariants;
+mod shutdown;
 mod socket;
 mod start_times;
 mod transient_errors;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -6,11 +6,12 @@
 use crate::config::{Config, ConfigError, ConfigText};
 use crate::discovery::state::{DiscoveryEvent, DiscoveryMode};
 use crate::discovery::watch_loop::EndpointWatcher;
-use crate::downstream::listener::{Listener, ShutdownPhase};
+use crate::downstream::listener::Listener;
 use crate::event_log::EventLog;
 use crate::listener_inheritance::inherit_listener;
 use crate::operator_state::store::OperatorStateStore;
 use crate::requests::dispatcher::Dispatcher;
+use crate::shutdown::ShutdownPhase;
 use crate::transient_errors::retry_at_start;
 use crate::upstream::backend_registry;
 use crate::upstream::backend_registry::BackendRegistry;
@@ -278,7 +279,10 @@
         .is_err()
     {
         let by = tokio::time::Instant::now() + LAST_LARGE;
-        while ending.in_hand() && tokio::time::Instant::now() < by && !served.is_finished() {
+        while ending.has_requests_in_progress()
+            && tokio::time::Instant::now() < by
+            && !served.is_finished()
+        {
             tokio::time::sleep(UNREADY).await;
         }
     }
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -202,7 +202,7 @@
     }
 
     /// The node's counters.
-    pub fn stats(&self) -> &Metrics {
+    pub fn stats(&self) -> &Rc<Metrics> {
         &self.stats
     }
 
