--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -246,7 +246,7 @@
         ShutdownPhase::Serving => IDLE_TIMEOUT,
         // While draining, every response has `Connection: close`: a connection that is idle has
         // been so since before.
-        ShutdownPhase::Draining | ShutdownPhase::Leaving | ShutdownPhase::HandingOver => {
+        ShutdownPhase::Draining | ShutdownPhase::ShuttingDown | ShutdownPhase::HandingOver => {
             MIN_IDLE_TIME
         }
         ShutdownPhase::Closing => Duration::ZERO,
--- a/crates/proxy/src/downstream/connection_task.rs
+++ b/crates/proxy/src/downstream/connection_task.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 use crate::send_invariants::Invariant;
 use crate::shutdown::ShutdownPhase;
-use crate::upstream::backend_registry::MOST_BUFFERED;
+use crate::upstream::MAX_WRITE_BUFFER;
 use hyper::body::Incoming;
 use hyper::header;
 use hyper::server::conn::http1;
@@ -64,7 +64,7 @@
         // Timeouts are checked for all connections together at intervals, not by a timer on each.
         let http = http1::Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(MOST_BUFFERED)
+            .max_buf_size(MAX_WRITE_BUFFER)
             .serve_connection(
                 TokioIo::new(HeadFilter::new(
                     connection.socket().clone(),
--- a/crates/proxy/src/downstream/responses.rs
+++ b/crates/proxy/src/downstream/responses.rs
@@ -5,7 +5,7 @@
 use crate::http1::body::{BodyError, PolledFrame};
 use crate::http1::hop_by_hop::end_to_end_headers;
 use crate::requests::dispatcher::FinalResponse;
-use crate::upstream::backend_registry::ResponseBody;
+use crate::upstream::response::ResponseBody;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::{self, HeaderValue};
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -14,6 +14,7 @@
 mod operator_state;
 mod requests;
 mod resizable_semaphore;
+mod resource_limits;
 mod send_invariants;
 mod shutdown;
 mod socket;
