--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -63,7 +63,7 @@
 
 /// Logs a failed accept, and pauses if the next one would fail as well.
 pub async fn handle_accept_error(dispatcher: &Dispatcher, operation: &str, error: &std::io::Error) {
-    if transient_errors::is_one_connections(error) {
+    if transient_errors::is_single_connection_error(error) {
         dispatcher
             .stats()
             .count_rejected_message("closed before it was accepted");
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -9,7 +9,8 @@
 use crate::http1::error::MessageError;
 use crate::http1::hop_by_hop::end_to_end_headers;
 use crate::http1::upload::{RequestBody, Upload};
-use crate::requests::dispatcher::{Dispatcher, ForwardRequest};
+use crate::requests::dispatcher::Dispatcher;
+use crate::requests::request::ForwardRequest;
 use crate::shutdown::ShutdownPhase;
 use balancer::{Idempotency, RequestId};
 use bytes::BytesMut;
@@ -123,10 +124,10 @@
                 class: head.class,
                 tenant: head.tenant,
                 work: head.work,
-                due,
+                deadline: due,
                 remaining,
                 id: head.id,
-                since: head_since,
+                first_byte_at: head_since,
                 request: outgoing_request(parts, head.target, received.body),
                 client: Rc::downgrade(connection.socket()),
             })
--- a/crates/proxy/src/downstream/responses.rs
+++ b/crates/proxy/src/downstream/responses.rs
@@ -4,7 +4,7 @@
 use crate::downstream::request_head::RequestError;
 use crate::http1::body::{BodyError, PolledFrame};
 use crate::http1::hop_by_hop::end_to_end_headers;
-use crate::requests::dispatcher::FinalResponse;
+use crate::requests::request::FinalResponse;
 use crate::upstream::response::ResponseBody;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -116,7 +116,7 @@
 pub fn final_response(response: FinalResponse) -> Response<ClientBody> {
     match response {
         FinalResponse::Served(response) => forwarded(response),
-        FinalResponse::Refused(retry_after) => load_shed(retry_after),
+        FinalResponse::Rejected { retry_after } => load_shed(retry_after),
         FinalResponse::Failed => plain_text(
             StatusCode::GATEWAY_TIMEOUT,
             "failed: the request may have been carried out",
