--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -15,9 +15,6 @@
 /// that is no longer needed fails the test.
 const NOT_YET_SPLIT: &[&str] = &[
     "proxy/src/requests/dispatcher.rs",
-    "soak-test/src/judge.rs",
-    "soak-test/src/play.rs",
-    "soak-test/src/server.rs",
 ];
 
 #[test]
