--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -114,7 +114,7 @@
     }
 
     /// The node's counters.
-    pub fn metrics(&self) -> &Metrics {
+    pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
