--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -1,5 +1,6 @@
 //! Accepting connections, with the time that they may have waited in the accept queue.
 
+use crate::downstream::close_reason::CloseReason;
 use crate::requests::dispatcher::Dispatcher;
 use crate::transient_errors;
 use std::future::poll_fn;
@@ -66,7 +67,7 @@
     if transient_errors::is_single_connection_error(error) {
         dispatcher
             .stats()
-            .count_rejected_message("closed before it was accepted");
+            .count_rejected_message(CloseReason::ClosedBeforeAccept);
         return;
     }
     dispatcher.log(format_args!("{operation}: {error}"));
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,5 +1,6 @@
 //! One client connection: its state, its timeouts, and the policy for the messages on it.
 
+use crate::downstream::close_reason::CloseReason;
 use crate::downstream::connection_state::ConnectionState;
 use crate::http1::error::MessageError;
 use crate::http1::framing::{parse_request_head, Expected, Head};
@@ -18,8 +19,7 @@
 use tokio::time::Instant;
 
 /// How long a connection may wait for its first request, and how long a head may take; for the
-/// first head both count from the accept. The protocol owes such a client a response or a close
-/// within 3 s.
+/// first head both count from the accept. The protocol requires a response or a close within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2600);
 
 /// How long a connection may wait for its next request.
@@ -156,7 +156,7 @@
         self.state.set(state);
     }
 
-    /// Hyper has taken all of the response, or dropped it.
+    /// Hyper has read all of the response, or dropped it.
     pub fn finish_response(&self) {
         self.accepted_request.set(None);
         if self.state.get().is_request_in_flight() {
@@ -213,7 +213,7 @@
             }
             // If a request has been received and was not read yet, the connection is resumed.
             ConnectionState::AwaitingFirstRequest { .. } if age >= HEAD_TIMEOUT => {
-                metrics.count_rejected_message("no request received");
+                metrics.count_rejected_message(CloseReason::NoRequest);
                 self.close();
             }
             // A client that has closed waits for no response. Hyper notices that only if no unread
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -74,24 +74,18 @@
 
 impl ConnectionState {
     /// The instant from which the timeouts of the state count.
-    pub fn since(self) -> Instant {
-        match self {
-            ConnectionState::AwaitingFirstRequest { since }
-            | ConnectionState::ReadingHead { since }
-            | ConnectionState::HeadTimedOut { since }
-            | ConnectionState::RequestInFlight { since }
-            | ConnectionState::StreamingResponse {
-                last_progress: since,
-            }
-            | ConnectionState::Idle { since }
-            | ConnectionState::Closing { since, .. }
-            | ConnectionState::ClientDisconnected { since } => since,
-        }
+    pub fn since(mut self) -> Instant {
+        *self.since_mut()
     }
 
-    /// The same state with its timeouts counting from `since`.
+    /// The same state with its timeouts counting from `at`.
     pub fn restarted_at(mut self, at: Instant) -> Self {
-        match &mut self {
+        *self.since_mut() = at;
+        self
+    }
+
+    fn since_mut(&mut self) -> &mut Instant {
+        match self {
             ConnectionState::AwaitingFirstRequest { since }
             | ConnectionState::ReadingHead { since }
             | ConnectionState::HeadTimedOut { since }
@@ -101,9 +95,8 @@
             }
             | ConnectionState::Idle { since }
             | ConnectionState::Closing { since, .. }
-            | ConnectionState::ClientDisconnected { since } => *since = at,
+            | ConnectionState::ClientDisconnected { since } => since,
         }
-        self
     }
 
     /// Whether a request has no complete response yet.
@@ -146,3 +139,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "connection_state_tests.rs"]
+mod tests;
--- a/crates/proxy/src/downstream/connection_task.rs
+++ b/crates/proxy/src/downstream/connection_task.rs
@@ -1,13 +1,12 @@
 //! The task that serves one client connection: runs hyper on it, and closes it.
 
-use crate::downstream::connection::{ClientConnection, REJECTED_METHOD};
+use crate::downstream::connection::REJECTED_METHOD;
 use crate::downstream::connection_state::ConnectionState;
 use crate::downstream::connection_table::OpenConnection;
-use crate::downstream::lingering_close::{discard_input, MAX_LINGER_BYTES};
+use crate::downstream::lingering_close::linger;
 use crate::downstream::request_handler::RequestHandler;
 use crate::downstream::responses::{rejection, rejection_reason, set_connection_close, ClientBody};
 use crate::http1::head_filter::HeadFilter;
-use crate::http1::limits::MAX_BODY_BYTES;
 use crate::metrics::Metrics;
 use crate::send_invariants::Invariant;
 use crate::shutdown::ShutdownPhase;
@@ -27,9 +26,6 @@
 /// How long a connection that ends has for what is still to be written, if no request is in flight.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long input is read after a request was rejected.
-const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-
 /// Serves one client connection.
 pub struct ConnectionTask {
     open_connection: OpenConnection,
@@ -143,19 +139,3 @@
         response
     }
 }
-
-/// Reads what the client still sends after a response that may have come unexpectedly.
-///
-/// Closing on unread bytes resets the connection, and might take the response from the client. Where
-/// there was no response the reset itself says so: what crossed the close was not read, and the
-/// client may send it again.
-async fn linger(connection: &ClientConnection) {
-    let socket = connection.socket();
-    if connection.last_request_rejected() {
-        let discarding = discard_input(socket, MAX_LINGER_BYTES);
-        let _ = timeout(LINGER_TIMEOUT, discarding).await;
-    }
-    if connection.upload_unfinished() {
-        discard_input(socket, MAX_BODY_BYTES as usize).await;
-    }
-}
--- a/crates/proxy/src/downstream/eviction.rs
+++ b/crates/proxy/src/downstream/eviction.rs
@@ -1,5 +1,6 @@
 //! Eviction: which connections are closed when others need their slots.
 
+use crate::downstream::close_reason::CloseReason;
 use crate::downstream::connection::{ClientConnection, MIN_IDLE_TIME};
 use crate::downstream::connection_state::ConnectionState;
 use crate::metrics::Metrics;
@@ -45,13 +46,12 @@
     state.since().elapsed() >= min_age && connection.may_close().is_ok()
 }
 
-/// The reason that the log shows.
-fn eviction_reason(state: ConnectionState) -> &'static str {
+fn eviction_reason(state: ConnectionState) -> CloseReason {
     match state {
-        ConnectionState::AwaitingFirstRequest { .. } => "evicted: no request received",
+        ConnectionState::AwaitingFirstRequest { .. } => CloseReason::EvictedBeforeRequest,
         ConnectionState::ReadingHead { .. } | ConnectionState::HeadTimedOut { .. } => {
-            "evicted: head incomplete"
+            CloseReason::EvictedWithIncompleteHead
         }
-        _ => "evicted: idle",
+        _ => CloseReason::EvictedIdle,
     }
 }
--- a/crates/proxy/src/downstream/lingering_close.rs
+++ b/crates/proxy/src/downstream/lingering_close.rs
@@ -1,8 +1,10 @@
 //! Reading what a client still sends before its connection is closed.
 //!
-//! Closing a socket with unread bytes resets the connection, and the reset may overtake the response
-//! that explains what was wrong with them.
+//! Closing a socket with unread bytes resets the connection, and the reset may overtake the
+//! response that explains what was wrong with them.
 
+use crate::downstream::connection::ClientConnection;
+use crate::http1::limits::MAX_BODY_BYTES;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
@@ -10,9 +12,27 @@
 /// Most that is read after a request was rejected.
 pub const MAX_LINGER_BYTES: usize = 256 << 10;
 
+/// How long input is read after a request was rejected.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+
 /// Longest pause of a client that is still writing a request whose response it has.
 const MAX_WRITE_PAUSE: Duration = Duration::from_secs(1);
 
+/// Reads what the client still sends, if it has a response that it may not expect yet.
+///
+/// A connection without such a response is closed at once, and reset if it has unread bytes: these
+/// crossed the close and were not processed, and the client may send them again.
+pub async fn linger(connection: &ClientConnection) {
+    let socket = connection.socket();
+    if connection.last_request_rejected() {
+        let discarding = discard_input(socket, MAX_LINGER_BYTES);
+        let _ = timeout(LINGER_TIMEOUT, discarding).await;
+    }
+    if connection.upload_unfinished() {
+        discard_input(socket, MAX_BODY_BYTES as usize).await;
+    }
+}
+
 /// Reads and discards what still arrives, until the end of the connection, a pause, or `max_bytes`.
 pub async fn discard_input(socket: &TcpStream, max_bytes: usize) {
     let mut buffer = [0; 4096];
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,6 +1,7 @@
 //! Client connections: accepting, reading requests, writing final responses.
 
 pub mod accept;
+mod close_reason;
 mod connection;
 mod connection_state;
 mod connection_table;
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -29,7 +29,7 @@
 /// The margin is at most this fraction of the timeout.
 const TRANSIT_MARGIN_DIVISOR: u32 = 8;
 
-/// Fraction of the margin for which a response is awaited that the balancer owes at the deadline.
+/// Fraction of the margin for which the balancer's response is still awaited after the deadline.
 const OVERDUE_DIVISOR: u32 = 4;
 
 /// How long a request with a buffered body may take from the beginning of its head, beside the time
--- a/crates/proxy/src/downstream/request_head.rs
+++ b/crates/proxy/src/downstream/request_head.rs
@@ -92,7 +92,7 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// The expected work, if the client told.
+    /// The expected work, if the client announced it.
     pub work: Option<Duration>,
     /// How long the client waits.
     pub timeout: Duration,
