--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -1,3 +1,5 @@
-//! The operators' address: health, drain and maintenance calls.
+//! The server for operators: its commands, and what they change.
 
+mod commands;
+pub mod operator_control;
 pub mod server;
--- /dev/null
+++ b/crates/proxy/src/admin/operator_control.rs
@@ -0,0 +1,189 @@
+//! Carries out operators' commands: changes the stored operator state and applies it.
+
+use super::commands::{AdminCommand, AdminReply};
+use crate::event_log::EventLog;
+use crate::operator_state::store::{OperatorState, OperatorStateStore};
+use crate::requests::dispatcher::Dispatcher;
+use crate::shutdown::{ShutdownController, ShutdownPhase};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime};
+
+/// Applies the operator state to this process, whichever process of the node has changed it.
+pub struct OperatorControl {
+    log: EventLog,
+    dispatcher: Rc<Dispatcher>,
+    shutdown: Rc<ShutdownController>,
+    store: Rc<OperatorStateStore>,
+    slow_start_duration: Duration,
+    /// Whether the latest refresh has failed.
+    refresh_failed: Cell<bool>,
+}
+
+impl OperatorControl {
+    /// Applies what the store holds. Backends warm up for `slow_start_duration` after their return
+    /// from maintenance.
+    pub fn new(
+        log: EventLog,
+        dispatcher: Rc<Dispatcher>,
+        shutdown: Rc<ShutdownController>,
+        store: Rc<OperatorStateStore>,
+        slow_start_duration: Duration,
+    ) -> Self {
+        let control = OperatorControl {
+            log,
+            dispatcher,
+            shutdown,
+            store,
+            slow_start_duration,
+            refresh_failed: Cell::new(false),
+        };
+        control.apply();
+        control
+    }
+
+    /// Applies what a peer process has stored, and forgets returns from maintenance of backends that
+    /// have warmed up.
+    pub async fn refresh(&self) {
+        self.forget_warmed_up().await;
+        let refreshed = self.store.refresh();
+        let failed_before = self.refresh_failed.replace(refreshed.is_err());
+        match refreshed {
+            Ok(false) => {}
+            Ok(true) => {
+                self.apply();
+                let state = self.store.state();
+                self.log.log(format_args!(
+                    "operator state updated by peer process draining={} in_maintenance={}",
+                    state.draining,
+                    state.in_maintenance.len()
+                ));
+            }
+            Err(_) if failed_before => {} // Only the first failure in a row is logged.
+            Err(error) => self.log.log(format_args!("{error}")),
+        }
+    }
+
+    /// Forgets returns from maintenance of backends that have warmed up: the next process could not
+    /// tell how long ago they were.
+    async fn forget_warmed_up(&self) {
+        let has_warmed_up =
+            |name: &String| self.dispatcher.warmed_up(name, self.slow_start_duration);
+        let any_warmed_up = self
+            .store
+            .state()
+            .returned_from_maintenance
+            .keys()
+            .any(has_warmed_up);
+        if !any_warmed_up || !self.store.may_write() {
+            return;
+        }
+        let forget = |state: &mut OperatorState| {
+            state
+                .returned_from_maintenance
+                .retain(|name, _| !has_warmed_up(name));
+        };
+        if let Err(error) = self.store.change(forget).await {
+            self.log.log(format_args!("{error}"));
+        }
+    }
+
+    /// Carries out a command. What the reply says is in force then, and lasts.
+    pub async fn execute(&self, command: AdminCommand<'_>) -> AdminReply {
+        let result = match command {
+            AdminCommand::CheckHealth => Ok(self.check_health()),
+            AdminCommand::StartDrain => self.set_draining(true).await,
+            AdminCommand::EndDrain => self.set_draining(false).await,
+            AdminCommand::StartMaintenance(backend) => self.start_maintenance(backend).await,
+            AdminCommand::EndMaintenance(backend) => self.end_maintenance(backend).await,
+        };
+        result.unwrap_or(AdminReply::NotStored)
+    }
+
+    fn check_health(&self) -> AdminReply {
+        match self.shutdown.phase() {
+            ShutdownPhase::Serving | ShutdownPhase::Draining if !self.dispatcher.ready() => {
+                AdminReply::NoEndpointList
+            }
+            ShutdownPhase::Serving => AdminReply::Ready,
+            ShutdownPhase::Draining => AdminReply::ReadyDraining,
+            ShutdownPhase::ShuttingDown | ShutdownPhase::HandingOver | ShutdownPhase::Closing => {
+                AdminReply::ShuttingDown
+            }
+        }
+    }
+
+    async fn set_draining(&self, draining: bool) -> Result<AdminReply, NotStored> {
+        if self.shutdown.phase() > ShutdownPhase::Draining {
+            return Ok(AdminReply::DrainRefused);
+        }
+        self.change(|state| state.draining = draining).await?;
+        Ok(if draining {
+            AdminReply::DrainStarted
+        } else {
+            AdminReply::DrainEnded
+        })
+    }
+
+    async fn start_maintenance(&self, backend: &str) -> Result<AdminReply, NotStored> {
+        let is_listed = self.dispatcher.knows(backend);
+        let start = |state: &mut OperatorState| {
+            let is_known = is_listed || state.in_maintenance.contains(backend);
+            if is_known {
+                state.in_maintenance.insert(backend.to_owned());
+            }
+            is_known
+        };
+        let is_known = self.change(start).await?;
+        Ok(reply_if_known(is_known, AdminReply::MaintenanceStarted))
+    }
+
+    async fn end_maintenance(&self, backend: &str) -> Result<AdminReply, NotStored> {
+        let is_listed = self.dispatcher.knows(backend);
+        let end = |state: &mut OperatorState| {
+            let was_in_maintenance = state.in_maintenance.remove(backend);
+            if was_in_maintenance {
+                state.mark_returned(backend, SystemTime::now());
+            }
+            was_in_maintenance || is_listed
+        };
+        let is_known = self.change(end).await?;
+        Ok(reply_if_known(is_known, AdminReply::MaintenanceEnded))
+    }
+
+    /// Changes the operator state for every process of the node, and applies it to this one. A
+    /// failure is logged.
+    async fn change<T>(
+        &self,
+        change: impl FnOnce(&mut OperatorState) -> T,
+    ) -> Result<T, NotStored> {
+        match self.store.change(change).await {
+            Ok(result) => {
+                self.apply();
+                Ok(result)
+            }
+            Err(error) => {
+                self.log.log(format_args!("{error}"));
+                Err(NotStored)
+            }
+        }
+    }
+
+    /// Applies the state to this process.
+    fn apply(&self) {
+        let state = self.store.state();
+        self.dispatcher.apply_operator_state(&state);
+        self.shutdown.set_draining(state.draining);
+    }
+}
+
+/// A change could not be stored.
+struct NotStored;
+
+fn reply_if_known(is_known: bool, reply: AdminReply) -> AdminReply {
+    if is_known {
+        reply
+    } else {
+        AdminReply::UnknownBackend
+    }
+}
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,279 +1,158 @@
-//! The operators' side: a listener of its own, with places of its own, and the calls that it takes.
+//! The server for operators' commands: a listener and connections of its own, so that clients cannot
+//! take what operators need.
 
+use super::commands::{AdminCommand, AdminReply};
+use super::operator_control::OperatorControl;
 use crate::downstream::listener::{accept_failed, discard, MOST_LINGERING};
+use crate::event_log::EventLog;
 use crate::http1::error::MessageError;
 use crate::http1::framing::parse_request_head;
 use crate::http1::limits::MAX_HEAD_BYTES;
-use crate::operator_state::store::{OperatorState, OperatorStateStore};
 use crate::requests::dispatcher::Dispatcher;
-use crate::shutdown::{ShutdownController, ShutdownPhase};
 use crate::socket::Socket;
 use bytes::BytesMut;
-use hyper::StatusCode;
 use socket2::SockRef;
-use std::cell::Cell;
 use std::collections::VecDeque;
 use std::net::Shutdown;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// Calls at a time. Who comes beyond them takes the place of the one that has come first.
-const PLACES: usize = 16;
-/// Descriptors for all that.
-pub const DESCRIPTORS: usize = PLACES + 2;
-/// For a call to come whole: operators wait for less.
-const WHOLE: Duration = Duration::from_secs(2);
-/// For what a caller still sends behind its call.
-const LINGER: Duration = Duration::from_millis(300);
-/// Of a call, what goes to the log at most.
-const LOGGED: usize = 128;
+/// Connections at a time. A further one takes the place of the oldest.
+const MAX_CONNECTIONS: usize = 16;
+/// Descriptors that the server takes at most: the connections, the listener and one that is being
+/// accepted.
+pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
+/// For a request to come.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// For the response to be written, and for what an operator still sends behind the request.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Bytes of a request's method and path that are logged at most.
+const MAX_LOGGED_BYTES: usize = 128;
+/// Capacity of the buffer that a request's head is first read to.
+const HEAD_BUFFER_BYTES: usize = 1 << 10;
 
-/// See the module's own words.
+/// Takes operators' commands, one a connection.
 pub struct AdminServer {
-    engine: Rc<Dispatcher>,
-    shutdown: Rc<ShutdownController>,
-    keeper: Rc<OperatorStateStore>,
-    warm_up: Duration,
-    /// The latest look at what another process was told has failed.
-    look_failed: Cell<bool>,
+    log: EventLog,
+    dispatcher: Rc<Dispatcher>,
+    control: Rc<OperatorControl>,
 }
 
-/// What a call is answered with.
-type Reply = (StatusCode, &'static str);
+/// The first line of a request's head.
+struct RequestLine {
+    method: String,
+    path: String,
+}
 
 impl AdminServer {
-    /// For this node, which goes at once by what the keeper holds. Backends that were put back into
-    /// use are warm after `warm_up`.
+    /// A server whose commands `control` carries out.
     pub fn new(
-        engine: Rc<Dispatcher>,
-        shutdown: Rc<ShutdownController>,
-        keeper: Rc<OperatorStateStore>,
-        warm_up: Duration,
+        log: EventLog,
+        dispatcher: Rc<Dispatcher>,
+        control: Rc<OperatorControl>,
     ) -> Rc<Self> {
-        let console = Rc::new(AdminServer {
-            engine,
-            shutdown,
-            keeper,
-            warm_up,
-            look_failed: Cell::new(false),
-        });
-        console.apply();
-        console
-    }
-
-    /// Takes in what another process of this node was told, and forgets which backends were put
-    /// back into use once they are warm: the next process could not tell for how long they have
-    /// been.
-    pub async fn refresh_operator_state(&self) {
-        let warm = |name: &String| self.engine.warmed_up(name, self.warm_up);
-        let settled = self
-            .keeper
-            .state()
-            .returned_from_maintenance
-            .keys()
-            .any(warm);
-        if settled && self.keeper.may_write() {
-            let forget = |word: &mut OperatorState| {
-                word.returned_from_maintenance.retain(|name, _| !warm(name))
-            };
-            if let Err(error) = self.keeper.change(forget).await {
-                self.engine.log(format_args!("{error}"));
-            }
-        }
-        let looked = self.keeper.refresh();
-        let failed_before = self.look_failed.replace(looked.is_err());
-        match looked {
-            Ok(false) => {}
-            Ok(true) => {
-                self.apply();
-                let word = self.keeper.state();
-                self.engine.log(format_args!(
-                    "told beside draining={} left_out={}",
-                    word.draining,
-                    word.in_maintenance.len()
-                ));
-            }
-            Err(_) if failed_before => {} // It is logged once for a row of failures.
-            Err(error) => self.engine.log(format_args!("{error}")),
-        }
-    }
-
-    /// Puts the operators' word in force.
-    fn apply(&self) {
-        let word = self.keeper.state();
-        self.engine.apply_operator_state(&word);
-        self.shutdown.set_draining(word.draining);
-    }
-
-    /// Changes the operators' word, for every process of this node, and puts it in force.
-    async fn say<T>(&self, change: impl FnOnce(&mut OperatorState) -> T) -> Result<T, Reply> {
-        match self.keeper.change(change).await {
-            Ok(said) => {
-                self.apply();
-                Ok(said)
-            }
-            Err(error) => {
-                self.engine.log(format_args!("{error}"));
-                Err((
-                    StatusCode::INTERNAL_SERVER_ERROR,
-                    "it could not be kept: nothing has changed",
-                ))
-            }
-        }
+        Rc::new(AdminServer {
+            log,
+            dispatcher,
+            control,
+        })
     }
 
-    /// Takes calls for good.
+    /// Accepts connections for as long as the process runs.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let mut callers: VecDeque<AbortHandle> = VecDeque::new();
+        let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    callers.retain(|c| !c.is_finished());
-                    if callers.len() == PLACES {
-                        callers.pop_front().iter().for_each(AbortHandle::abort);
+                    connections.retain(|connection| !connection.is_finished());
+                    if connections.len() == MAX_CONNECTIONS {
+                        if let Some(oldest) = connections.pop_front() {
+                            oldest.abort();
+                        }
                     }
-                    callers.push_back(spawn_local(self.clone().call(stream)).abort_handle());
+                    let connection = spawn_local(self.clone().serve_connection(stream));
+                    connections.push_back(connection.abort_handle());
                 }
-                Err(error) => accept_failed(&self.engine, "console accept", &error).await,
+                Err(error) => accept_failed(&self.dispatcher, "admin accept", &error).await,
             }
         }
     }
 
-    /// One call on one connection.
-    async fn call(self: Rc<Self>, stream: TcpStream) {
+    /// Serves the one request of a connection.
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut stream = Socket(stream);
-        let call = timeout(WHOLE, read_call(&mut stream)).await;
-        let (call, (status, text)) = match call {
-            Ok(Some(Ok((method, path)))) => {
-                let reply = self.carry_out(&method, &path).await;
-                let (status, text) = reply.unwrap_or_else(|no| no);
-                (format!("{method} {path}"), (status, text.to_owned()))
-            }
-            Ok(Some(Err(error))) => ("unreadable".to_owned(), (error.status(), error.to_string())),
-            // It left, or finished no call.
-            Ok(None) | Err(_) => return,
+        // Nothing is owed to those who leave or finish no request in time.
+        let Ok(Some(request)) = timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await else {
+            return;
         };
-        let shown = call.as_bytes()[..call.len().min(LOGGED)].escape_ascii();
-        self.engine.log(format_args!(
-            "console call=\"{shown}\" status={} {text}",
-            status.as_u16()
-        ));
-        let allow = if status == StatusCode::METHOD_NOT_ALLOWED {
-            "Allow: GET, POST\r\n"
-        } else {
-            ""
-        };
-        let answer = format!(
-            "HTTP/1.1 {status}\r\nContent-Type: text/plain\r\n\
-             {allow}Content-Length: {}\r\nConnection: close\r\n\r\n{text}\n",
-            text.len() + 1
-        );
-        // Closing on unread bytes would reset the connection, and might take the answer from the
-        // caller.
-        let ending = async {
-            stream.write_all(answer.as_bytes()).await?;
-            SockRef::from(&stream.0).shutdown(Shutdown::Write)?;
-            discard(&stream.0, MOST_LINGERING).await;
-            Ok::<_, std::io::Error>(())
-        };
-        let _ = timeout(LINGER, ending).await;
+        let reply = self.handle(request).await;
+        let _ = timeout(CLOSE_TIMEOUT, respond(stream, reply)).await;
     }
 
-    /// Does what a call asks for. Once it is answered that is in force.
-    async fn carry_out(&self, method: &str, path: &str) -> Result<Reply, Reply> {
-        let backend = path
-            .strip_prefix("/backends/")
-            .and_then(|rest| rest.rsplit_once('/'));
-        Ok(match (method, path, backend) {
-            ("GET", "/healthcheck", _) => match self.shutdown.phase() {
-                ShutdownPhase::Serving | ShutdownPhase::Draining if !self.engine.ready() => {
-                    (StatusCode::SERVICE_UNAVAILABLE, "no list of backends")
-                }
-                ShutdownPhase::Serving => (StatusCode::OK, "ready"),
-                ShutdownPhase::Draining => (StatusCode::OK, "ready, draining"),
-                _ => (StatusCode::SERVICE_UNAVAILABLE, "leaving"),
-            },
-            ("POST", "/healthcheck/fail" | "/healthcheck/ok", _) => {
-                if self.shutdown.phase() > ShutdownPhase::Draining {
-                    return Err((StatusCode::CONFLICT, "the process is leaving"));
-                }
-                let draining = path == "/healthcheck/fail";
-                self.say(|word| word.draining = draining).await?;
-                (
-                    StatusCode::OK,
-                    if draining { "draining" } else { "serving" },
-                )
-            }
-            ("POST", _, Some((id, "maint"))) => {
-                let known = self.engine.knows(id);
-                let out = |word: &mut OperatorState| {
-                    let known = known || word.in_maintenance.contains(id);
-                    known
-                        .then(|| word.in_maintenance.insert(id.to_owned()))
-                        .is_some()
-                };
-                known_backend(self.say(out).await?, "left out")
-            }
-            ("POST", _, Some((id, "ready"))) => {
-                let known = self.engine.knows(id);
-                let back = |word: &mut OperatorState| {
-                    if word.in_maintenance.remove(id) {
-                        word.mark_returned(id, SystemTime::now());
-                        true
-                    } else {
-                        known
-                    }
+    /// Carries out the command of a request, and logs it with the reply.
+    async fn handle(&self, request: Result<RequestLine, MessageError>) -> AdminReply {
+        let (call, reply) = match request {
+            Ok(RequestLine { method, path }) => {
+                let reply = match AdminCommand::parse(&method, &path) {
+                    Ok(command) => self.control.execute(command).await,
+                    Err(reply) => reply,
                 };
-                known_backend(self.say(back).await?, "in use")
+                (format!("{method} {path}"), reply)
             }
-            (_, "/healthcheck" | "/healthcheck/fail" | "/healthcheck/ok", _)
-            | (_, _, Some((_, "maint" | "ready"))) => {
-                (StatusCode::METHOD_NOT_ALLOWED, "another method")
-            }
-            _ => (StatusCode::NOT_FOUND, "unknown call"),
-        })
+            Err(error) => ("unreadable".to_owned(), AdminReply::MalformedRequest(error)),
+        };
+        let logged_call = call.as_bytes()[..call.len().min(MAX_LOGGED_BYTES)].escape_ascii();
+        self.log.log(format_args!(
+            "admin call=\"{logged_call}\" status={} {reply}",
+            reply.status().as_u16()
+        ));
+        reply
     }
 }
 
-fn known_backend(known: bool, done: &'static str) -> Reply {
-    if known {
-        (StatusCode::OK, done)
-    } else {
-        (StatusCode::NOT_FOUND, "unknown backend")
-    }
+/// Writes the response and ends the connection. What still comes is read, since closing on unread
+/// bytes would reset the connection and might take the response from the operator.
+async fn respond(mut stream: Socket, reply: AdminReply) -> std::io::Result<()> {
+    stream.write_all(reply.to_http().as_bytes()).await?;
+    SockRef::from(&stream.0).shutdown(Shutdown::Write)?;
+    discard(&stream.0, MOST_LINGERING).await;
+    Ok(())
 }
 
-/// Reads a call's method and path, or what is wrong with it. None: nothing came.
-async fn read_call(stream: &mut Socket) -> Option<Result<(String, String), MessageError>> {
-    let mut held = BytesMut::with_capacity(1 << 10);
+/// Reads a request's head. None: the connection ended before that.
+async fn read_request(stream: &mut Socket) -> Option<Result<RequestLine, MessageError>> {
+    let mut head = BytesMut::with_capacity(HEAD_BUFFER_BYTES);
     loop {
-        let read = stream.read_buf(&mut held).await.ok()?;
-        match parse_request_head(&held) {
+        let read_bytes = stream.read_buf(&mut head).await.ok()?;
+        match parse_request_head(&head) {
             Err(error) => return Some(Err(error)),
-            Ok(Some(_)) => break,
-            Ok(None) if read == 0 => return None,
-            Ok(None) if held.len() >= MAX_HEAD_BYTES => {
+            Ok(Some(_)) => return Some(Ok(parse_request_line(&head))),
+            Ok(None) if read_bytes == 0 => return None,
+            Ok(None) if head.len() >= MAX_HEAD_BYTES => {
                 return Some(Err(MessageError::HeadTooLong));
             }
             Ok(None) => {}
         }
     }
-    // It was read as the head of a request: both are there.
-    let line = held
+}
+
+/// The method and path of a head that was parsed as valid.
+fn parse_request_line(head: &[u8]) -> RequestLine {
+    let line = head
         .trim_ascii_start()
-        .split(|&b| b == b'\r' || b == b'\n')
+        .split(|byte| matches!(byte, b'\r' | b'\n'))
         .next()
         .unwrap_or_default();
-    let mut words = line
-        .split(|&b| b == b' ')
-        .map(|word| String::from_utf8_lossy(word).into_owned());
-    Some(Ok((
-        words.next().unwrap_or_default(),
-        words.next().unwrap_or_default(),
-    )))
+    let mut parts = line
+        .split(|&byte| byte == b' ')
+        .map(|part| String::from_utf8_lossy(part).into_owned());
+    RequestLine {
+        method: parts.next().unwrap_or_default(),
+        path: parts.next().unwrap_or_default(),
+    }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -22,6 +22,7 @@
 mod socket;
 mod start_times;
 mod startup;
+mod startup_log;
 mod transient_errors;
 mod upstream;
 
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -1,6 +1,7 @@
 //! The proxy process: reads the configuration, wires the parts together, runs until a signal and
 //! shuts down.
 
+use crate::admin::operator_control::OperatorControl;
 use crate::admin::server::{self, AdminServer};
 use crate::config::{Config, ConfigError, ConfigText};
 use crate::config_reload;
@@ -15,18 +16,18 @@
 use crate::resource_limits::{PoolSizes, ResourceLimits};
 use crate::send_invariants;
 use crate::shutdown::ShutdownController;
-use crate::startup::{
-    local_address, Listeners, OpenedOperatorState, Signals, StartupError, STATE_FOLDER_VARIABLE,
-};
+use crate::startup::{local_address, Listeners, OpenedOperatorState, Signals, StartupError};
+use crate::startup_log::{log_start, settings_summary};
 use crate::transient_errors::retry_at_start;
 use crate::upstream::backend_registry::BackendRegistry;
 use crate::upstream::exchange::UpstreamClient;
 use crate::upstream::pool::{ConnectionPool, PoolLimits};
 use balancer::{Idempotency, Settings};
-use settings::{InstanceSettings, SettingNames};
+use settings::InstanceSettings;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{interval_at, sleep, Instant};
@@ -100,7 +101,7 @@
     dispatcher: Rc<Dispatcher>,
     endpoint_watcher: Rc<EndpointWatcher>,
     shutdown: Rc<ShutdownController>,
-    admin: Rc<AdminServer>,
+    control: Rc<OperatorControl>,
 }
 
 impl Node {
@@ -138,12 +139,13 @@
         let listeners = Listeners::open(&config.listen)?;
         log_start(&log, &listeners, &summary, &operator_state)?;
         let shutdown = Rc::new(ShutdownController::new());
-        let admin = AdminServer::new(
+        let control = Rc::new(OperatorControl::new(
+            log.clone(),
             dispatcher.clone(),
             shutdown.clone(),
             operator_state.store.clone(),
             limits.slow_start_duration,
-        );
+        ));
         dispatcher.known(config.known_endpoints.as_ref());
         endpoint_watcher.start(dispatcher.revision());
         Ok(Node {
@@ -158,7 +160,7 @@
             dispatcher,
             endpoint_watcher,
             shutdown,
-            admin,
+            control,
         })
     }
 
@@ -174,17 +176,27 @@
         spawn_local(log_stats(self.dispatcher.clone()));
     }
 
+    fn spawn_admin_server(&self, listener: TcpListener) -> Result<(), StartupError> {
+        let address = local_address(&listener)?;
+        self.log.log(format_args!("admin server at {address}"));
+        let admin = AdminServer::new(
+            self.log.clone(),
+            self.dispatcher.clone(),
+            self.control.clone(),
+        );
+        spawn_local(admin.serve(listener));
+        Ok(())
+    }
+
     /// Serves until a signal, and shuts down.
-    async fn run(self, signals: Signals) -> Result<(), NodeError> {
+    async fn run(mut self, signals: Signals) -> Result<(), NodeError> {
         let Signals {
             mut termination,
             hangup,
         } = signals;
         self.spawn_background_tasks(hangup);
-        if let Some(listener) = self.listeners.admin {
-            let address = local_address(&listener)?;
-            self.log.log(format_args!("admin server at {address}"));
-            spawn_local(self.admin.clone().serve(listener));
+        if let Some(listener) = self.listeners.admin.take() {
+            self.spawn_admin_server(listener)?;
         }
         let client_listener = Listener::new(
             self.dispatcher.clone(),
@@ -197,7 +209,7 @@
         );
         if self.operator_state.is_operated {
             let monitor = PeerProcessMonitor {
-                admin: self.admin,
+                control: self.control,
                 operator_state: self.operator_state.store.clone(),
                 resource_limits: self.resource_limits,
                 listener: client_listener.clone(),
@@ -356,27 +368,6 @@
     }
 }
 
-/// Logs what the process starts with.
-fn log_start(
-    log: &EventLog,
-    listeners: &Listeners,
-    settings_summary: &str,
-    operator_state: &OpenedOperatorState,
-) -> Result<(), StartupError> {
-    let address = local_address(&listeners.clients)?;
-    log.log(format_args!("listening on {address}"));
-    log.log(format_args!("{settings_summary}"));
-    if let Some(problem) = &operator_state.problem {
-        log.log(format_args!("stored operator state ignored: {problem}"));
-    }
-    if operator_state.is_operated && !operator_state.is_stored {
-        log.log(format_args!(
-            "{STATE_FOLDER_VARIABLE} is not set: maintenance and drain state ends with this process"
-        ));
-    }
-    Ok(())
-}
-
 /// Logs the end of the process, and requests that are left without a response.
 fn log_end(log: &EventLog, dispatcher: &Dispatcher) {
     let open_requests = dispatcher.open_requests();
@@ -385,40 +376,3 @@
     }
     log.log(format_args!("shutdown complete"));
 }
-
-/// The line of the log that tells the settings in force.
-fn settings_summary(instance: &InstanceSettings, pool_sizes: PoolSizes) -> String {
-    let settings = &instance.settings;
-    let limits = &settings.protocol_limits;
-    format!(
-        "settings nodes={} slow_start_initial_capacity={} overload_multiple={} slow_start_ms={} \
-         drain_grace_ms={} idle_timeout_ms={} max_retry_after_ms={} clients={} upstream={} {}",
-        settings.nodes,
-        limits.slow_start_initial_capacity,
-        limits.overload_multiple,
-        limits.slow_start_duration.as_millis(),
-        limits.drain_grace.as_millis(),
-        settings.idle_timeout.as_millis(),
-        settings.max_retry_after.unwrap_or_default().as_millis(),
-        pool_sizes.client_connections,
-        pool_sizes.upstream_connections,
-        classes_summary(&instance.names, settings)
-    )
-}
-
-fn classes_summary(names: &SettingNames, settings: &Settings) -> String {
-    let classes: Vec<String> = names
-        .classes
-        .iter()
-        .zip(&settings.classes)
-        .map(|(name, class)| {
-            format!(
-                "{}:latency_objective_ms={}:deadline_ms={}",
-                name.escape_debug(),
-                class.latency_objective.as_millis(),
-                class.deadline.as_millis()
-            )
-        })
-        .collect();
-    classes.join(" ")
-}
--- a/crates/proxy/src/peer_process.rs
+++ b/crates/proxy/src/peer_process.rs
@@ -1,6 +1,6 @@
 //! Follows the other process of the same node, which there is during an upgrade.
 
-use crate::admin::server::AdminServer;
+use crate::admin::operator_control::OperatorControl;
 use crate::downstream::listener::Listener;
 use crate::event_log::EventLog;
 use crate::operator_state::store::OperatorStateStore;
@@ -15,8 +15,8 @@
 /// Applies the operator state that a peer process has stored, and shares the machine's resources with
 /// it while it runs.
 pub struct PeerProcessMonitor {
-    /// Where changes of the operator state are applied.
-    pub admin: Rc<AdminServer>,
+    /// Applies changes of the operator state.
+    pub control: Rc<OperatorControl>,
     /// Where the peer process is seen.
     pub operator_state: Rc<OperatorStateStore>,
     /// What the processes share.
@@ -37,7 +37,7 @@
         let mut interval = tokio::time::interval(POLL_INTERVAL);
         loop {
             interval.tick().await;
-            self.admin.refresh_operator_state().await;
+            self.control.refresh().await;
             let is_running = self.operator_state.peer_process_running();
             if is_running != self.peer_process_running {
                 self.peer_process_running = is_running;
