--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -3,7 +3,8 @@
 
 use super::commands::{AdminCommand, AdminReply};
 use super::operator_control::OperatorControl;
-use crate::downstream::listener::{accept_failed, discard, MOST_LINGERING};
+use crate::downstream::accept::handle_accept_error;
+use crate::downstream::lingering_close::{discard_input, MAX_LINGER_BYTES};
 use crate::event_log::EventLog;
 use crate::http1::error::MessageError;
 use crate::http1::framing::parse_request_head;
@@ -77,7 +78,7 @@
                     let connection = spawn_local(self.clone().serve_connection(stream));
                     connections.push_back(connection.abort_handle());
                 }
-                Err(error) => accept_failed(&self.dispatcher, "admin accept", &error).await,
+                Err(error) => handle_accept_error(&self.dispatcher, "admin accept", &error).await,
             }
         }
     }
@@ -120,7 +121,7 @@
 async fn respond(mut stream: Socket, reply: AdminReply) -> std::io::Result<()> {
     stream.write_all(reply.to_http().as_bytes()).await?;
     SockRef::from(&stream.0).shutdown(Shutdown::Write)?;
-    discard(&stream.0, MOST_LINGERING).await;
+    discard_input(&stream.0, MAX_LINGER_BYTES).await;
     Ok(())
 }
 
