--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -226,7 +226,7 @@
             .log(format_args!("shutting down handing_over={handing_over}"));
         self.shutdown
             .run(handing_over, self.limits.longest_deadline, serving, || {
-                client_listener.in_hand()
+                client_listener.has_requests_in_progress()
             })
             .await;
         log_end(&self.log, &self.dispatcher);
