--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -233,13 +233,14 @@
 
     /// Sets a group's thresholds so that they shed this fraction of its recent arrivals: over the
     /// whole group, and class by class.
-    pub fn set_thresholds(&mut self, position: usize, shed_fraction: f64) {
+    fn set_thresholds(&mut self, position: usize, shed_fraction: f64) {
         let group = &mut self.groups[position];
-        group.shed_threshold = shed_threshold(group.weights(), shed_fraction);
+        let threshold = shed_threshold(&group.weights(), shed_fraction);
+        group.shed_threshold = threshold;
         for (index, class) in self.classes.iter_mut().enumerate() {
             if class.group == position {
                 let weights = group.weights_of(ClassId(index as u8));
-                class.shed_threshold = shed_threshold(weights, shed_fraction);
+                class.shed_threshold = shed_threshold(&weights, shed_fraction);
             }
         }
     }
@@ -252,7 +253,7 @@
 
 /// The threshold at which this fraction of arrivals with these weights is shed, where a weight
 /// below the threshold is shed for certain and one above it with probability threshold / weight.
-fn shed_threshold(weights: impl Iterator<Item = f64> + Clone, shed_fraction: f64) -> f64 {
+fn shed_threshold(weights: &(impl Iterator<Item = f64> + Clone), shed_fraction: f64) -> f64 {
     if shed_fraction <= MIN_SHED_FRACTION {
         return 0.0;
     }
--- a/crates/balancer/src/events.rs
+++ b/crates/balancer/src/events.rs
@@ -1,4 +1,4 @@
-//! What the embedding process tells the balancer.
+//! Events that the embedding process reports to the balancer.
 
 use crate::ids::{BackendId, CellId, ClassId, MachineTypeId, RequestId, TenantId, TimerId, ZoneId};
 use crate::load_report::LoadReport;
@@ -130,7 +130,7 @@
     pub load_report: Option<LoadReport>,
 }
 
-/// What the embedding process tells the balancer.
+/// An event that the embedding process reports to the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An endpoint list or changes to it.
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::events::{AttemptOutcome, Endpoint, ListUpdate};
 use crate::ids::BackendId;
 use crate::load_report::LoadReport;
-use crate::pricing::{PriceChange, Pricing, DRIFT_TIME};
+use crate::pricing::{self, PriceChange, Pricing, DRIFT_TIME};
 use crate::settings::Settings;
 use crate::share_solver::ShareInput;
 use crate::slow_start;
@@ -99,7 +99,7 @@
         let Some(backend) = self.backends.get_mut(id) else {
             return;
         };
-        self.pricing.record_success(backend);
+        pricing::record_success(backend);
         if !self.settings.throughput_reported {
             let mean_work = self.mean_work.seconds();
             let work = work.unwrap_or(if mean_work > 0.0 { mean_work } else { 1.0 });
--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -40,7 +40,7 @@
     Backend(BackendId),
     /// Even the best would answer too late, and take capacity from requests that can be in time.
     TooLate,
-    /// No candidate has told its load.
+    /// No candidate has reported its load.
     NoneKnown,
 }
 
@@ -111,7 +111,7 @@
 }
 
 /// Makes a backend a candidate of a request. Returns whether a load probe is to be sent: not where
-/// the load was told a moment ago or is being asked for already. `timeout` and `typical_latency`
+/// the load was reported a moment ago or is being asked for already. `timeout` and `typical_latency`
 /// are in seconds.
 pub fn add_candidate(
     now: Time,
@@ -150,7 +150,7 @@
 ) -> Selection {
     let mean_work = fleet.mean_work.seconds();
     let expected_wait = |candidate: &Candidate| {
-        let CandidateLoad::InFlight(told) = candidate.load else {
+        let CandidateLoad::InFlight(reported) = candidate.load else {
             return None;
         };
         let backend = fleet.backends.get(candidate.backend)?;
@@ -158,7 +158,7 @@
             return None;
         }
         // Other requests of this node may have gone there since.
-        let in_flight = backend.probe.in_flight.unwrap_or(told);
+        let in_flight = backend.probe.in_flight.unwrap_or(reported);
         Some(ExpectedWait {
             backend: backend.id,
             seconds: in_flight * mean_work + fleet.expected_connect_wait(now, backend),
--- a/crates/balancer/src/pricing.rs
+++ b/crates/balancer/src/pricing.rs
@@ -182,11 +182,6 @@
         (load + EXCESS_LOAD * saturation.clamp(0.0, 1.0)).min(MAX_LOAD)
     }
 
-    /// Counts a response that succeeded.
-    pub fn record_success(&self, backend: &mut Backend) {
-        backend.failures.record(false, FAILURE_SAMPLES);
-    }
-
     /// Raises the price of a backend by a failed attempt or load probe: one that fails fast would
     /// look idle. Where capacity is unknown, a backend that rejects or times out is at its limit.
     pub fn record_failure(
@@ -228,6 +223,11 @@
     }
 }
 
+/// Counts a response that succeeded among the backend's latest ones.
+pub fn record_success(backend: &mut Backend) {
+    backend.failures.record(false, FAILURE_SAMPLES);
+}
+
 /// A reported number, if it is finite and not negative.
 pub fn usable(reported: Option<f64>) -> Option<f64> {
     reported.filter(|value| value.is_finite() && *value >= 0.0)
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -87,14 +87,14 @@
     }
 }
 
-/// What a load probe has told of a candidate.
+/// What the answer to a load probe says of a candidate.
 #[derive(Clone, Copy, PartialEq)]
 pub enum CandidateLoad {
     /// No answer yet.
     Pending,
     /// Requests that it has in flight.
     InFlight(f64),
-    /// The probe failed or told nothing.
+    /// The probe failed, or its answer gave no load.
     Unknown,
 }
 
@@ -172,7 +172,7 @@
             .any(|candidate| candidate.backend == backend)
     }
 
-    /// Whether a candidate's load may yet be told.
+    /// Whether the load of a candidate is awaited.
     pub fn awaits_candidates(&self) -> bool {
         self.candidates
             .iter()
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -107,6 +107,7 @@
 
 /// All that a balancer is configured with.
 #[derive(Clone, Debug)]
+#[allow(clippy::struct_excessive_bools)] // independent properties of the site
 pub struct Settings {
     /// Nodes of the fleet, this one included.
     pub nodes: u32,
--- a/crates/balancer/src/share_allocation.rs
+++ b/crates/balancer/src/share_allocation.rs
@@ -242,7 +242,7 @@
             .zip(arrival_rates)
             .map(|(class, rate)| class.mean_work.seconds() * rate)
             .collect();
-        let mut taken = vec![vec![0.0; inputs.len()]; eligible.len()];
+        let mut work_taken = vec![vec![0.0; inputs.len()]; eligible.len()];
         for (class, positions) in eligible.iter().enumerate() {
             if work_rates[class] <= 0.0 {
                 continue;
@@ -258,11 +258,11 @@
                     .sum();
                 let brought = work_rates[other] / work_rates[class] * count / speeds;
                 for &position in narrower {
-                    taken[class][position] += brought * inputs[position].speed;
+                    work_taken[class][position] += brought * inputs[position].speed;
                 }
             }
         }
-        taken
+        work_taken
     }
 
     /// Limits each class to as many backends as this node can hear of in time. Where no load is
