--- a/crates/balancer/src/admission_tests.rs
+++ b/crates/balancer/src/admission_tests.rs
@@ -1,11 +1,11 @@
 //! Tests of load shedding, priority weights and quotas.
 
 use super::*;
-use crate::estimators::LatencyQuantile;
-use crate::test_common::{at, endpoint_snapshot, load_report, ms, request, settings};
+use crate::test_common::{at, handle, load_report, ms, request};
 use crate::test_support::{
-    attempt_result, balancer_of, balancer_of_unknown_capacity, balancer_with, refresh_now,
-    send_request, set_shed_fraction, shed_fraction,
+    attempt_result, attempted_backend, balancer_of, balancer_of_unknown_capacity, balancer_with,
+    refresh_now, send_request, set_shed_fraction, set_typical_latency, shed_fraction,
+    unknown_capacity_settings, unreported_load_settings,
 };
 use crate::{
     Action, AttemptOutcome, AttemptResult, Balancer, Event, Idempotency, LoadReport,
@@ -13,65 +13,84 @@
 };
 use std::time::Duration;
 
+/// Sends a request every 20 ms; each attempt ends at once with this outcome, latency and report.
+/// Returns the fraction of arrivals that is shed in the end.
+fn shed_after(
+    balancer: &mut Balancer,
+    first_request: u64,
+    count: u64,
+    outcome: AttemptOutcome,
+    latency: Duration,
+    load_report: Option<LoadReport>,
+) -> f64 {
+    for position in 0..count {
+        let id = first_request + position;
+        let now = at(first_request + 20 * position);
+        if let Some(backend) = send_request(balancer, now, id) {
+            let result = AttemptResult {
+                latency,
+                load_report,
+                ..attempt_result(id, backend, outcome)
+            };
+            handle(balancer, now, Event::AttemptEnded(result));
+        }
+    }
+    shed_fraction(balancer)
+}
+
 #[test]
 fn shedding_rejects_low_weights_first() {
     let mut balancer = balancer_of(2);
+    let admission = &mut balancer.admission;
+    let class = ClassId(0);
     for weight in [1.0, 1.0, 10.0, 10.0] {
-        balancer
-            .admission
-            .group_mut(ClassId(0))
-            .record_arrival(ClassId(0), weight);
+        admission.group_mut(class).record_arrival(class, weight);
     }
-    balancer.admission.set_thresholds(0, 0.3);
-    let turned = |w: f64| balancer.admission.shed_probability(ClassId(0), w);
-    assert!(turned(1.0) > 3.0 * turned(10.0));
-    assert!((f64::midpoint(turned(1.0), turned(10.0)) - 0.3).abs() < 0.02);
-    balancer.admission.set_thresholds(0, 0.0);
-    assert_eq!(
-        (
-            balancer.admission.group(ClassId(0)).shed_threshold,
-            balancer.admission.shed_probability(ClassId(0), 0.01)
-        ),
-        (0.0, 0.0)
-    );
+    admission.set_thresholds(0, 0.3);
+    let low = admission.shed_probability(class, 1.0);
+    let high = admission.shed_probability(class, 10.0);
+    assert!(low > 3.0 * high);
+    assert!((f64::midpoint(low, high) - 0.3).abs() < 0.02);
+    admission.set_thresholds(0, 0.0);
+    assert_eq!(admission.group(class).shed_threshold, 0.0);
+    assert_eq!(admission.shed_probability(class, 0.01), 0.0);
 }
 
 /// What is admitted goes to all classes alike for the most part; over the rest priority weight
 /// decides, and no more is admitted for that.
 #[test]
 fn no_class_is_shed_entirely_for_the_others() {
-    for refused in [0.2, 0.4, 0.6, 0.8] {
-        let mut settings = Settings {
-            throughput_reported: false,
-            load_reporting: LoadReporting::Absent,
-            ..settings()
-        };
+    const CLASS_OF_REQUEST: [u8; 10] = [0, 1, 0, 2, 0, 1, 0, 1, 0, 1];
+    for shed_fraction in [0.2, 0.4, 0.6, 0.8] {
+        let mut settings = unreported_load_settings();
         settings.classes.truncate(3);
-        for (class, worth) in settings.classes.iter_mut().zip([1.0, 2.0, 10.0]) {
-            (class.idempotency, class.priority_weight) = (Idempotency::Idempotent, worth);
+        for (class, weight) in settings.classes.iter_mut().zip([1.0, 2.0, 10.0]) {
+            class.idempotency = Idempotency::Idempotent;
+            class.priority_weight = weight;
         }
         let mut balancer = balancer_with(settings, 40);
-        let (mut asked, mut let_in) = ([0.0; 3], [0.0; 3]);
-        for k in 0..6000u64 {
-            let class = [0, 1, 0, 2, 0, 1, 0, 1, 0, 1][k as usize % 10];
-            set_shed_fraction(&mut balancer, refused);
+        let (mut arrived, mut admitted) = ([0.0; 3], [0.0; 3]);
+        for id in 0..6000u64 {
+            let class = CLASS_OF_REQUEST[id as usize % CLASS_OF_REQUEST.len()];
+            set_shed_fraction(&mut balancer, shed_fraction);
             balancer.allocation.invalidate();
-            let mut actions = vec![];
-            let a = request(k, class);
-            balancer.handle(at(k), Event::RequestArrived(a), &mut actions);
-            asked[usize::from(class)] += 1.0;
-            let_in[usize::from(class)] += f64::from(u8::from(matches!(
-                actions[..],
-                [Action::StartAttempt { .. }]
-            )));
+            let event = Event::RequestArrived(request(id, class));
+            let actions = handle(&mut balancer, at(id), event);
+            arrived[usize::from(class)] += 1.0;
+            if let [Action::StartAttempt { .. }] = actions[..] {
+                admitted[usize::from(class)] += 1.0;
+            }
         }
-        let part: Vec<f64> = let_in.iter().zip(asked).map(|(l, a)| l / a).collect();
-        let all = let_in.iter().sum::<f64>() / asked.iter().sum::<f64>();
-        assert!((all - (1.0 - refused)).abs() < 0.03, "{all} of {refused}");
-        assert!(part[0] > 0.62 * all, "{part:?} at {refused}");
+        let of_all = admitted.iter().sum::<f64>() / arrived.iter().sum::<f64>();
+        let [low, middle, high] = [0, 1, 2].map(|class| admitted[class] / arrived[class]);
+        assert!(
+            (of_all - (1.0 - shed_fraction)).abs() < 0.03,
+            "{of_all} at {shed_fraction}"
+        );
+        assert!(low > 0.62 * of_all, "{low} of {of_all} at {shed_fraction}");
         assert!(
-            part[0] < part[1] && part[1] < part[2],
-            "worth still decides: {part:?}"
+            low < middle && middle < high,
+            "weight still decides: {low} {middle} {high}"
         );
     }
 }
@@ -81,77 +100,55 @@
 #[test]
 fn attempts_that_meet_load_shed_arrivals() {
     let mut balancer = balancer_of_unknown_capacity();
-    let shed = |balancer: &mut Balancer, from: u64, outcome: AttemptOutcome| {
-        for k in 0..100 {
-            let id = from + k;
-            let now = at(from + 20 * k);
-            if let Some(backend) = send_request(balancer, now, id) {
-                let end = AttemptResult {
-                    latency: ms(900),
-                    ..attempt_result(id, backend, outcome)
-                };
-                let quick = AttemptResult {
-                    latency: ms(100),
-                    ..end
-                };
-                let end = if outcome == AttemptOutcome::Success {
-                    quick
-                } else {
-                    end
-                };
-                balancer.handle(now, Event::AttemptEnded(end), &mut vec![]);
-            }
-        }
-        shed_fraction(balancer)
+    let answer_in_time = |balancer: &mut Balancer, first_request| {
+        let report = Some(load_report(0.3, 0.0));
+        let success = AttemptOutcome::Success;
+        shed_after(balancer, first_request, 100, success, ms(100), report)
     };
-    assert_eq!(shed(&mut balancer, 0, AttemptOutcome::Success), 0.0);
-    let most = shed(&mut balancer, 10_000, AttemptOutcome::TimedOut);
+    assert_eq!(answer_in_time(&mut balancer, 0), 0.0);
+    let timed_out = AttemptOutcome::TimedOut;
+    let most = shed_after(&mut balancer, 10_000, 100, timed_out, ms(900), None);
     assert!(most > 0.6, "{most}");
     refresh_now(&mut balancer, at(13_000));
     assert!(shed_fraction(&balancer) > 0.8 * most, "no news leaves it");
     let mut after = most;
     for round in 0..5 {
-        after = shed(
-            &mut balancer,
-            20_000 + 3000 * round,
-            AttemptOutcome::Success,
-        );
+        after = answer_in_time(&mut balancer, 20_000 + 3000 * round);
     }
     assert!(after < 0.1, "{after}");
 }
 
+/// The fraction that is shed once every response has reported this utilization and queue depth, in
+/// 50 ms.
+fn shed_with_reports(utilization: f64, queue_depth: f64) -> f64 {
+    let mut balancer = balancer_of_unknown_capacity();
+    set_typical_latency(&mut balancer, ms(50));
+    let report = LoadReport {
+        queue_depth: Some(queue_depth),
+        ..load_report(utilization, 0.0)
+    };
+    let success = AttemptOutcome::Success;
+    shed_after(&mut balancer, 0, 200, success, ms(50), Some(report))
+}
+
 /// What waits counts by the time that it takes.
 #[test]
 fn a_short_queue_at_a_half_idle_backend_sheds_nothing() {
-    let shed = |waiting: f64| {
-        let mut balancer = balancer_of_unknown_capacity();
-        balancer.fleet.typical_latency = LatencyQuantile::new(0.05);
-        for k in 0..200 {
-            let now = at(20 * k);
-            let Some(backend) = send_request(&mut balancer, now, k) else {
-                continue;
-            };
-            let end = attempt_result(k, backend, AttemptOutcome::Success);
-            let report = Some(LoadReport {
-                queue_depth: Some(waiting),
-                ..load_report(0.5, 0.0)
-            });
-            balancer.handle(
-                now,
-                Event::AttemptEnded(AttemptResult {
-                    latency: ms(50),
-                    load_report: report,
-                    ..end
-                }),
-                &mut vec![],
-            );
-        }
-        shed_fraction(&balancer)
-    };
-    assert_eq!(shed(2.0), 0.0);
+    assert_eq!(shed_with_reports(0.5, 2.0), 0.0);
+    assert!(
+        shed_with_reports(0.5, 30.0) > 0.5,
+        "a queue as long as the objective is an overload"
+    );
+}
+
+/// Arrivals are shed where utilization and waiting together are more than a whole capacity.
+#[test]
+fn busy_backends_that_answer_in_time_shed_nothing() {
+    assert_eq!(shed_with_reports(0.95, 0.0), 0.0);
+    let overloaded = shed_with_reports(1.0, 4.0);
     assert!(
-        shed(30.0) > 0.5,
-        "a queue as long as the aim is an overload"
+        overloaded > 0.3,
+        "saturated and half the objective of waiting: {overloaded}"
     );
 }
 
@@ -159,127 +156,71 @@
 /// reaches the objective the backends are overloaded. A report that tells of capacity is believed.
 #[test]
 fn without_reports_slow_responses_shed_before_they_reach_the_objective() {
-    let shed = |reports: LoadReporting, part: f64| {
+    let shed = |load_reporting: LoadReporting, objectives: f64| {
         let settings = Settings {
-            throughput_reported: false,
-            load_reporting: reports,
-            ..settings()
+            load_reporting,
+            ..unknown_capacity_settings()
         };
+        let objective = settings.classes[0].latency_objective.as_secs_f64();
+        let latency = Duration::from_secs_f64(objective * objectives);
+        let has_reports = load_reporting != LoadReporting::Absent;
+        let report = has_reports.then(|| load_report(0.5, 0.0));
         let mut balancer = balancer_with(settings, 40);
-        let latency = Duration::from_secs_f64(
-            balancer.settings.class(ClassId(0)).objective_seconds(None) * part,
-        );
-        for k in 0..200 {
-            let now = at(20 * k);
-            let Some(backend) = send_request(&mut balancer, now, k) else {
-                continue;
-            };
-            let told = (reports != LoadReporting::Absent).then(|| load_report(0.5, 0.0));
-            let end = AttemptResult {
-                latency,
-                load_report: told,
-                ..attempt_result(k, backend, AttemptOutcome::Success)
-            };
-            balancer.handle(now, Event::AttemptEnded(end), &mut vec![]);
-        }
-        shed_fraction(&balancer)
+        let success = AttemptOutcome::Success;
+        shed_after(&mut balancer, 0, 200, success, latency, report)
     };
-    assert!(
-        shed(LoadReporting::Absent, 0.65) > 0.6,
-        "{}",
-        shed(LoadReporting::Absent, 0.65)
-    );
-    assert!(
-        shed(LoadReporting::Absent, 0.3) > 0.1,
-        "{}",
-        shed(LoadReporting::Absent, 0.3)
-    );
+    let slow = shed(LoadReporting::Absent, 0.65);
+    assert!(slow > 0.6, "{slow}");
+    let slower_than_usual = shed(LoadReporting::Absent, 0.3);
+    assert!(slower_than_usual > 0.1, "{slower_than_usual}");
     assert_eq!(shed(LoadReporting::Absent, 0.15), 0.0);
     assert_eq!(shed(LoadReporting::WithResponses, 0.85), 0.0);
 }
 
-/// Arrivals are shed where utilization and waiting together are more than a whole capacity.
-#[test]
-fn busy_backends_that_answer_in_time_shed_nothing() {
-    let shed = |busy: f64, waiting: f64| {
-        let mut balancer = balancer_of_unknown_capacity();
-        balancer.fleet.typical_latency = LatencyQuantile::new(0.05);
-        for k in 0..200 {
-            let now = at(20 * k);
-            let Some(backend) = send_request(&mut balancer, now, k) else {
-                continue;
-            };
-            let report = Some(LoadReport {
-                queue_depth: Some(waiting),
-                ..load_report(busy, 0.0)
-            });
-            let end = AttemptResult {
-                latency: ms(50),
-                load_report: report,
-                ..attempt_result(k, backend, AttemptOutcome::Success)
-            };
-            balancer.handle(now, Event::AttemptEnded(end), &mut vec![]);
-        }
-        shed_fraction(&balancer)
-    };
-    assert_eq!(shed(0.95, 0.0), 0.0);
-    assert!(
-        shed(1.0, 4.0) > 0.3,
-        "saturated and half the aim of waiting: {}",
-        shed(1.0, 4.0)
-    );
-}
-
 #[test]
 fn rejected_clients_that_come_back_do_not_lower_their_tenants_weight() {
-    let tenants = vec![
-        Tenant {
-            quota_per_second: 60.0,
-        },
-        Tenant {
-            quota_per_second: 60.0,
-        },
+    const SERVED: Duration = ms(1000);
+    const REJECTED: Duration = Duration::ZERO;
+    /// Both tenants are admitted at the same rate; the second comes three times more, and is
+    /// rejected.
+    const ARRIVALS: [(TenantId, Duration); 5] = [
+        (TenantId(0), SERVED),
+        (TenantId(1), SERVED),
+        (TenantId(1), REJECTED),
+        (TenantId(1), REJECTED),
+        (TenantId(1), REJECTED),
     ];
-    let mut balancer = Balancer::new(
-        Settings {
-            tenants,
-            nodes: 1,
-            ..(*balancer_of_unknown_capacity().settings).clone()
-        },
-        7,
-        at(0),
-    )
-    .expect("sound");
-    balancer.handle(at(0), endpoint_snapshot(40), &mut vec![]);
-    // Both are let in at the same rate; the second comes three times more, and is turned away.
-    for k in 0..250u64 {
-        for (n, (tenant, remaining)) in [(0, 1000), (1, 1000), (1, 0), (1, 0), (1, 0)]
-            .into_iter()
-            .enumerate()
-        {
-            let id = 5 * k + n as u64;
-            let a = request(id, 0);
-            let a = RequestArrival {
-                tenant: TenantId(tenant),
-                remaining: ms(remaining),
-                ..a
+    let tenant = Tenant {
+        quota_per_second: 60.0,
+    };
+    let settings = Settings {
+        tenants: vec![tenant.clone(), tenant],
+        nodes: 1,
+        ..unknown_capacity_settings()
+    };
+    let mut balancer = balancer_with(settings, 40);
+    for round in 0..250u64 {
+        let now = at(20 * round);
+        for (id, (tenant, remaining)) in (5 * round..).zip(ARRIVALS) {
+            let arrival = RequestArrival {
+                tenant,
+                remaining,
+                ..request(id, 0)
             };
-            let mut actions = vec![];
-            balancer.handle(at(20 * k), Event::RequestArrived(a), &mut actions);
-            let Some(Action::StartAttempt { backend, .. }) = actions.pop() else {
+            let actions = handle(&mut balancer, now, Event::RequestArrived(arrival));
+            let Some(backend) = actions.last().and_then(attempted_backend) else {
                 continue;
             };
-            let end = AttemptResult {
+            let result = AttemptResult {
                 latency: ms(50),
                 ..attempt_result(id, backend, AttemptOutcome::Success)
             };
-            balancer.handle(at(20 * k), Event::AttemptEnded(end), &mut vec![]);
+            handle(&mut balancer, now, Event::AttemptEnded(result));
         }
     }
-    let worth = |balancer: &mut Balancer, tenant| {
-        balancer
-            .admission
-            .record_arrival(at(5000), ClassId(0), TenantId(tenant))
+    let mut weight_of = |tenant| {
+        let admission = &mut balancer.admission;
+        admission.record_arrival(at(5000), ClassId(0), TenantId(tenant))
     };
-    assert_eq!(worth(&mut balancer, 0), worth(&mut balancer, 1));
+    assert_eq!(weight_of(0), weight_of(1));
 }
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -1,103 +1,96 @@
 //! Tests of the way of requests through the balancer.
 
 use super::*;
-use crate::estimators::LatencyQuantile;
 use crate::test_common::{
-    at, attempt_ended, endpoint_snapshot, load_report, ms, request, request_arrived, settings,
+    at, attempt_ended, handle, load_report, ms, request, request_arrived, settings,
 };
 use crate::test_support::{
-    active_backends, balancer_of, balancer_with, send_request, set_shed_fraction, shed_fraction,
-    state_of, unknown_capacity_settings, update_price,
+    active_backends, balancer_of, balancer_with, end_attempt, record_load_report, send_request,
+    set_shed_fraction, set_typical_latency, shares, shed_fraction, state_of,
+    unknown_capacity_settings, update_price,
 };
 use crate::{AttemptOutcome, AttemptResult, BackendId, LoadReporting};
 
+/// The backend and the timeout of the attempt that the first action starts.
+fn started_attempt(actions: &[Action]) -> (BackendId, Option<Duration>) {
+    let Some(&Action::StartAttempt {
+        backend, timeout, ..
+    }) = actions.first()
+    else {
+        panic!("{actions:?}")
+    };
+    (backend, timeout)
+}
+
 /// Where a late response earns something, or load is reported, an attempt may take as long as the
 /// client waits.
 #[test]
 fn attempts_end_with_the_objective_where_no_load_is_reported() {
-    let limit = |reports: LoadReporting, late_worth: f64| {
+    let timeouts = |load_reporting, late_weight| {
         let mut settings = Settings {
-            throughput_reported: false,
-            load_reporting: reports,
-            ..settings()
+            load_reporting,
+            ..unknown_capacity_settings()
         };
-        settings.classes[0].late_weight = late_worth;
+        settings.classes[0].late_weight = late_weight;
         let mut balancer = balancer_with(settings, 40);
-        let mut actions = vec![];
-        balancer.handle(at(5), request_arrived(1, 0), &mut actions);
-        let Some(&Action::StartAttempt {
-            backend,
-            timeout: first,
-            ..
-        }) = actions.first()
-        else {
-            panic!("{actions:?}")
-        };
-        actions.clear();
-        balancer.handle(
-            at(105),
-            attempt_ended(1, 0, backend, AttemptOutcome::ServerError, None),
-            &mut actions,
-        );
-        let Some(&Action::StartAttempt {
-            timeout: second, ..
-        }) = actions.first()
-        else {
-            panic!("{actions:?}")
-        };
-        (first, second)
+        let actions = handle(&mut balancer, at(5), request_arrived(1, 0));
+        let (backend, first) = started_attempt(&actions);
+        let outcome = AttemptOutcome::ServerError;
+        let actions = end_attempt(&mut balancer, at(105), 1, backend, outcome);
+        let (_, second) = started_attempt(&actions);
+        [first, second]
     };
-    let aim = settings().classes[0].latency_objective;
+    let objective = settings().classes[0].latency_objective;
     assert_eq!(
-        limit(LoadReporting::Absent, 0.0),
-        (Some(aim), Some(aim.checked_sub(ms(100)).unwrap())),
+        timeouts(LoadReporting::Absent, 0.0),
+        [Some(objective), objective.checked_sub(ms(100))],
         "of the whole request, not of each attempt"
     );
+    let as_long_as_the_client_waits = [Some(ms(1000)), Some(ms(900))];
     assert_eq!(
-        limit(LoadReporting::Absent, 0.3),
-        (Some(ms(1000)), Some(ms(900)))
+        timeouts(LoadReporting::Absent, 0.3),
+        as_long_as_the_client_waits
     );
     assert_eq!(
-        limit(LoadReporting::WithResponses, 0.0),
-        (Some(ms(1000)), Some(ms(900)))
+        timeouts(LoadReporting::WithResponses, 0.0),
+        as_long_as_the_client_waits
     );
 }
 
+/// The Retry-After of the first rejection while this fraction of the arrivals is shed.
+fn retry_after(shed_fraction: f64, max_retry_after: Option<Duration>) -> Option<Duration> {
+    let settings = Settings {
+        max_retry_after,
+        ..unknown_capacity_settings()
+    };
+    let mut balancer = balancer_with(settings, 40);
+    set_typical_latency(&mut balancer, ms(50));
+    for id in 0..100 {
+        set_shed_fraction(&mut balancer, shed_fraction);
+        let actions = handle(&mut balancer, at(20 * id), request_arrived(id, 0));
+        if let Some(Action::Reject { retry_after, .. }) = actions.last() {
+            return *retry_after;
+        }
+    }
+    unreachable!("something is rejected")
+}
+
 /// A response to a client that comes back later would no longer count.
 #[test]
 fn retry_after_lies_within_the_latency_objective() {
-    let advised = |shed: f64, max_wait| {
-        let settings = Settings {
-            max_retry_after: max_wait,
-            ..unknown_capacity_settings()
-        };
-        let mut balancer = balancer_with(settings, 40);
-        balancer.fleet.typical_latency = LatencyQuantile::new(0.05);
-        for k in 0..100 {
-            set_shed_fraction(&mut balancer, shed);
-            let mut actions = vec![];
-            balancer.handle(at(20 * k), request_arrived(k, 0), &mut actions);
-            if let Some(Action::Reject {
-                retry_after: wait, ..
-            }) = actions.pop()
-            {
-                return wait;
-            }
-        }
-        unreachable!("something is refused")
-    };
-    let (light, heavy) = (advised(0.2, Some(ms(1000))), advised(0.9, Some(ms(1000))));
-    let aim = settings().classes[0].latency_objective;
+    let objective = settings().classes[0].latency_objective;
+    let light = retry_after(0.2, Some(ms(1000)));
+    let heavy = retry_after(0.9, Some(ms(1000)));
     assert!(
-        Some(ms(50)) <= light && light < heavy && heavy <= Some(aim),
+        Some(ms(50)) <= light && light < heavy && heavy <= Some(objective),
         "{light:?} {heavy:?}"
     );
     assert_eq!(
-        advised(0.9, Some(ms(100))),
+        retry_after(0.9, Some(ms(100))),
         Some(ms(100)),
-        "no longer than the site has it"
+        "no longer than the site allows"
     );
-    assert_eq!(advised(0.9, None), None);
+    assert_eq!(retry_after(0.9, None), None);
 }
 
 /// Prices move by the projected step on the reported load, draws follow the solved shares, and
@@ -111,55 +104,43 @@
             ..settings()
         };
         let mut balancer = balancer_with(settings, backends);
-        let (mut drawn, mut meant) = (vec![0.0; backends as usize], vec![0.0; backends as usize]);
-        let (mut solved, mut last) = (0, None);
-        for k in 0..40_000u64 {
-            let now = at(k / 4);
-            for s in 0..backends {
-                if k % 400 == 0 {
-                    balancer.fleet.record_load_report(
-                        now,
-                        BackendId(s),
-                        &load_report(0.4 + 0.4 * f64::from(s % 2), 1000.0),
-                    );
+        let mut drawn = vec![0.0; backends as usize];
+        let mut expected = vec![0.0; backends as usize];
+        let (mut solutions, mut last_refresh) = (0, None);
+        for id in 0..40_000u64 {
+            let now = at(id / 4);
+            if id % 400 == 0 {
+                for backend in 0..backends {
+                    let report = load_report(0.4 + 0.4 * f64::from(backend % 2), 1000.0);
+                    record_load_report(&mut balancer, now, BackendId(backend), &report);
                 }
             }
-            let backend = send_request(&mut balancer, now, k).expect("nothing is refused");
-            solved += u32::from(
-                std::mem::replace(&mut last, balancer.allocation.refreshed_at)
-                    != balancer.allocation.refreshed_at,
-            );
+            let backend = send_request(&mut balancer, now, id).expect("nothing is rejected");
             drawn[backend.0 as usize] += 1.0;
-            for (id, share) in active_backends(&balancer)
-                .iter()
-                .zip(&balancer.allocation.classes[0].shares)
-            {
-                meant[id.0 as usize] += share / f64::from(backends);
+            let refreshed_at = balancer.allocation.refreshed_at;
+            if refreshed_at != last_refresh {
+                solutions += 1;
+                last_refresh = refreshed_at;
             }
-            balancer.handle(
-                now,
-                attempt_ended(k, 0, backend, AttemptOutcome::Success, None),
-                &mut vec![],
-            );
+            for (active, share) in active_backends(&balancer).iter().zip(shares(&balancer, 0)) {
+                expected[active.0 as usize] += share / f64::from(backends);
+            }
+            end_attempt(&mut balancer, now, id, backend, AttemptOutcome::Success);
         }
-        // Ten seconds of ticks, however many requests and backends.
-        assert!(solved <= 201, "{solved} solutions for {backends} backends");
-        for s in 0..backends as usize {
-            let noise = 5.0 * meant[s].sqrt() + 5.0;
+        // Ten seconds of price intervals, however many requests and backends.
+        assert!(
+            solutions <= 201,
+            "{solutions} solutions for {backends} backends"
+        );
+        for (backend, (drawn, expected)) in drawn.iter().zip(&expected).enumerate() {
+            let noise = 5.0 * expected.sqrt() + 5.0;
             assert!(
-                (drawn[s] - meant[s]).abs() < noise,
-                "backend {s}: {} for {}",
-                drawn[s],
-                meant[s]
+                (drawn - expected).abs() < noise,
+                "backend {backend}: {drawn} for {expected}"
             );
         }
-        let price = |s: u32| state_of(&balancer, BackendId(s)).price;
-        assert!(
-            price(1) > 0.05 && price(0) == 0.0,
-            "{} {}",
-            price(1),
-            price(0)
-        );
+        let [idle, busy] = [0, 1].map(|id| state_of(&balancer, BackendId(id)).price);
+        assert!(busy > 0.05 && idle == 0.0, "{busy} {idle}");
     }
 }
 
@@ -168,71 +149,51 @@
 #[test]
 fn a_request_with_a_pending_body_counts_from_its_last_byte() {
     let mut balancer = balancer_of(4);
-    let mut actions = vec![];
-    let a = request(1, 0);
-    balancer.handle(
-        at(0),
-        Event::RequestArrived(RequestArrival {
-            body_pending: true,
-            ..a
-        }),
-        &mut actions,
-    );
-    let Some(Action::StartAttempt { backend, .. }) = actions.pop() else {
-        panic!("{actions:?}")
+    let arrival = RequestArrival {
+        body_pending: true,
+        ..request(1, 0)
     };
-    let i = backend;
-    let price = state_of(&balancer, i).price;
-    update_price(&mut balancer, i, at(5000));
-    assert!(state_of(&balancer, i).in_flight.is_empty() && state_of(&balancer, i).price <= price);
-    balancer.handle(
-        at(5000),
-        Event::RequestBodyReceived { request: a.request },
-        &mut actions,
-    );
-    assert_eq!(state_of(&balancer, i).in_flight, [at(5000)]);
-    // Its first backend turns it away at once: there is all the time for another.
-    balancer.handle(
-        at(5001),
-        attempt_ended(1, 0, backend, AttemptOutcome::Rejected, None),
-        &mut actions,
-    );
+    let actions = handle(&mut balancer, at(0), Event::RequestArrived(arrival));
+    let (id, _) = started_attempt(&actions);
+    let price = state_of(&balancer, id).price;
+    update_price(&mut balancer, id, at(5000));
+    let backend = state_of(&balancer, id);
+    assert!(backend.in_flight.is_empty() && backend.price <= price);
+    let body_received = Event::RequestBodyReceived {
+        request: arrival.request,
+    };
+    assert_eq!(handle(&mut balancer, at(5000), body_received), []);
+    assert_eq!(state_of(&balancer, id).in_flight, [at(5000)]);
+    // Its first backend rejects it at once: there is all the time for another.
+    let actions = end_attempt(&mut balancer, at(5001), 1, id, AttemptOutcome::Rejected);
     assert!(
         matches!(actions[..], [Action::StartAttempt { .. }]),
         "{actions:?}"
     );
-    assert!(state_of(&balancer, i).in_flight.is_empty());
+    assert!(state_of(&balancer, id).in_flight.is_empty());
 }
 
 /// How long a large response takes to stream is up to the client.
 #[test]
 fn a_streamed_response_counts_by_its_first_bytes() {
-    let blind = Settings {
-        throughput_reported: false,
-        ..settings()
-    };
-    let mut balancer = Balancer::new(blind, 7, at(0)).expect("sound settings");
-    balancer.handle(at(0), endpoint_snapshot(4), &mut vec![]);
+    let mut balancer = balancer_with(unknown_capacity_settings(), 4);
     let backend = send_request(&mut balancer, at(0), 1).expect("a backend");
-    balancer.handle(
-        at(20),
-        Event::ResponseStarted {
-            request: RequestId(1),
-            attempt: 0,
-            latency: ms(20),
-        },
-        &mut vec![],
-    );
-    let Event::AttemptEnded(end) = attempt_ended(1, 0, backend, AttemptOutcome::Success, None)
-    else {
-        unreachable!()
+    let response_started = Event::ResponseStarted {
+        request: RequestId(1),
+        attempt: 0,
+        latency: ms(20),
+    };
+    handle(&mut balancer, at(20), response_started);
+    let ended = attempt_ended(1, 0, backend, AttemptOutcome::Success, None);
+    let Event::AttemptEnded(result) = ended else {
+        unreachable!("the end of an attempt")
     };
-    let end = AttemptResult {
+    let result = AttemptResult {
         latency: ms(30_000),
         request_closed: true,
-        ..end
+        ..result
     };
-    balancer.handle(at(30_000), Event::AttemptEnded(end), &mut vec![]);
+    handle(&mut balancer, at(30_000), Event::AttemptEnded(result));
     assert_eq!(shed_fraction(&balancer), 0.0);
     assert!(balancer.requests.is_empty());
 }
--- a/crates/balancer/src/load_probing_tests.rs
+++ b/crates/balancer/src/load_probing_tests.rs
@@ -1,190 +1,127 @@
 //! Tests of the choice of a backend by load probes.
 
 use super::*;
-use crate::test_common::{at, endpoint_snapshot, load_report, ms, settings};
-use crate::{
-    Action, AttemptOutcome, Balancer, ClassId, Event, LoadReport, RequestArrival, TenantId,
-};
+use crate::test_common::{at, endpoint_snapshot, handle, load_report, ms, request, settings};
+use crate::test_support::{attempted_backend, is_rejection};
+use crate::{Action, AttemptOutcome, Balancer, Event, LoadReport, RequestArrival, Time};
 
-#[test]
-fn the_idlest_candidate_is_chosen_and_hopeless_requests_are_rejected() {
-    let probing = Settings {
+/// A class whose requests are not idempotent.
+const CLASS: u8 = 1;
+const WORK: Duration = ms(100);
+
+fn probing_balancer(backends: u32) -> Balancer {
+    let settings = Settings {
         load_reporting: LoadReporting::OnProbe,
         throughput_reported: false,
         load_probes_allowed: true,
         ..settings()
     };
-    let probed = |held: &dyn Fn(usize) -> f64| {
-        let mut balancer = Balancer::new(probing.clone(), 5, at(0)).expect("sound settings");
-        let mut actions = vec![];
-        balancer.handle(at(0), endpoint_snapshot(8), &mut actions);
-        let work = Some(ms(100));
-        let (request, class, tenant) = (RequestId(1), ClassId(1), TenantId(0));
-        balancer.handle(
-            at(1),
-            Event::RequestArrived(RequestArrival {
-                request,
-                class,
-                tenant,
-                remaining: ms(900),
-                work,
-                body_pending: false,
-            }),
-            &mut actions,
-        );
-        let asked: Vec<BackendId> = actions
-            .iter()
-            .filter_map(|a| {
-                if let Action::SendLoadProbe { backend } = a {
-                    Some(*backend)
-                } else {
-                    None
-                }
-            })
-            .collect();
-        assert_eq!(asked.len(), CANDIDATES_PER_REQUEST);
-        actions.clear();
-        for (k, backend) in asked.iter().enumerate() {
-            let report = Some(LoadReport {
-                in_flight: Some(held(k)),
-                ..load_report(0.5, 0.0)
-            });
-            let p = LoadProbeResult {
-                backend: *backend,
-                outcome: AttemptOutcome::Success,
-                latency: ms(1),
-                load_report: report,
-            };
-            balancer.handle(at(2), Event::LoadProbeEnded(p), &mut actions);
-        }
-        (asked, actions)
+    let mut balancer = Balancer::new(settings, 5, at(0)).expect("valid settings");
+    handle(&mut balancer, at(0), endpoint_snapshot(backends));
+    balancer
+}
+
+fn arrive(balancer: &mut Balancer, now: Time, id: u64, work: Duration) -> Vec<Action> {
+    let arrival = RequestArrival {
+        remaining: ms(900),
+        work: Some(work),
+        ..request(id, CLASS)
     };
-    let (asked, actions) = probed(&|k| if k == 3 { 0.0 } else { 2.0 });
-    assert!(
-        matches!(actions[..], [Action::StartAttempt { backend, .. }] if backend == asked[3]),
-        "{actions:?}"
-    );
-    let (_, actions) = probed(&|_| 9.0);
+    handle(balancer, now, Event::RequestArrived(arrival))
+}
+
+fn probed_backends(actions: &[Action]) -> Vec<BackendId> {
+    let probed = actions.iter().filter_map(|action| match action {
+        Action::SendLoadProbe { backend } => Some(*backend),
+        _ => None,
+    });
+    probed.collect()
+}
+
+fn report_with(utilization: f64, in_flight: f64) -> LoadReport {
+    LoadReport {
+        in_flight: Some(in_flight),
+        ..load_report(utilization, 0.0)
+    }
+}
+
+fn answer_probe(balancer: &mut Balancer, backend: BackendId, report: LoadReport) -> Vec<Action> {
+    let result = LoadProbeResult {
+        backend,
+        outcome: AttemptOutcome::Success,
+        latency: ms(1),
+        load_report: Some(report),
+    };
+    handle(balancer, at(2), Event::LoadProbeEnded(result))
+}
+
+/// Sends one request, answers its load probes, and returns the backends probed and what follows.
+fn probe_all(in_flight: impl Fn(usize) -> f64) -> (Vec<BackendId>, Vec<Action>) {
+    let mut balancer = probing_balancer(8);
+    let probed = probed_backends(&arrive(&mut balancer, at(1), 1, WORK));
+    assert_eq!(probed.len(), CANDIDATES_PER_REQUEST);
+    let mut actions = vec![];
+    for (position, &backend) in probed.iter().enumerate() {
+        let report = report_with(0.5, in_flight(position));
+        actions.extend(answer_probe(&mut balancer, backend, report));
+    }
+    (probed, actions)
+}
+
+#[test]
+fn the_idlest_candidate_is_chosen_and_hopeless_requests_are_rejected() {
+    let (probed, actions) = probe_all(|position| if position == 3 { 0.0 } else { 2.0 });
     assert!(
-        matches!(actions[..], [Action::Reject { .. }]),
+        matches!(actions[..], [Action::StartAttempt { backend, .. }] if backend == probed[3]),
         "{actions:?}"
     );
+    let (_, actions) = probe_all(|_| 9.0);
+    assert!(is_rejection(&actions), "{actions:?}");
 }
 
 /// An estimated wait is an average, and a response that is late by a little is worth nothing. A
 /// request's own work is no such estimate: at an idle backend a heavy one can be in time.
 #[test]
 fn estimated_waits_count_for_more_than_own_work() {
-    let probing = Settings {
-        load_reporting: LoadReporting::OnProbe,
-        throughput_reported: false,
-        load_probes_allowed: true,
-        ..settings()
-    };
-    let aim = probing.classes[1].latency_objective;
-    let decided = |work: Duration, held: f64| {
-        let mut balancer = Balancer::new(probing.clone(), 5, at(0)).expect("sound settings");
-        let mut actions = vec![];
-        balancer.handle(at(0), endpoint_snapshot(3), &mut actions);
-        let (request, class, tenant) = (RequestId(1), ClassId(1), TenantId(0));
+    let objective = settings().classes[usize::from(CLASS)].latency_objective;
+    let is_sent = |work: Duration, in_flight: f64| {
+        let mut balancer = probing_balancer(3);
         let arrival = RequestArrival {
-            request,
-            class,
-            tenant,
-            remaining: 2 * aim,
+            remaining: 2 * objective,
             work: Some(work),
-            body_pending: false,
+            ..request(1, CLASS)
         };
-        balancer.handle(at(1), Event::RequestArrived(arrival), &mut actions);
-        actions.clear();
+        handle(&mut balancer, at(1), Event::RequestArrived(arrival));
+        let mut actions = vec![];
         for backend in 0..3 {
-            let report = Some(LoadReport {
-                in_flight: Some(held),
-                ..load_report(0.5, 0.0)
-            });
-            let p = LoadProbeResult {
-                backend: BackendId(backend),
-                outcome: AttemptOutcome::Success,
-                latency: ms(1),
-                load_report: report,
-            };
-            balancer.handle(at(2), Event::LoadProbeEnded(p), &mut actions);
+            let report = report_with(0.5, in_flight);
+            actions.extend(answer_probe(&mut balancer, BackendId(backend), report));
         }
-        actions
+        matches!(actions[..], [Action::StartAttempt { .. }])
     };
-    let sent = |work, held| matches!(decided(work, held)[..], [Action::StartAttempt { .. }]);
-    assert!(sent(aim.mul_f64(0.95), 0.0));
-    assert!(sent(aim / 10, 7.0));
-    assert!(!sent(aim / 10, 8.5));
+    assert!(is_sent(objective.mul_f64(0.95), 0.0));
+    assert!(is_sent(objective / 10, 7.0));
+    assert!(!is_sent(objective / 10, 8.5));
 }
 
 /// What the node itself has sent since an answer is not in it and must be counted in, or all
 /// requests of a moment would go to one backend.
 #[test]
 fn backends_that_answered_recently_are_not_probed_again() {
-    let probing = Settings {
-        load_reporting: LoadReporting::OnProbe,
-        throughput_reported: false,
-        load_probes_allowed: true,
-        ..settings()
-    };
-    let mut balancer = Balancer::new(probing, 5, at(0)).expect("sound settings");
+    let mut balancer = probing_balancer(3);
+    let first = arrive(&mut balancer, at(1), 1, WORK);
+    assert_eq!(probed_backends(&first).len(), 3);
+    let second = arrive(&mut balancer, at(1), 2, WORK);
+    assert_eq!(probed_backends(&second).len(), 0, "probed already");
     let mut actions = vec![];
-    balancer.handle(at(0), endpoint_snapshot(3), &mut actions);
-    let arrive = |balancer: &mut Balancer, now, id| {
-        let (request, class, tenant) = (RequestId(id), ClassId(1), TenantId(0));
-        let arrival = RequestArrival {
-            request,
-            class,
-            tenant,
-            remaining: ms(900),
-            work: Some(ms(100)),
-            body_pending: false,
-        };
-        let mut actions = vec![];
-        balancer.handle(now, Event::RequestArrived(arrival), &mut actions);
-        actions
-    };
-    let probes = |actions: &[Action]| {
-        actions
-            .iter()
-            .filter(|a| matches!(a, Action::SendLoadProbe { .. }))
-            .count()
-    };
-    assert_eq!(probes(&arrive(&mut balancer, at(1), 1)), 3);
-    assert_eq!(probes(&arrive(&mut balancer, at(1), 2)), 0, "asked already");
-    actions.clear();
     for backend in 0..3 {
-        let report = Some(LoadReport {
-            in_flight: Some(0.0),
-            ..load_report(0.1, 0.0)
-        });
-        let p = LoadProbeResult {
-            backend: BackendId(backend),
-            outcome: AttemptOutcome::Success,
-            latency: ms(1),
-            load_report: report,
-        };
-        balancer.handle(at(2), Event::LoadProbeEnded(p), &mut actions);
+        let report = report_with(0.1, 0.0);
+        actions.extend(answer_probe(&mut balancer, BackendId(backend), report));
     }
-    actions.extend(arrive(&mut balancer, at(3), 3));
-    let sent = |a: &Action| {
-        if let Action::StartAttempt { backend, .. } = a {
-            Some(*backend)
-        } else {
-            None
-        }
-    };
-    let mut sent: Vec<_> = actions.iter().filter_map(sent).collect();
-    sent.sort();
-    assert_eq!(
-        sent,
-        [BackendId(0), BackendId(1), BackendId(2)],
-        "{actions:?}"
-    );
-    assert_eq!(
-        probes(&arrive(&mut balancer, at(3000), 4)),
-        3,
-        "heard too long ago"
-    );
+    actions.extend(arrive(&mut balancer, at(3), 3, WORK));
+    let mut used: Vec<_> = actions.iter().filter_map(attempted_backend).collect();
+    used.sort();
+    assert_eq!(used, [0, 1, 2].map(BackendId), "{actions:?}");
+    let late = arrive(&mut balancer, at(3000), 4, WORK);
+    assert_eq!(probed_backends(&late).len(), 3, "answered too long ago");
 }
--- a/crates/balancer/src/selection_tests.rs
+++ b/crates/balancer/src/selection_tests.rs
@@ -2,32 +2,31 @@
 
 use super::*;
 use crate::request::AttemptStatus;
-use crate::test_common::{
-    at, attempt_ended, endpoint, endpoint_list, endpoint_snapshot, placed_settings, request,
-    request_arrived,
+use crate::test_common::{at, endpoint, handle, placed_settings, request, request_arrived};
+use crate::test_support::{
+    attempted_backend, balancer_of, balancer_with, change_endpoints, end_attempt, is_rejection,
+    share, shares,
 };
-use crate::test_support::{balancer_of, share};
-use crate::{Action, AttemptOutcome, Balancer, ClassId, EndpointState, ListUpdate, RequestId};
+use crate::{AttemptOutcome, ClassId, EndpointState, RequestId};
 
 #[test]
 fn draws_follow_shares() {
+    const DRAWS: u32 = 40_000;
     let mut balancer = balancer_of(4);
     balancer.allocation.classes[0].shares = vec![0.4, 0.8, 1.2, 1.6];
     balancer.allocation.classes[0].eligible_backends = 4.0;
     balancer.allocation.refreshed_at = Some(at(1));
-    let mut counts = [0.0; 4];
-    let request = request(1, 0);
-    let r = Request::new(at(1), ClassId(0), &request);
-    balancer.requests.insert(RequestId(1), r);
-    for _ in 0..40_000 {
+    let pending = Request::new(at(1), ClassId(0), &request(1, 0));
+    balancer.requests.insert(RequestId(1), pending);
+    let mut counts = [0u32; 4];
+    for _ in 0..DRAWS {
         let drawn = balancer.pick_backend(at(1), RequestId(1), WarmingBackends::Included);
-        counts[drawn.expect("all are active").0 as usize] += 1.0;
+        counts[drawn.expect("all are active").0 as usize] += 1;
     }
-    for (i, count) in counts.iter().enumerate() {
-        assert!(
-            (count / 40_000.0 - share(&balancer, 0, i as u32) / 4.0).abs() < 0.01,
-            "{counts:?}"
-        );
+    for (id, &count) in (0..).map(BackendId).zip(&counts) {
+        let fraction = f64::from(count) / f64::from(DRAWS);
+        let expected = share(&balancer, 0, id) / 4.0;
+        assert!((fraction - expected).abs() < 0.01, "{counts:?}");
     }
 }
 
@@ -35,93 +34,69 @@
 /// those are down or were tried.
 #[test]
 fn placed_classes_keep_to_their_allowed_backends() {
-    let mut balancer = Balancer::new(placed_settings(), 7, at(0)).expect("sound settings");
-    balancer.handle(at(0), endpoint_snapshot(9), &mut vec![]);
+    let mut balancer = balancer_with(placed_settings(), 9);
     balancer.refresh_allocation(at(0));
-    let m = &balancer.allocation.classes[1];
-    assert_eq!(m.eligible_backends, 6.0);
-    assert!(
-        (m.shares.iter().sum::<f64>() - 6.0).abs() < 1e-3,
+    // Class 1 may not go to machine type 1.
+    assert_eq!(balancer.allocation.classes[1].eligible_backends, 6.0);
+    let sum: f64 = shares(&balancer, 1).iter().sum();
+    assert!((sum - 6.0).abs() < 1e-3, "{:?}", shares(&balancer, 1));
+    let open = (0..9).filter(|&id| share(&balancer, 1, BackendId(id)) > 0.0);
+    assert_eq!(
+        open.filter(|id| id % 3 != 1).count(),
+        6,
         "{:?}",
-        m.shares
-    );
-    let open = (0..9).filter(|&s| share(&balancer, 1, s) > 0.0);
-    assert_eq!(open.filter(|s| s % 3 != 1).count(), 6, "{:?}", m.shares);
-    // Class 2 has backend 4 only: once that has turned it away nothing is left, and it is refused.
-    let mut actions = vec![];
-    balancer.handle(at(1), request_arrived(1, 2), &mut actions);
-    assert!(
-        matches!(
-            actions[..],
-            [Action::StartAttempt {
-                backend: BackendId(4),
-                ..
-            }]
-        ),
-        "{actions:?}"
-    );
-    actions.clear();
-    balancer.handle(
-        at(2),
-        attempt_ended(1, 0, BackendId(4), AttemptOutcome::Rejected, None),
-        &mut actions,
-    );
-    assert!(
-        matches!(actions[..], [Action::Reject { .. }]),
-        "{actions:?}"
+        shares(&balancer, 1)
     );
+    // Class 2 has backend 4 only: once that has rejected a request nothing is left for it.
+    let actions = handle(&mut balancer, at(1), request_arrived(1, 2));
+    let attempted: Vec<_> = actions.iter().map(attempted_backend).collect();
+    assert_eq!(attempted, [Some(BackendId(4))]);
+    let rejected = AttemptOutcome::Rejected;
+    let actions = end_attempt(&mut balancer, at(2), 1, BackendId(4), rejected);
+    assert!(is_rejection(&actions), "{actions:?}");
     // Class 3 is open nowhere.
-    actions.clear();
-    balancer.handle(at(3), request_arrived(2, 3), &mut actions);
-    assert!(
-        matches!(actions[..], [Action::Reject { .. }]),
-        "{actions:?}"
-    );
-    // The last gate holds whatever chose the backend.
-    actions.clear();
-    balancer.handle(at(4), request_arrived(3, 1), &mut vec![]);
-    let request = balancer.requests.get_mut(&RequestId(3)).expect("held");
+    let actions = handle(&mut balancer, at(3), request_arrived(2, 3));
+    assert!(is_rejection(&actions), "{actions:?}");
+    // The last check holds whatever chose the backend.
+    handle(&mut balancer, at(4), request_arrived(3, 1));
+    let request = balancer.requests.get_mut(&RequestId(3)).expect("pending");
     request.attempts.clear();
-    let wrong = BackendId(1);
-    balancer.start_attempt(at(4), RequestId(3), Some(wrong), &mut actions);
-    assert!(
-        matches!(actions[..], [Action::Reject { .. }]),
-        "{actions:?}"
-    );
+    let mut actions = vec![];
+    balancer.start_attempt(at(4), RequestId(3), Some(BackendId(1)), &mut actions);
+    assert!(is_rejection(&actions), "{actions:?}");
 }
 
 /// What tried or closed backends leave goes to warm ones: the chance of a warming backend does not
 /// grow.
 #[test]
 fn warming_backends_do_not_take_what_others_leave() {
+    const WARMING: BackendId = BackendId(0);
+    const DRAWS: u32 = 20_000;
     let mut balancer = balancer_of(4);
-    let entries = vec![endpoint(0, EndpointState::Active, Some(at(900)))];
-    balancer.handle(
-        at(1000),
-        endpoint_list(ListUpdate::Delta, entries),
-        &mut vec![],
-    );
-    let mut counts = [0u32; 4];
-    for k in 0..20_000 {
-        let id = RequestId(k);
-        let mut actions = vec![];
-        balancer.handle(at(1000), request_arrived(k, 0), &mut actions);
-        let Some(r) = balancer.requests.get_mut(&id) else {
+    let warming = endpoint(WARMING.0, EndpointState::Active, Some(at(900)));
+    change_endpoints(&mut balancer, at(1000), vec![warming]);
+    let mut draws_of_warming = 0;
+    for draw in 0..DRAWS {
+        let id = RequestId(u64::from(draw));
+        handle(&mut balancer, at(1000), request_arrived(id.0, 0));
+        let Some(request) = balancer.requests.get_mut(&id) else {
             continue;
         };
-        for a in &mut r.attempts {
-            a.status = AttemptStatus::NotExecuted;
-            a.backend = BackendId(1 + (k % 2) as u32);
+        for attempt in &mut request.attempts {
+            attempt.status = AttemptStatus::NotExecuted;
+            attempt.backend = BackendId(1 + draw % 2);
         }
-        if let Some(i) = balancer.pick_backend(at(1000), id, WarmingBackends::Included) {
-            counts[i.0 as usize] += 1;
+        let drawn = balancer.pick_backend(at(1000), id, WarmingBackends::Included);
+        if drawn == Some(WARMING) {
+            draws_of_warming += 1;
         }
         balancer.requests.remove(&id);
     }
-    let share = share(&balancer, 0, 0) / 4.0;
-    assert!(share > 0.005, "{share}");
+    let expected = share(&balancer, 0, WARMING) / 4.0;
+    assert!(expected > 0.005, "{expected}");
+    let fraction = f64::from(draws_of_warming) / f64::from(DRAWS);
     assert!(
-        (f64::from(counts[0]) / 20_000.0 - share).abs() < 0.005,
-        "{counts:?} for {share}"
+        (fraction - expected).abs() < 0.005,
+        "{fraction} for {expected}"
     );
 }
--- a/crates/balancer/src/share_allocation_tests.rs
+++ b/crates/balancer/src/share_allocation_tests.rs
@@ -3,145 +3,162 @@
 use super::*;
 use crate::fleet::USABLE_CAPACITY_FRACTION;
 use crate::test_common::{
-    at, attempt_ended, endpoint, endpoint_list, endpoint_snapshot, load_report, ms,
-    request_arrived, settings,
+    at, endpoint, endpoint_list, endpoint_snapshot, handle, load_report, ms, request_arrived,
+    settings,
 };
 use crate::test_support::{
     active_backends, attempt_result, balancer_of, balancer_of_unknown_capacity, balancer_with,
-    refresh_now, send_request, share, state_of, state_of_mut,
+    end_attempt, record_load_report, refresh_now, send_request, share, shares, state_of,
+    state_of_mut, unknown_capacity_settings, unreported_load_settings,
 };
 use crate::{
     AttemptOutcome, AttemptResult, BackendId, Balancer, EndpointState, Event, ListUpdate,
     MachineTypeId,
 };
+use std::collections::BTreeSet;
+
+fn eligible_backends(balancer: &Balancer) -> f64 {
+    balancer.allocation.classes[0].eligible_backends
+}
 
 /// Prices may differ so much that most shares would gather on one backend and overload it.
 #[test]
 fn no_backend_is_asked_for_more_than_its_capacity() {
-    let mut balancer = balancer_of(4);
-    for k in 0..200u64 {
-        let now = at(k * 10);
-        balancer.handle(now, request_arrived(k, 0), &mut vec![]);
-        for s in 0..4 {
-            balancer
-                .fleet
-                .record_load_report(now, BackendId(s), &load_report(0.9, 22.5));
+    /// Requests per second of each backend, by the reports below.
+    const CAPACITY: f64 = 25.0;
+    const BACKENDS: u32 = 4;
+    let mut balancer = balancer_of(BACKENDS);
+    // 100 requests per second arrive, which is the whole capacity; this node's part of it is a
+    // quarter.
+    for id in 0..200u64 {
+        let now = at(id * 10);
+        handle(&mut balancer, now, request_arrived(id, 0));
+        for backend in 0..BACKENDS {
+            let report = load_report(0.9, 0.9 * CAPACITY);
+            record_load_report(&mut balancer, now, BackendId(backend), &report);
         }
     }
-    // Capacity 25 a second and backend; this node's part of it is a quarter, it asks for 100.
-    for s in 1..4 {
-        balancer.record_failure(at(2000), BackendId(s), AttemptOutcome::ServerError);
+    for backend in 1..BACKENDS {
+        balancer.record_failure(at(2000), BackendId(backend), AttemptOutcome::ServerError);
     }
     balancer.refresh_allocation(at(2000));
-    let most = USABLE_CAPACITY_FRACTION * 25.0 * balancer.traffic_fraction.fraction() * 4.0
-        / balancer.allocation.classes[0].arrivals.advance(at(2000));
+    let usable_capacity =
+        USABLE_CAPACITY_FRACTION * CAPACITY * balancer.traffic_fraction.fraction();
+    let arrivals = balancer.allocation.classes[0].arrivals.advance(at(2000));
+    let max_share = usable_capacity * f64::from(BACKENDS) / arrivals;
     assert!(
-        balancer.allocation.classes[0]
-            .shares
+        shares(&balancer, 0)
             .iter()
-            .all(|s| *s <= most * 1.01),
-        "{:?} above {most}",
-        balancer.allocation.classes[0].shares
+            .all(|share| *share <= max_share * 1.01),
+        "{:?} above {max_share}",
+        shares(&balancer, 0)
     );
     assert!(
         balancer.admission.group(ClassId(0)).shed_threshold > 0.0,
-        "what finds no place is turned away"
+        "what finds no place is shed"
     );
 }
 
+/// What a node uses once it has settled.
+struct Usage {
+    /// Most backends among which it shares out its traffic.
+    eligible_backends: f64,
+    /// The backends that it sends to.
+    used: BTreeSet<BackendId>,
+}
+
+/// Sends 400 requests, 100 ms apart; connections to the `unreachable` fail.
+fn settle(balancer: &mut Balancer, first_request: u64, unreachable: &[BackendId]) -> Usage {
+    let mut usage = Usage {
+        eligible_backends: 0.0,
+        used: BTreeSet::new(),
+    };
+    for position in 0..400 {
+        let id = first_request + position;
+        let now = at(first_request + position * 100);
+        let Some(backend) = send_request(balancer, now, id) else {
+            continue;
+        };
+        let outcome = if unreachable.contains(&backend) {
+            AttemptOutcome::ConnectFailed
+        } else {
+            AttemptOutcome::Success
+        };
+        let result = AttemptResult {
+            request_closed: true,
+            latency: ms(50),
+            load_report: None,
+            ..attempt_result(id, backend, outcome)
+        };
+        handle(balancer, now, Event::AttemptEnded(result));
+        if position >= 200 {
+            usage.eligible_backends = usage.eligible_backends.max(eligible_backends(balancer));
+            usage.used.insert(backend);
+        }
+    }
+    usage
+}
+
 /// Closed backends make room for others among the few that a node uses; once they answer well they
 /// are enough again. The same holds for what warming ones cannot take. Where load is reported the
 /// few stay as they are.
 #[test]
 fn closed_and_warming_backends_make_room_for_others() {
-    let settings = Settings {
-        throughput_reported: false,
-        load_reporting: LoadReporting::Absent,
-        ..settings()
-    };
-    let mut balancer = balancer_with(settings, 40);
-    // The most backends dealt with, once it has settled, and those that are sent to.
-    let settle = |balancer: &mut Balancer, from: u64, bad: &[BackendId]| {
-        let (mut most, mut used) = (0.0f64, std::collections::BTreeSet::new());
-        for k in 0..400 {
-            let (now, id) = (at(from + k * 100), from + k);
-            let Some(backend) = send_request(balancer, now, id) else {
-                continue;
-            };
-            let outcome = if bad.contains(&backend) {
-                AttemptOutcome::ConnectFailed
-            } else {
-                AttemptOutcome::Success
-            };
-            let end = AttemptResult {
-                request_closed: true,
-                latency: ms(50),
-                load_report: None,
-                ..attempt_result(id, backend, outcome)
-            };
-            balancer.handle(now, Event::AttemptEnded(end), &mut vec![]);
-            if k >= 200 {
-                most = most.max(balancer.allocation.classes[0].eligible_backends);
-                used.insert(backend);
-            }
-        }
-        (most, used)
-    };
-    let (few, first) = settle(&mut balancer, 1, &[]);
-    let bad: Vec<BackendId> = first.iter().copied().take(5).collect();
-    let (more, used) = settle(&mut balancer, 100_000, &bad);
-    assert!(more >= few + 3.0, "{more} of {few}");
+    let first_five =
+        |usage: &Usage| -> Vec<BackendId> { usage.used.iter().copied().take(5).collect() };
+    let mut unreported = balancer_with(unreported_load_settings(), 40);
+    let before = settle(&mut unreported, 1, &[]);
+    let during = settle(&mut unreported, 100_000, &first_five(&before));
     assert!(
-        used.iter().any(|s| !first.contains(s)),
-        "{used:?} of {first:?}"
-    );
-    assert_eq!(settle(&mut balancer, 300_000, &[]).0, few);
-    let mut told = balancer_of_unknown_capacity();
-    let (few, first) = settle(&mut told, 1, &[]);
-    let bad: Vec<BackendId> = first.iter().copied().take(5).collect();
-    assert_eq!(settle(&mut told, 100_000, &bad).0, few);
-    // All cold: each takes a part only.
-    let mut cold = Balancer::new((*balancer.settings).clone(), 7, at(0)).expect("sound settings");
-    let entries = (0..40)
-        .map(|s| endpoint(s, EndpointState::Active, Some(at(0))))
-        .collect();
-    cold.handle(
-        at(0),
-        endpoint_list(ListUpdate::Snapshot, entries),
-        &mut vec![],
+        during.eligible_backends >= before.eligible_backends + 3.0,
+        "{} of {}",
+        during.eligible_backends,
+        before.eligible_backends
     );
-    cold.handle(at(1), request_arrived(1, 0), &mut vec![]);
     assert!(
-        cold.allocation.classes[0].eligible_backends > 2.0 * MIN_BACKENDS,
-        "{}",
-        cold.allocation.classes[0].eligible_backends
+        !during.used.is_subset(&before.used),
+        "{:?} of {:?}",
+        during.used,
+        before.used
     );
+    let after = settle(&mut unreported, 300_000, &[]);
+    assert_eq!(after.eligible_backends, before.eligible_backends);
+
+    let mut reported = balancer_of_unknown_capacity();
+    let before = settle(&mut reported, 1, &[]);
+    let during = settle(&mut reported, 100_000, &first_five(&before));
+    assert_eq!(during.eligible_backends, before.eligible_backends);
+
+    let mut all_warming = balancer_with(unreported_load_settings(), 0);
+    let endpoints = (0..40).map(|id| endpoint(id, EndpointState::Active, Some(at(0))));
+    let list = endpoint_list(ListUpdate::Snapshot, endpoints.collect());
+    handle(&mut all_warming, at(0), list);
+    handle(&mut all_warming, at(1), request_arrived(1, 0));
+    let eligible = eligible_backends(&all_warming);
+    assert!(eligible > 2.0 * MIN_BACKENDS, "{eligible}");
 }
 
 /// A node uses few backends, in an order of its own, and more of them as it sends more.
 #[test]
 fn a_node_uses_as_many_backends_as_it_hears_from() {
     let mut balancer = balancer_of_unknown_capacity();
-    let dealt = |balancer: &mut Balancer, from: u64, gap: u64| {
-        for k in 0..200 {
-            // Answered at once: one that answers nothing would make room for others.
-            let (now, id) = (at(from + k * gap), from + k);
+    let backends_at_interval = |balancer: &mut Balancer, first_request: u64, interval: u64| {
+        for position in 0..200 {
+            let id = first_request + position;
+            let now = at(first_request + position * interval);
             let backend = send_request(balancer, now, id).expect("an idle backend");
-            balancer.handle(
-                now,
-                Event::AttemptEnded(attempt_result(id, backend, AttemptOutcome::Success)),
-                &mut vec![],
-            );
+            // Answered at once: a backend that answers nothing would make room for others.
+            let result = attempt_result(id, backend, AttemptOutcome::Success);
+            handle(balancer, now, Event::AttemptEnded(result));
         }
-        balancer.allocation.classes[0].eligible_backends
+        eligible_backends(balancer)
     };
-    let slow = dealt(&mut balancer, 1, 500);
+    let slow = backends_at_interval(&mut balancer, 1, 500);
     assert_eq!(slow, MIN_BACKENDS);
-    // Ten times as many requests: it hears of more backends in time.
-    let fast = dealt(&mut balancer, 200_000, 50);
+    let fast = backends_at_interval(&mut balancer, 200_000, 50);
     assert!(fast > 2.0 * slow, "{fast}");
-    let mut other = Balancer::new((*balancer.settings).clone(), 8, at(0)).expect("sound settings");
-    other.handle(at(0), endpoint_snapshot(40), &mut vec![]);
+    let mut other = Balancer::new(unknown_capacity_settings(), 8, at(0)).expect("valid settings");
+    handle(&mut other, at(0), endpoint_snapshot(40));
     assert_ne!(
         active_backends(&balancer)[..5],
         active_backends(&other)[..5]
@@ -157,23 +174,21 @@
     settings.classes.truncate(2);
     settings.classes[1].allowed_machine_types = Some(vec![MachineTypeId(0)]);
     let mut balancer = balancer_with(settings, 3);
-    for m in &mut balancer.allocation.classes {
-        m.mean_work.record(0.01);
+    for class in &mut balancer.allocation.classes {
+        class.mean_work.record(0.01);
     }
-    for k in 0..100 {
-        balancer.handle(
-            at(1 + 10 * k),
-            request_arrived(k, (k % 2) as u8),
-            &mut vec![],
-        );
+    for id in 0..100 {
+        let event = request_arrived(id, (id % 2) as u8);
+        handle(&mut balancer, at(1 + 10 * id), event);
     }
+    let [allowed, other, another] = [0, 1, 2].map(|id| share(&balancer, 0, BackendId(id)));
     assert!(
-        share(&balancer, 0, 0) < 0.1,
-        "bookings fill it: {:?}",
-        balancer.allocation.classes[0].shares
+        allowed < 0.1,
+        "the placed class fills it: {:?}",
+        shares(&balancer, 0)
     );
-    assert!((share(&balancer, 1, 0) - 1.0).abs() < 1e-3);
-    assert!((share(&balancer, 0, 1) - share(&balancer, 0, 2)).abs() < 0.1);
+    assert!((share(&balancer, 1, BackendId(0)) - 1.0).abs() < 1e-3);
+    assert!((other - another).abs() < 0.1);
 }
 
 /// Reports lag. What a node has in flight itself beyond the usual makes a backend more expensive at
@@ -181,25 +196,18 @@
 #[test]
 fn own_attempts_in_flight_count_before_reports_do() {
     let mut balancer = balancer_of_unknown_capacity();
-    for k in 0..60 {
-        let backend = send_request(&mut balancer, at(k * 20), k).expect("sent");
-        balancer.handle(
-            at(k * 20 + 10),
-            attempt_ended(k, 0, backend, AttemptOutcome::Success, None),
-            &mut vec![],
-        );
+    for id in 0..60 {
+        let backend = send_request(&mut balancer, at(id * 20), id).expect("sent");
+        let success = AttemptOutcome::Success;
+        end_attempt(&mut balancer, at(id * 20 + 10), id, backend, success);
     }
-    let held = active_backends(&balancer)[0];
-    let i = held;
+    let loaded = active_backends(&balancer)[0];
     refresh_now(&mut balancer, at(1200));
-    let before = share(&balancer, 0, held.0);
-    state_of_mut(&mut balancer, i).in_flight = vec![at(1200); 3];
+    let before = share(&balancer, 0, loaded);
+    state_of_mut(&mut balancer, loaded).in_flight = vec![at(1200); 3];
     refresh_now(&mut balancer, at(1200));
-    assert!(
-        share(&balancer, 0, held.0) < 0.7 * before,
-        "{} from {before}",
-        share(&balancer, 0, held.0)
-    );
+    let after = share(&balancer, 0, loaded);
+    assert!(after < 0.7 * before, "{after} from {before}");
 }
 
 /// Within a price interval a node may send a dozen requests, which must not all follow what it had
@@ -207,28 +215,22 @@
 #[test]
 fn requests_of_one_price_interval_do_not_gather_on_one_backend() {
     let mut balancer = balancer_of_unknown_capacity();
-    balancer.handle(at(0), endpoint_snapshot(8), &mut vec![]);
-    for k in 0..100 {
-        let backend = send_request(&mut balancer, at(50 * k), k).expect("sent");
-        balancer.handle(
-            at(50 * k),
-            attempt_ended(k, 0, backend, AttemptOutcome::Success, None),
-            &mut vec![],
-        );
+    handle(&mut balancer, at(0), endpoint_snapshot(8));
+    for id in 0..100 {
+        let now = at(50 * id);
+        let backend = send_request(&mut balancer, now, id).expect("sent");
+        end_attempt(&mut balancer, now, id, backend, AttemptOutcome::Success);
     }
-    let cheap = active_backends(&balancer)[0];
-    let higher_price = state_of(&balancer, cheap).price + 0.6;
-    for other in &active_backends(&balancer)[1..] {
-        state_of_mut(&mut balancer, *other).price = higher_price;
+    let cheapest = active_backends(&balancer)[0];
+    let higher_price = state_of(&balancer, cheapest).price + 0.6;
+    for &other in &active_backends(&balancer)[1..] {
+        state_of_mut(&mut balancer, other).price = higher_price;
     }
-    for k in 0..20 {
-        send_request(&mut balancer, at(5000), 100 + k);
+    for id in 100..120 {
+        send_request(&mut balancer, at(5000), id);
     }
-    assert!(
-        (2..=8).contains(&state_of(&balancer, cheap).in_flight.len()),
-        "{} of 20",
-        state_of(&balancer, cheap).in_flight.len()
-    );
+    let in_flight = state_of(&balancer, cheapest).in_flight.len();
+    assert!((2..=8).contains(&in_flight), "{in_flight} of 20");
 }
 
 /// A backend without an open connection is more expensive by how often new ones fail.
@@ -236,20 +238,22 @@
 fn open_connections_count_where_new_ones_fail() {
     let mut balancer = balancer_of_unknown_capacity();
     balancer.refresh_allocation(at(0));
-    let (near, far) = (active_backends(&balancer)[0], active_backends(&balancer)[1]);
-    state_of_mut(&mut balancer, near).connected_at = Some(at(0));
+    let connected = active_backends(&balancer)[0];
+    let unconnected = active_backends(&balancer)[1];
+    let shares_of_both =
+        |balancer: &Balancer| [connected, unconnected].map(|id| share(balancer, 0, id));
+    state_of_mut(&mut balancer, connected).connected_at = Some(at(0));
     refresh_now(&mut balancer, at(50));
+    let [with, without] = shares_of_both(&balancer);
     assert!(
-        (share(&balancer, 0, near.0) - share(&balancer, 0, far.0)).abs() < 1e-3,
-        "as long as new ones succeed"
+        (with - without).abs() < 1e-3,
+        "as long as new connections succeed"
     );
     for id in 0..40 {
-        if let Some(backend) = send_request(&mut balancer, at(60), id).filter(|s| *s != near) {
-            balancer.handle(
-                at(61),
-                attempt_ended(id, 0, backend, AttemptOutcome::ConnectFailed, None),
-                &mut vec![],
-            );
+        let backend = send_request(&mut balancer, at(60), id);
+        if let Some(backend) = backend.filter(|&backend| backend != connected) {
+            let outcome = AttemptOutcome::ConnectFailed;
+            end_attempt(&mut balancer, at(61), id, backend, outcome);
         }
     }
     assert!(balancer.fleet.connect_failures.value() > 0.9);
@@ -259,18 +263,15 @@
         backend.in_flight.clear();
     }
     refresh_now(&mut balancer, at(200));
-    assert!(
-        share(&balancer, 0, near.0) > 3.0 * share(&balancer, 0, far.0),
-        "{:?}",
-        balancer.allocation.classes[0].shares
-    );
-    // Once the connection has surely closed it is as far as the others.
+    let [with, without] = shares_of_both(&balancer);
+    assert!(with > 3.0 * without, "{:?}", shares(&balancer, 0));
+    // By then the open connection has been idle for too long.
     balancer.refresh_allocation(at(70_000));
-    let (near, far) = (share(&balancer, 0, near.0), share(&balancer, 0, far.0));
+    let [with, without] = shares_of_both(&balancer);
+    let failing = balancer.fleet.connect_failures.value();
     assert!(
-        balancer.fleet.connect_failures.value() < 0.1 && near < 2.0 * far,
-        "{} {near} {far} {:?}",
-        balancer.fleet.connect_failures.value(),
-        balancer.allocation.classes[0].shares
+        failing < 0.1 && with < 2.0 * without,
+        "{failing} {with} {without} {:?}",
+        shares(&balancer, 0)
     );
 }
--- a/crates/balancer/src/test_support.rs
+++ b/crates/balancer/src/test_support.rs
@@ -1,17 +1,23 @@
-//! Access to the balancer's state for unit tests.
+//! Balancers for unit tests, and access to their state.
 
 use crate::backend::Backend;
+use crate::estimators::LatencyQuantile;
 use crate::test_common::{
-    at, attempt_ended, endpoint_snapshot, load_report, request_arrived, settings,
+    at, attempt_ended, endpoint_list, endpoint_snapshot, handle, load_report, request_arrived,
+    settings,
 };
 use crate::{
-    Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, Event, Settings, Time,
+    Action, AttemptOutcome, AttemptResult, BackendId, Balancer, ClassId, Endpoint, Event,
+    ListUpdate, LoadReport, LoadReporting, Settings, Time,
 };
+use std::time::Duration;
+
+const SEED: u64 = 7;
 
 /// A balancer of these settings with as many active backends.
 pub fn balancer_with(settings: Settings, backends: u32) -> Balancer {
-    let mut balancer = Balancer::new(settings, 7, at(0)).expect("valid settings");
-    balancer.handle(at(0), endpoint_snapshot(backends), &mut vec![]);
+    let mut balancer = Balancer::new(settings, SEED, at(0)).expect("valid settings");
+    handle(&mut balancer, at(0), endpoint_snapshot(backends));
     balancer
 }
 
@@ -29,6 +35,14 @@
     }
 }
 
+/// No load reports at all.
+pub fn unreported_load_settings() -> Settings {
+    Settings {
+        load_reporting: LoadReporting::Absent,
+        ..unknown_capacity_settings()
+    }
+}
+
 /// A balancer that cannot measure capacity, with 40 active backends.
 pub fn balancer_of_unknown_capacity() -> Balancer {
     balancer_with(unknown_capacity_settings(), 40)
@@ -58,13 +72,18 @@
         .collect()
 }
 
+/// The shares of a class in the node's order.
+pub fn shares(balancer: &Balancer, class: usize) -> &[f64] {
+    &balancer.allocation.classes[class].shares
+}
+
 /// The share of a backend in a class.
-pub fn share(balancer: &Balancer, class: usize, backend: u32) -> f64 {
+pub fn share(balancer: &Balancer, class: usize, backend: BackendId) -> f64 {
     let position = active_backends(balancer)
         .iter()
-        .position(|&id| id == BackendId(backend))
+        .position(|&id| id == backend)
         .expect("an active backend");
-    balancer.allocation.classes[class].shares[position]
+    shares(balancer, class)[position]
 }
 
 /// The fraction of the first class's arrivals that is shed.
@@ -77,15 +96,17 @@
     balancer.admission.group_mut(ClassId(0)).shed_fraction = shed_fraction;
 }
 
+/// Sets the typical latency of a response.
+pub fn set_typical_latency(balancer: &mut Balancer, latency: Duration) {
+    balancer.fleet.typical_latency = LatencyQuantile::new(latency.as_secs_f64());
+}
+
 /// Updates the price of a backend.
 pub fn update_price(balancer: &mut Balancer, id: BackendId, now: Time) {
-    let typical_latency = balancer.fleet.typical_latency.seconds();
-    let backend = balancer.fleet.backends.get_mut(id);
-    let backend = backend.expect("a known backend");
-    balancer
-        .fleet
-        .pricing
-        .update_price(now, backend, typical_latency);
+    let fleet = &mut balancer.fleet;
+    let typical_latency = fleet.typical_latency.seconds();
+    let backend = fleet.backends.get_mut(id).expect("a known backend");
+    fleet.pricing.update_price(now, backend, typical_latency);
 }
 
 /// Solves the shares anew.
@@ -94,21 +115,53 @@
     balancer.refresh_allocation(now);
 }
 
+/// A backend reports its load.
+pub fn record_load_report(balancer: &mut Balancer, now: Time, id: BackendId, report: &LoadReport) {
+    balancer.fleet.record_load_report(now, id, report);
+}
+
+/// A backend answers a request of this work and latency, both in seconds.
+pub fn record_response(
+    balancer: &mut Balancer,
+    now: Time,
+    id: BackendId,
+    latency: f64,
+    work: Option<f64>,
+) {
+    balancer.fleet.record_response(now, id, latency, work);
+}
+
+/// The endpoint list changes.
+pub fn change_endpoints(balancer: &mut Balancer, now: Time, endpoints: Vec<Endpoint>) {
+    handle(balancer, now, endpoint_list(ListUpdate::Delta, endpoints));
+}
+
 /// Sends one request of the first class and returns the backend of its attempt.
 pub fn send_request(balancer: &mut Balancer, now: Time, id: u64) -> Option<BackendId> {
-    let mut actions = vec![];
-    balancer.handle(now, request_arrived(id, 0), &mut actions);
-    actions.iter().find_map(started_at)
+    let actions = handle(balancer, now, request_arrived(id, 0));
+    actions.iter().find_map(attempted_backend)
 }
 
 /// The backend at which an action starts an attempt.
-pub fn started_at(action: &Action) -> Option<BackendId> {
+pub fn attempted_backend(action: &Action) -> Option<BackendId> {
     match action {
         Action::StartAttempt { backend, .. } => Some(*backend),
         _ => None,
     }
 }
 
+/// The first attempt of a request ends.
+pub fn end_attempt(
+    balancer: &mut Balancer,
+    now: Time,
+    request: u64,
+    backend: BackendId,
+    outcome: AttemptOutcome,
+) -> Vec<Action> {
+    let event = attempt_ended(request, 0, backend, outcome, None);
+    handle(balancer, now, event)
+}
+
 /// The end of a request's first attempt; only a success carries a load report.
 pub fn attempt_result(request: u64, backend: BackendId, outcome: AttemptOutcome) -> AttemptResult {
     let report = (outcome == AttemptOutcome::Success).then(|| load_report(0.3, 0.0));
@@ -117,3 +170,8 @@
     };
     result
 }
+
+/// Whether requests are rejected and nothing else.
+pub fn is_rejection(actions: &[Action]) -> bool {
+    matches!(actions, [Action::Reject { .. }])
+}
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -122,6 +122,13 @@
     Event::RequestArrived(request(id, class))
 }
 
+/// Feeds an event and returns what is to be done about it.
+pub fn handle(balancer: &mut Balancer, now: Time, event: Event) -> Vec<Action> {
+    let mut actions = vec![];
+    balancer.handle(now, event, &mut actions);
+    actions
+}
+
 pub fn load_report(busy: f64, rate: f64) -> LoadReport {
     LoadReport {
         utilization: Some(busy),
