--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -14,14 +14,8 @@
 /// Files that are still to be split, to which the limits on lines do not apply until then. An entry
 /// that is no longer needed fails the test.
 const NOT_YET_SPLIT: &[&str] = &[
-    "proxy/src/config.rs",
     "proxy/src/downstream/listener.rs",
-    "proxy/src/node.rs",
     "proxy/src/requests/dispatcher.rs",
-    "proxy/src/upstream/backend_registry.rs",
-    "soak-test/src/judge.rs",
-    "soak-test/src/play.rs",
-    "soak-test/src/server.rs",
 ];
 
 #[test]
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -9,12 +9,15 @@
 use crate::http1::limits::{MAX_BODY_BYTES, STALL_TIMEOUT};
 use crate::http1::upload::{RequestBody, Upload};
 use crate::metrics::Metrics;
-use crate::requests::dispatcher::{Dispatcher, FinalResponse, ForwardRequest};
+use crate::requests::dispatcher::Dispatcher;
+use crate::requests::request::{FinalResponse, ForwardRequest};
 use crate::resizable_semaphore::ResizableSemaphore;
 use crate::send_invariants::{self, Invariant};
+use crate::shutdown::ShutdownPhase;
 use crate::socket::{is_closed_by_peer, is_open_and_drained};
 use crate::transient_errors;
-use crate::upstream::backend_registry::{ResponseBody, MOST_BUFFERED};
+use crate::upstream::response::ResponseBody;
+use crate::upstream::MAX_WRITE_BUFFER;
 use balancer::Idempotency;
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body as _, Frame, Incoming as Body, SizeHint};
@@ -82,21 +85,6 @@
 /// `accept` that failed for want of resources is not tried again at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How far the node's end has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ShutdownPhase {
-    /// It serves.
-    Serving,
-    /// It serves, and asks clients to go elsewhere until the drain ends.
-    Draining,
-    /// It serves, and asks clients to go elsewhere next.
-    Leaving,
-    /// The same, while another process takes what comes to the listener.
-    HandingOver,
-    /// It takes no connections and finishes what it has.
-    Closing,
-}
-
 /// What a connection needs to know.
 pub struct Listener {
     engine: Rc<Dispatcher>,
@@ -220,7 +208,7 @@
         // In a drain each answer says to close: who is idle has been so since before.
         let idle = match phase {
             ShutdownPhase::Serving => IDLE,
-            ShutdownPhase::Draining | ShutdownPhase::Leaving | ShutdownPhase::HandingOver => {
+            ShutdownPhase::Draining | ShutdownPhase::ShuttingDown | ShutdownPhase::HandingOver => {
                 IDLE_LEAST
             }
             ShutdownPhase::Closing => Duration::ZERO,
@@ -509,7 +497,7 @@
         // Times are kept here, by one look at all connections now and then, not by a timer on each.
         let connection = http1::Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(MOST_BUFFERED)
+            .max_buf_size(MAX_WRITE_BUFFER)
             .serve_connection(
                 TokioIo::new(HeadFilter::new(client.socket.clone(), client.clone())),
                 service,
@@ -630,10 +618,10 @@
             class,
             tenant,
             work,
-            due,
+            deadline: due,
             remaining,
             id,
-            since,
+            first_byte_at: since,
             request: outgoing,
             client: Rc::downgrade(&client.socket),
         });
@@ -667,7 +655,7 @@
                 *response.headers_mut() = end_to_end_headers(head.headers);
                 response
             }
-            FinalResponse::Refused(wait) => {
+            FinalResponse::Rejected { retry_after: wait } => {
                 let mut response = plain(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "refused: trying again is harmless",
@@ -764,7 +752,7 @@
 
 /// Logs a failed `accept`, and waits where the next would fail as well.
 pub async fn accept_failed(engine: &Dispatcher, what: &str, error: &std::io::Error) {
-    if transient_errors::is_one_connections(error) {
+    if transient_errors::is_single_connection_error(error) {
         return engine
             .stats()
             .count_rejected_message("closed before it was accepted");
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,6 +4,7 @@
 mod admin;
 mod clock;
 mod config;
+mod config_reload;
 mod discovery;
 mod downstream;
 mod event_log;
@@ -12,11 +13,15 @@
 mod metrics;
 mod node;
 mod operator_state;
+mod peer_process;
 mod requests;
 mod resizable_semaphore;
+mod resource_limits;
 mod send_invariants;
+mod shutdown;
 mod socket;
 mod start_times;
+mod startup;
 mod transient_errors;
 mod upstream;
 
