--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -1,9 +1,9 @@
 //! From the JSON form to the balancer's settings.
 
 use crate::document::{
-    AttemptLimitsDocument, ClassDocument, DiscoveryMode, EndpointWeights, IdempotencyWord,
-    KeyScopeWord, LoadReportDocument, LoadReportingWord, ProtocolLimitsDocument, SettingsDocument,
-    TenantDocument, WeightUnit,
+    AttemptLimitsDocument, ClassDocument, DiscoveryMode, EndpointWeights, LoadReportDocument,
+    ProtocolLimitsDocument, SettingsDocument, TenantDocument, WeightUnit, WireIdempotency,
+    WireKeyScope, WireLoadReporting,
 };
 use crate::{InstanceSettings, LoadReportField, SettingNames};
 use balancer::{
@@ -81,9 +81,9 @@
 impl ClassDocument {
     fn idempotency(&self) -> Idempotency {
         match self.idempotency {
-            IdempotencyWord::Idempotent => Idempotency::Idempotent,
-            IdempotencyWord::NonIdempotent => Idempotency::NonIdempotent,
-            IdempotencyWord::Keyed => Idempotency::Keyed {
+            WireIdempotency::Idempotent => Idempotency::Idempotent,
+            WireIdempotency::NonIdempotent => Idempotency::NonIdempotent,
+            WireIdempotency::Keyed => Idempotency::Keyed {
                 scope: KeyScope::from(&self.key_scope),
                 window: Duration::from_nanos(self.key_window_ns),
             },
@@ -125,22 +125,22 @@
     }
 }
 
-impl From<&KeyScopeWord> for KeyScope {
-    fn from(word: &KeyScopeWord) -> Self {
-        match word {
-            KeyScopeWord::All => KeyScope::All,
-            KeyScopeWord::Zone => KeyScope::Zone,
-            KeyScopeWord::Cell => KeyScope::Cell,
+impl From<&WireKeyScope> for KeyScope {
+    fn from(value: &WireKeyScope) -> Self {
+        match value {
+            WireKeyScope::All => KeyScope::All,
+            WireKeyScope::Zone => KeyScope::Zone,
+            WireKeyScope::Cell => KeyScope::Cell,
         }
     }
 }
 
-impl From<&LoadReportingWord> for LoadReporting {
-    fn from(word: &LoadReportingWord) -> Self {
-        match word {
-            LoadReportingWord::WithResponses => LoadReporting::WithResponses,
-            LoadReportingWord::OnProbe => LoadReporting::OnProbe,
-            LoadReportingWord::Absent => LoadReporting::Absent,
+impl From<&WireLoadReporting> for LoadReporting {
+    fn from(value: &WireLoadReporting) -> Self {
+        match value {
+            WireLoadReporting::WithResponses => LoadReporting::WithResponses,
+            WireLoadReporting::OnProbe => LoadReporting::OnProbe,
+            WireLoadReporting::Absent => LoadReporting::Absent,
         }
     }
 }
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,4 +1,4 @@
-//! The settings as they are written in JSON, with the protocol's keys and words.
+//! The settings as they are written in JSON, with the protocol's keys and values.
 
 use crate::errors::ParseError;
 use serde::Deserialize;
@@ -71,7 +71,7 @@
 
 /// Which repeats of a request are harmless.
 #[derive(Deserialize)]
-pub(crate) enum IdempotencyWord {
+pub(crate) enum WireIdempotency {
     #[serde(rename = "free")]
     Idempotent,
     #[serde(rename = "guarded")]
@@ -82,7 +82,7 @@
 
 /// Where repeats with the same idempotency key are deduplicated.
 #[derive(Deserialize, Default)]
-pub(crate) enum KeyScopeWord {
+pub(crate) enum WireKeyScope {
     #[default]
     #[serde(rename = "all")]
     All,
@@ -94,7 +94,7 @@
 
 /// How load reports reach a node.
 #[derive(Deserialize)]
-pub(crate) enum LoadReportingWord {
+pub(crate) enum WireLoadReporting {
     #[serde(rename = "piggyback")]
     WithResponses,
     #[serde(rename = "pull")]
@@ -112,9 +112,9 @@
     pub(crate) latency_objective_ns: u64,
     pub(crate) deadline_ns: u64,
     #[serde(rename = "effect")]
-    pub(crate) idempotency: IdempotencyWord,
+    pub(crate) idempotency: WireIdempotency,
     #[serde(default)]
-    pub(crate) key_scope: KeyScopeWord,
+    pub(crate) key_scope: WireKeyScope,
     #[serde(rename = "repeat_window_ns", default)]
     pub(crate) key_window_ns: u64,
     #[serde(rename = "importance")]
@@ -162,7 +162,7 @@
     #[serde(default)]
     pub(crate) fields: Vec<String>,
     #[serde(rename = "how")]
-    pub(crate) reporting: LoadReportingWord,
+    pub(crate) reporting: WireLoadReporting,
 }
 
 /// The protocol's limits on drains, slow start and polls.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The JSON settings of an instance, turned into [`balancer::Settings`].
 //!
-//! This crate is the one place that knows the protocol's own keys and words; all other code uses the
+//! This crate is the one place that knows the protocol's own keys and values; all other code uses the
 //! balancer's terms.
 //!
 //! Read: `balancers`, `profiles` (with `runs_in` and `kinds_open`), `registry_mode`, `report`,
@@ -38,7 +38,7 @@
     pub names: SettingNames,
 }
 
-/// Reads an instance's settings. Unknown keys are skipped; unknown words are errors.
+/// Reads an instance's settings. Unknown keys are skipped; unknown values are errors.
 ///
 /// # Errors
 ///
--- a/crates/soak-test/src/backend.rs
+++ b/crates/soak-test/src/backend.rs
@@ -128,7 +128,7 @@
 
     async fn succeed(&self, connection: &Connection, attempt: &AttemptId) -> ConnectionUse {
         self.attempt_ended(attempt, Execution::Possible);
-        let body = format!("{} of server {}", attempt.request, self.backend);
+        let body = format!("{} of backend {}", attempt.request, self.backend);
         let load_report = self.load_report_header();
         let response = format!(
             "HTTP/1.1 200 OK\r\n{load_report}Content-Length: {}\r\n\r\n{body}",
--- a/crates/soak-test/src/invariants/attempts.rs
+++ b/crates/soak-test/src/invariants/attempts.rs
@@ -28,7 +28,7 @@
     pub backend: usize,
     /// When its first byte was seen.
     pub first_byte: Instant,
-    /// How long the backend was told that the node waits.
+    /// How long the node waits, by its `X-Timeout`.
     pub timeout: Option<Duration>,
     /// The connection on which it came.
     pub socket: Weak<TcpStream>,
@@ -86,7 +86,7 @@
             let backend = arrival.backend;
             self.violated(
                 Invariant::NoInventedMessage,
-                format!("server {backend} got request {request_id}, which no client sent"),
+                format!("backend {backend} got request {request_id}, which no client sent"),
             );
             return None;
         }
@@ -160,5 +160,5 @@
         return None;
     }
     let (timeout, left) = (timeout.as_millis(), left.as_millis());
-    Some(format!("{timeout} ms given to a server, {left} ms left"))
+    Some(format!("{timeout} ms given to a backend, {left} ms left"))
 }
--- a/crates/soak-test/src/invariants/drain.rs
+++ b/crates/soak-test/src/invariants/drain.rs
@@ -99,7 +99,7 @@
         let late = (first_byte - notified).as_millis();
         let discovery = self.discovery.describe(self.traffic_started);
         Some(format!(
-            "sent to server {backend}, {late} ms after the node was notified (discovery: {discovery})"
+            "sent to backend {backend}, {late} ms after the node was notified (discovery: {discovery})"
         ))
     }
 
--- a/crates/soak-test/src/invariants/requests.rs
+++ b/crates/soak-test/src/invariants/requests.rs
@@ -95,7 +95,7 @@
         for attempt in &request.attempts {
             let _ = write!(
                 trace,
-                ", attempt at server {} {} (execution: {:?})",
+                ", attempt at backend {} {} (execution: {:?})",
                 attempt.backend,
                 self.trace_time(attempt.first_byte),
                 attempt.execution
--- a/crates/soak-test/src/invariants/responses.rs
+++ b/crates/soak-test/src/invariants/responses.rs
@@ -54,7 +54,8 @@
 
 fn invention_problem(id: &str, status: u16, body: &[u8]) -> Option<String> {
     let made_by_backend = body.starts_with(format!("{id} ").as_bytes());
-    (status == 200 && !made_by_backend).then(|| "served with what no server made for it".to_owned())
+    (status == 200 && !made_by_backend)
+        .then(|| "served with what no backend made for it".to_owned())
 }
 
 fn late_problem(request: &RequestRecord, status: u16) -> Option<Problem> {
--- a/crates/soak-test/src/invariants/slow_start.rs
+++ b/crates/soak-test/src/invariants/slow_start.rs
@@ -91,7 +91,7 @@
             .count();
         let mostly_informed = informed * 3 > arrived * 2;
         mostly_informed.then(|| {
-            format!("server {backend} in slow start got {arrived} of {allowed:.0} allowed")
+            format!("backend {backend} in slow start got {arrived} of {allowed:.0} allowed")
         })
     }
 }
