--- a/crates/soak-test/src/backend.rs
+++ b/crates/soak-test/src/backend.rs
@@ -3,7 +3,7 @@
 use crate::cluster::TestCluster;
 use crate::http::{Connection, Message};
 use crate::invariants::{AttemptArrival, AttemptId, Execution};
-use crate::plan::{BackendBehavior, CORES_PER_BACKEND};
+use crate::plan::{BackendBehavior, BackendIndex, CORES_PER_BACKEND};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -27,7 +27,7 @@
 }
 
 /// Serves a backend's connections for good.
-pub async fn serve(cluster: Rc<TestCluster>, backend: usize, listener: TcpListener) {
+pub async fn serve(cluster: Rc<TestCluster>, backend: BackendIndex, listener: TcpListener) {
     let cores = Rc::new(Semaphore::new(CORES_PER_BACKEND));
     loop {
         let Ok((socket, _)) = listener.accept().await else {
@@ -45,13 +45,13 @@
 /// Serves one connection of a backend.
 struct Handler {
     cluster: Rc<TestCluster>,
-    backend: usize,
+    backend: BackendIndex,
     cores: Rc<Semaphore>,
 }
 
 impl Handler {
     async fn serve_until_restart(self, connection: Connection) {
-        let mut starts = self.cluster.backends[self.backend].starts.subscribe();
+        let mut starts = self.cluster.backends[self.backend.0].starts.subscribe();
         starts.mark_unchanged();
         let socket = connection.socket.clone();
         tokio::select! {
@@ -79,7 +79,7 @@
         let Some(attempt) = self.cluster.checker().attempt_arrived(request_id, arrival) else {
             return ConnectionUse::Close;
         };
-        let backend = &self.cluster.backends[self.backend];
+        let backend = &self.cluster.backends[self.backend.0];
         let behavior = backend.behavior.get();
         if behavior == BackendBehavior::Reject || backend.in_flight.get() >= MAX_IN_FLIGHT {
             self.attempt_ended(&attempt, Execution::Never);
@@ -118,7 +118,7 @@
 
     /// Waits for a core and works on it.
     async fn execute(&self) {
-        let in_flight = &self.cluster.backends[self.backend].in_flight;
+        let in_flight = &self.cluster.backends[self.backend.0].in_flight;
         in_flight.set(in_flight.get() + 1);
         let core = self.cores.acquire().await;
         tokio::time::sleep(self.cluster.plan.service_time).await;
@@ -141,7 +141,7 @@
         if !self.cluster.plan.load_reports {
             return String::new();
         }
-        let in_flight = self.cluster.backends[self.backend].in_flight.get();
+        let in_flight = self.cluster.backends[self.backend.0].in_flight.get();
         let utilization = (in_flight as f64 / CORES_PER_BACKEND as f64).min(1.0);
         let queue_depth = in_flight.saturating_sub(CORES_PER_BACKEND);
         format!("X-Server-Load: {{\"utilization\":{utilization:.2},\"backlog\":{queue_depth}}}\r\n")
--- a/crates/soak-test/src/clients/mod.rs
+++ b/crates/soak-test/src/clients/mod.rs
@@ -6,7 +6,7 @@
 use crate::cluster::TestCluster;
 use crate::http::{Connection, ConnectionEnd, Message};
 use crate::invariants::{OBSERVER_ALLOWANCE, RESPONSE_ALLOWANCE};
-use crate::plan::Idempotency;
+use crate::plan::{ClassIndex, Idempotency};
 use crate::proxy_node::ProxyNode;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -69,7 +69,7 @@
 
 impl Clients {
     fn new(cluster: Rc<TestCluster>, node: Rc<ProxyNode>, kind: ClientKind) -> Rc<Self> {
-        let stream = node.index as u64 * 2 + kind as u64;
+        let stream = node.index.0 as u64 * 2 + kind as u64;
         let seed = cluster
             .plan
             .seed
@@ -225,14 +225,14 @@
         Exchange::Closed
     }
 
-    fn draw_class(&self) -> usize {
+    fn draw_class(&self) -> ClassIndex {
         let classes = self.cluster.plan.classes.len();
-        self.random.borrow_mut().random_range(0..classes)
+        ClassIndex(self.random.borrow_mut().random_range(0..classes))
     }
 
-    fn draw_request(&self, id: &str, class: usize) -> ClientRequest {
+    fn draw_request(&self, id: &str, class: ClassIndex) -> ClientRequest {
         let plan = &self.cluster.plan;
-        let class = &plan.classes[class];
+        let class = &plan.classes[class.0];
         let timeout = class.deadline.mul_f64(0.3 + 0.7 * self.uniform());
         let timeout_ms = timeout.as_millis() as u64;
         let cost = plan.service_time.as_micros();
--- a/crates/soak-test/src/cluster.rs
+++ b/crates/soak-test/src/cluster.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery_mode::DiscoveryMode;
 use crate::invariants::InvariantChecker;
-use crate::plan::{BackendBehavior, Plan};
+use crate::plan::{BackendBehavior, BackendIndex, Plan};
 use std::cell::{Cell, RefCell, RefMut};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -143,26 +143,26 @@
     }
 
     /// Lists a backend as draining or removed.
-    pub fn take_out(&self, backend: usize, state: EndpointState) {
+    pub fn take_out(&self, backend: BackendIndex, state: EndpointState) {
         self.checker().backend_taken_out(backend);
         self.change_endpoint(backend, |backend| backend.state.set(state));
     }
 
     /// Restarts a backend under its id: its connections are reset and its slow start begins.
-    pub fn restart_backend(&self, backend: usize) {
+    pub fn restart_backend(&self, backend: BackendIndex) {
         self.checker().backend_started(backend);
         let started_at = unix_milliseconds();
-        self.backends[backend]
+        self.backends[backend.0]
             .starts
             .send_modify(|starts| *starts += 1);
-        self.backends[backend].in_flight.set(0);
+        self.backends[backend.0].in_flight.set(0);
         self.change_endpoint(backend, |backend| backend.started_at_ms.set(started_at));
     }
 
     /// Changes a backend's entry in the endpoint list.
-    fn change_endpoint(&self, backend: usize, change: impl FnOnce(&Backend)) {
+    fn change_endpoint(&self, backend: BackendIndex, change: impl FnOnce(&Backend)) {
         let revision = *self.list_revision.borrow() + 1;
-        let backend = &self.backends[backend];
+        let backend = &self.backends[backend.0];
         change(backend);
         backend.changed_in.set(revision);
         self.list_revision.send_replace(revision);
--- a/crates/soak-test/src/discovery.rs
+++ b/crates/soak-test/src/discovery.rs
@@ -4,7 +4,7 @@
 use crate::cluster::{AddressGroup, EndpointState, TestCluster};
 use crate::discovery_mode::DiscoveryMode;
 use crate::http::{Connection, Message};
-use crate::plan::ZONE_NAMES;
+use crate::plan::{BackendIndex, NodeIndex, ZONE_NAMES};
 use serde_json::{json, Value};
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,14 +27,14 @@
 /// The address cannot be bound.
 pub async fn listen(
     cluster: &TestCluster,
-    node: usize,
+    node: NodeIndex,
     generation: usize,
 ) -> std::io::Result<TcpListener> {
-    TcpListener::bind(cluster.address(AddressGroup::Discovery { generation }, node)).await
+    TcpListener::bind(cluster.address(AddressGroup::Discovery { generation }, node.0)).await
 }
 
 /// Serves the calls of one node until it is aborted. Open calls outlast that.
-pub fn serve(cluster: Rc<TestCluster>, node: usize, listener: TcpListener) -> AbortHandle {
+pub fn serve(cluster: Rc<TestCluster>, node: NodeIndex, listener: TcpListener) -> AbortHandle {
     spawn_local(async move {
         loop {
             let Ok((socket, _)) = listener.accept().await else {
@@ -50,7 +50,7 @@
     .abort_handle()
 }
 
-async fn serve_connection(cluster: Rc<TestCluster>, node: usize, mut connection: Connection) {
+async fn serve_connection(cluster: Rc<TestCluster>, node: NodeIndex, mut connection: Connection) {
     if *cluster.discovery_mode.borrow() == DiscoveryMode::Down {
         return connection.reset();
     }
@@ -64,7 +64,7 @@
     }
 }
 
-async fn serve_call(cluster: &TestCluster, node: usize, connection: &mut Connection) {
+async fn serve_call(cluster: &TestCluster, node: NodeIndex, connection: &mut Connection) {
     let Ok(request) = connection.read().await else {
         return;
     };
@@ -86,7 +86,7 @@
 
 async fn serve_snapshot(
     cluster: &TestCluster,
-    node: usize,
+    node: NodeIndex,
     connection: &Connection,
 ) -> std::io::Result<()> {
     let list = endpoint_list(cluster, node, None).to_string();
@@ -99,7 +99,7 @@
 
 async fn serve_watch(
     cluster: &TestCluster,
-    node: usize,
+    node: NodeIndex,
     connection: &Connection,
     since: u64,
 ) -> std::io::Result<()> {
@@ -127,10 +127,11 @@
 
 /// The whole list, or what has changed in it since a revision. The node counts as notified of it from
 /// now on.
-fn endpoint_list(cluster: &TestCluster, node: usize, since: Option<u64>) -> Value {
+fn endpoint_list(cluster: &TestCluster, node: NodeIndex, since: Option<u64>) -> Value {
     let mut checker = cluster.checker();
     let mut members = Vec::new();
     for (index, backend) in cluster.backends.iter().enumerate() {
+        let index = BackendIndex(index);
         if backend.state.get() != EndpointState::Active {
             checker.drain_written(node, index);
         } else if backend.started_at_ms.get() > 0 {
@@ -151,9 +152,9 @@
     })
 }
 
-fn endpoint(cluster: &TestCluster, index: usize) -> Value {
-    let backend = &cluster.backends[index];
-    let location = cluster.plan.locations[index];
+fn endpoint(cluster: &TestCluster, index: BackendIndex) -> Value {
+    let backend = &cluster.backends[index.0];
+    let location = cluster.plan.locations[index.0];
     let phase = match backend.state.get() {
         EndpointState::Active => "active",
         EndpointState::Draining => "leaving",
--- a/crates/soak-test/src/fault_injector.rs
+++ b/crates/soak-test/src/fault_injector.rs
@@ -3,7 +3,9 @@
 use crate::cluster::{EndpointState, TestCluster};
 use crate::discovery;
 use crate::discovery_mode::DiscoveryMode;
-use crate::plan::{BackendBehavior, Fault, ScheduledFault, SystemCallFault};
+use crate::plan::{
+    BackendBehavior, BackendIndex, Fault, NodeIndex, ScheduledFault, SystemCallFault,
+};
 use crate::proxy_node::ProxyNode;
 use fault_injection::SystemCall;
 use std::cell::Cell;
@@ -93,14 +95,14 @@
         }
     }
 
-    fn chosen<'a>(&'a self, nodes: &'a [usize]) -> impl Iterator<Item = &'a Rc<ProxyNode>> {
-        nodes.iter().map(|&node| &self.nodes[node])
+    fn chosen<'a>(&'a self, nodes: &'a [NodeIndex]) -> impl Iterator<Item = &'a Rc<ProxyNode>> {
+        nodes.iter().map(|&node| &self.nodes[node.0])
     }
 
     /// Does something at these nodes at the same time, and waits for all.
     async fn on_nodes<F: Future<Output = ()> + 'static>(
         &self,
-        nodes: &[usize],
+        nodes: &[NodeIndex],
         action: impl Fn(Rc<ProxyNode>) -> F,
     ) {
         let tasks: Vec<_> = self
@@ -113,7 +115,7 @@
     }
 
     /// Lets system calls of these nodes fail or pause for a while.
-    async fn disturb(&self, nodes: &[usize], set_faults: impl Fn(&ProxyNode)) {
+    async fn disturb(&self, nodes: &[NodeIndex], set_faults: impl Fn(&ProxyNode)) {
         for node in self.chosen(nodes) {
             set_faults(node);
         }
@@ -123,21 +125,21 @@
         }
     }
 
-    fn take_out(&self, backends: &[usize], state: EndpointState) {
+    fn take_out(&self, backends: &[BackendIndex], state: EndpointState) {
         for &backend in backends {
             self.cluster.take_out(backend, state);
         }
     }
 
-    async fn misbehave(&self, backends: &[usize], behavior: BackendBehavior) {
+    async fn misbehave(&self, backends: &[BackendIndex], behavior: BackendBehavior) {
         self.set_behavior(backends, behavior);
         sleep(self.duration).await;
         self.set_behavior(backends, BackendBehavior::Normal);
     }
 
-    fn set_behavior(&self, backends: &[usize], behavior: BackendBehavior) {
+    fn set_behavior(&self, backends: &[BackendIndex], behavior: BackendBehavior) {
         for &backend in backends {
-            self.cluster.backends[backend].behavior.set(behavior);
+            self.cluster.backends[backend.0].behavior.set(behavior);
         }
     }
 
--- a/crates/soak-test/src/invariants/attempts.rs
+++ b/crates/soak-test/src/invariants/attempts.rs
@@ -4,6 +4,7 @@
 use super::requests::RequestRecord;
 use super::{Invariant, InvariantChecker, Problem, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
 use crate::http::Connection;
+use crate::plan::BackendIndex;
 use std::rc::Weak;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
@@ -25,7 +26,7 @@
 /// An attempt that has reached a backend.
 pub struct AttemptArrival {
     /// Position of the backend.
-    pub backend: usize,
+    pub backend: BackendIndex,
     /// When its first byte was seen.
     pub first_byte: Instant,
     /// How long the node waits, by its `X-Timeout`.
@@ -45,7 +46,7 @@
 
 /// What is known of an attempt.
 pub(super) struct AttemptRecord {
-    pub(super) backend: usize,
+    pub(super) backend: BackendIndex,
     pub(super) first_byte: Instant,
     pub(super) execution: Execution,
     answered: bool,
--- a/crates/soak-test/src/invariants/drain.rs
+++ b/crates/soak-test/src/invariants/drain.rs
@@ -3,6 +3,7 @@
 
 use super::{InvariantChecker, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
 use crate::discovery_mode::DiscoveryMode;
+use crate::plan::{BackendIndex, NodeIndex};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -21,9 +22,9 @@
     process_started: Instant,
     last_reload: Option<Instant>,
     /// When it was written that a backend drains or is removed, by backend.
-    drains_written: HashMap<usize, Instant>,
+    drains_written: HashMap<BackendIndex, Instant>,
     /// When a backend's start was written, by backend.
-    starts_written: HashMap<usize, Instant>,
+    starts_written: HashMap<BackendIndex, Instant>,
 }
 
 impl NodeNotifications {
@@ -38,48 +39,48 @@
     }
 
     /// Whether a backend's start was written before `at`.
-    pub(super) fn knew_start(&self, backend: usize, at: Instant) -> bool {
+    pub(super) fn knew_start(&self, backend: BackendIndex, at: Instant) -> bool {
         self.starts_written
             .get(&backend)
             .is_some_and(|written| *written < at)
     }
 
     /// Forgets a backend's earlier start.
-    pub(super) fn forget_start(&mut self, backend: usize) {
+    pub(super) fn forget_start(&mut self, backend: BackendIndex) {
         self.starts_written.remove(&backend);
     }
 }
 
 impl InvariantChecker {
     /// A node's process starts.
-    pub fn node_started(&mut self, node: usize) {
-        self.nodes[node] = NodeNotifications::new(Instant::now());
+    pub fn node_started(&mut self, node: NodeIndex) {
+        self.nodes[node.0] = NodeNotifications::new(Instant::now());
     }
 
     /// A node was signalled to read its configuration again.
-    pub fn node_reloaded(&mut self, node: usize) {
-        self.nodes[node].last_reload = Some(Instant::now());
+    pub fn node_reloaded(&mut self, node: NodeIndex) {
+        self.nodes[node.0].last_reload = Some(Instant::now());
     }
 
     /// Discovery has written to a node that a backend drains or is removed.
-    pub fn drain_written(&mut self, node: usize, backend: usize) {
-        self.nodes[node]
+    pub fn drain_written(&mut self, node: NodeIndex, backend: BackendIndex) {
+        self.nodes[node.0]
             .drains_written
             .entry(backend)
             .or_insert_with(Instant::now);
     }
 
     /// Discovery has written a backend's start to a node.
-    pub fn start_written(&mut self, node: usize, backend: usize) {
-        self.nodes[node]
+    pub fn start_written(&mut self, node: NodeIndex, backend: BackendIndex) {
+        self.nodes[node.0]
             .starts_written
             .entry(backend)
             .or_insert_with(Instant::now);
     }
 
     /// A backend begins to drain or is removed.
-    pub fn backend_taken_out(&mut self, backend: usize) {
-        self.backends[backend]
+    pub fn backend_taken_out(&mut self, backend: BackendIndex) {
+        self.backends[backend.0]
             .taken_out
             .get_or_insert_with(Instant::now);
     }
@@ -87,8 +88,8 @@
     /// What is wrong with an attempt that began at `first_byte`, if the backend drains.
     pub(super) fn drain_problem(
         &self,
-        node: usize,
-        backend: usize,
+        node: NodeIndex,
+        backend: BackendIndex,
         first_byte: Instant,
     ) -> Option<String> {
         let notified = self.notified_of_drain(node, backend)?;
@@ -104,9 +105,9 @@
     }
 
     /// When a node counted as notified that a backend drains or is removed, if it did.
-    fn notified_of_drain(&self, node: usize, backend: usize) -> Option<Instant> {
-        let taken_out = self.backends[backend].taken_out?;
-        let notifications = &self.nodes[node];
+    fn notified_of_drain(&self, node: NodeIndex, backend: BackendIndex) -> Option<Instant> {
+        let taken_out = self.backends[backend.0].taken_out?;
+        let notifications = &self.nodes[node.0];
         let since = taken_out.max(notifications.process_started);
         let reachable =
             self.discovery
--- a/crates/soak-test/src/invariants/duplicates.rs
+++ b/crates/soak-test/src/invariants/duplicates.rs
@@ -4,7 +4,7 @@
 use super::attempts::AttemptRecord;
 use super::requests::RequestRecord;
 use super::{InvariantChecker, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
-use crate::plan::{Idempotency, KeyScope};
+use crate::plan::{BackendIndex, Idempotency, KeyScope};
 use std::time::Instant;
 
 impl InvariantChecker {
@@ -12,14 +12,14 @@
     pub(super) fn duplicate_problem(
         &self,
         request: &RequestRecord,
-        backend: usize,
+        backend: BackendIndex,
         first_byte: Instant,
     ) -> Option<String> {
         let any_in_flight = || request.attempts.iter().any(AttemptRecord::is_in_flight);
         if !self.plan.hedging_allowed && any_in_flight() {
             return Some("another attempt is in flight".to_owned());
         }
-        let class = &self.plan.classes[request.class];
+        let class = &self.plan.classes[request.class.0];
         let earlier = request
             .attempts
             .iter()
@@ -44,8 +44,8 @@
     }
 
     /// Whether two backends deduplicate each other's keys.
-    fn in_scope(&self, scope: KeyScope, first: usize, second: usize) -> bool {
-        let (first, second) = (self.plan.locations[first], self.plan.locations[second]);
+    fn in_scope(&self, scope: KeyScope, first: BackendIndex, second: BackendIndex) -> bool {
+        let (first, second) = (self.plan.locations[first.0], self.plan.locations[second.0]);
         match scope {
             KeyScope::All => true,
             KeyScope::Zone => first.zone == second.zone,
--- a/crates/soak-test/src/invariants/requests.rs
+++ b/crates/soak-test/src/invariants/requests.rs
@@ -2,15 +2,16 @@
 
 use super::attempts::AttemptRecord;
 use super::{Invariant, InvariantChecker, Problem};
+use crate::plan::{ClassIndex, NodeIndex};
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
 /// What is known of a request.
 pub(super) struct RequestRecord {
     /// Position of its class in the plan.
-    pub(super) class: usize,
+    pub(super) class: ClassIndex,
     /// Position of the node to which it was sent.
-    pub(super) node: usize,
+    pub(super) node: NodeIndex,
     /// When its client had written its last byte.
     pub(super) sent: Option<Instant>,
     /// How long its client waits.
@@ -29,7 +30,13 @@
 
 impl InvariantChecker {
     /// A client begins to write a request.
-    pub fn request_started(&mut self, id: &str, class: usize, node: usize, timeout: Duration) {
+    pub fn request_started(
+        &mut self,
+        id: &str,
+        class: ClassIndex,
+        node: NodeIndex,
+        timeout: Duration,
+    ) {
         self.totals.requests += 1;
         let request = RequestRecord {
             class,
@@ -83,7 +90,7 @@
         let Some(request) = self.requests.get(id) else {
             return format!("request {id}, which no client sent");
         };
-        let class = self.plan.classes[request.class].name;
+        let class = self.plan.classes[request.class.0].name;
         let mut trace = format!("request {id} ({class}) at node {}", request.node);
         if let Some(sent) = request.sent {
             let (sent, timeout) = (self.trace_time(sent), request.timeout.as_millis());
--- a/crates/soak-test/src/invariants/responses.rs
+++ b/crates/soak-test/src/invariants/responses.rs
@@ -43,7 +43,7 @@
 
     /// Whether a rejection's promise holds, that a retry is harmless.
     fn may_be_rejected(&self, request: &RequestRecord) -> bool {
-        let class = &self.plan.classes[request.class];
+        let class = &self.plan.classes[request.class.0];
         match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed => class.key_scope == KeyScope::All || !request.may_have_executed(),
--- a/crates/soak-test/src/invariants/slow_start.rs
+++ b/crates/soak-test/src/invariants/slow_start.rs
@@ -2,7 +2,9 @@
 //! multiple of its capacity from nodes that knew of its start.
 
 use super::InvariantChecker;
-use crate::plan::{CORES_PER_BACKEND, OVERLOAD_DURATION, OVERLOAD_MULTIPLE};
+use crate::plan::{
+    BackendIndex, NodeIndex, CORES_PER_BACKEND, OVERLOAD_DURATION, OVERLOAD_MULTIPLE,
+};
 use std::collections::VecDeque;
 use std::time::Instant;
 
@@ -12,7 +14,7 @@
 /// One attempt at a backend in slow start.
 struct Arrival {
     at: Instant,
-    node: usize,
+    node: NodeIndex,
 }
 
 /// What is known of a backend.
@@ -29,7 +31,7 @@
 
 impl BackendRecord {
     /// Notes an attempt, and forgets those that are too old to count with it.
-    fn push_arrival(&mut self, at: Instant, node: usize) {
+    fn push_arrival(&mut self, at: Instant, node: NodeIndex) {
         self.arrivals.push_back(Arrival { at, node });
         while self
             .arrivals
@@ -43,8 +45,8 @@
 
 impl InvariantChecker {
     /// A backend starts again.
-    pub fn backend_started(&mut self, backend: usize) {
-        let record = &mut self.backends[backend];
+    pub fn backend_started(&mut self, backend: BackendIndex) {
+        let record = &mut self.backends[backend.0];
         record.started = Some(Instant::now());
         record.arrivals.clear();
         for node in &mut self.nodes {
@@ -53,8 +55,8 @@
     }
 
     /// The fraction of its capacity that a backend has now.
-    fn available_capacity(&self, backend: usize, now: Instant) -> f64 {
-        let Some(started) = self.backends[backend].started else {
+    fn available_capacity(&self, backend: BackendIndex, now: Instant) -> f64 {
+        let Some(started) = self.backends[backend.0].started else {
             return 1.0;
         };
         let initial = self.plan.slow_start_initial_capacity;
@@ -66,12 +68,12 @@
     /// sent that knew of its start.
     pub(super) fn slow_start_problem(
         &mut self,
-        node: usize,
-        backend: usize,
+        node: NodeIndex,
+        backend: BackendIndex,
         now: Instant,
     ) -> Option<String> {
         let available_capacity = self.available_capacity(backend, now);
-        let record = &mut self.backends[backend];
+        let record = &mut self.backends[backend.0];
         if available_capacity >= 1.0 || record.overloaded {
             return None;
         }
@@ -87,7 +89,7 @@
         let informed = record
             .arrivals
             .iter()
-            .filter(|arrival| self.nodes[arrival.node].knew_start(backend, arrival.at))
+            .filter(|arrival| self.nodes[arrival.node.0].knew_start(backend, arrival.at))
             .count();
         let mostly_informed = informed * 3 > arrived * 2;
         mostly_informed.then(|| {
--- a/crates/soak-test/src/plan/fault.rs
+++ b/crates/soak-test/src/plan/fault.rs
@@ -1,5 +1,6 @@
 //! What goes wrong in a run, and when.
 
+use super::{BackendIndex, NodeIndex};
 use std::time::Duration;
 
 /// How a backend treats requests.
@@ -62,19 +63,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// Nodes get SIGTERM, and start again once they have ended.
-    TerminateNodes(Vec<usize>),
+    TerminateNodes(Vec<NodeIndex>),
     /// Nodes get SIGKILL, and start again at once.
-    KillNodes(Vec<usize>),
+    KillNodes(Vec<NodeIndex>),
     /// Nodes get a configuration with another address of discovery, and SIGHUP.
-    ReloadNodes(Vec<usize>),
+    ReloadNodes(Vec<NodeIndex>),
     /// Backends begin to drain, and stay up.
-    DrainBackends(Vec<usize>),
+    DrainBackends(Vec<BackendIndex>),
     /// Backends leave the endpoint list, and go on responding.
-    RemoveBackends(Vec<usize>),
+    RemoveBackends(Vec<BackendIndex>),
     /// Backends restart under the same id.
-    RestartBackends(Vec<usize>),
+    RestartBackends(Vec<BackendIndex>),
     /// Backends behave like this for a while.
-    Misbehave(Vec<usize>, BackendBehavior),
+    Misbehave(Vec<BackendIndex>, BackendBehavior),
     /// Discovery refuses every call and ends its watches for a while.
     DiscoveryDown,
     /// Open watches and calls of discovery get no more bytes for a while.
@@ -84,11 +85,11 @@
     /// All open watches are reset once.
     ResetWatches,
     /// System calls of nodes fail for a while.
-    FailSystemCalls(Vec<usize>, SystemCallFault),
+    FailSystemCalls(Vec<NodeIndex>, SystemCallFault),
     /// Nodes pause at times between reading events and reacting to them, for a while.
-    PauseNodes(Vec<usize>),
+    PauseNodes(Vec<NodeIndex>),
     /// The wall clock of nodes is set this many seconds ahead of the system's.
-    StepWallClock(Vec<usize>, i64),
+    StepWallClock(Vec<NodeIndex>, i64),
     /// Clients disconnect before their response, for a while.
     ImpatientClients,
     /// Peers that send no proper request come, for a while.
--- a/crates/soak-test/src/plan/mod.rs
+++ b/crates/soak-test/src/plan/mod.rs
@@ -2,10 +2,12 @@
 //! seed runs the same faults again.
 
 mod fault;
+mod positions;
 mod request_class;
 mod settings;
 
 pub use fault::{BackendBehavior, Fault, ScheduledFault, SystemCallFault};
+pub use positions::{BackendIndex, ClassIndex, NodeIndex};
 pub use request_class::{Idempotency, KeyScope, RequestClass};
 
 use fault::{FAULTY_BEHAVIORS, SYSTEM_CALL_FAULTS};
@@ -119,12 +121,12 @@
 
     fn draw_fault(&self, random: &mut SmallRng) -> Fault {
         // Both are drawn for every fault, so that a seed's draws don't depend on its kind.
-        let nodes = draw_positions(random, self.nodes);
-        let backends = draw_positions(random, self.backends / 2);
+        let nodes = draw_positions(random, self.nodes, NodeIndex);
+        let backends = draw_positions(random, self.backends / 2, BackendIndex);
         match random.random_range(0..17) {
             0 | 1 => Fault::TerminateNodes(nodes),
             2 => Fault::KillNodes(nodes),
-            3 | 4 => Fault::ReloadNodes((0..self.nodes).collect()),
+            3 | 4 => Fault::ReloadNodes((0..self.nodes).map(NodeIndex).collect()),
             5 | 6 => Fault::DrainBackends(backends),
             7 => Fault::RemoveBackends(backends),
             8 => Fault::RestartBackends(backends),
@@ -197,7 +199,10 @@
 }
 
 /// Up to half of `count` positions, in random order.
-fn draw_positions(random: &mut SmallRng, count: usize) -> Vec<usize> {
+fn draw_positions<T>(random: &mut SmallRng, count: usize, position: impl Fn(usize) -> T) -> Vec<T> {
     let amount = random.random_range(1..=count.div_ceil(2));
-    rand::seq::index::sample(random, count, amount).into_vec()
+    rand::seq::index::sample(random, count, amount)
+        .into_iter()
+        .map(position)
+        .collect()
 }
--- a/crates/soak-test/src/proxy_node.rs
+++ b/crates/soak-test/src/proxy_node.rs
@@ -4,7 +4,7 @@
 use crate::discovery;
 use crate::http::Connection;
 use crate::invariants::Invariant;
-use crate::plan::ZONE_NAMES;
+use crate::plan::{NodeIndex, ZONE_NAMES};
 use fault_injection::{ControlFile, CONTROL_FILE_VARIABLE};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -51,7 +51,7 @@
 /// One node: a process, and what is needed to start it again.
 pub struct ProxyNode {
     /// Its position.
-    pub index: usize,
+    pub index: NodeIndex,
     /// Where clients connect.
     pub address: SocketAddr,
     /// The faults of its system calls.
@@ -84,7 +84,7 @@
     /// Its folder or files cannot be written, or an address cannot be bound.
     pub async fn new(
         cluster: &Rc<TestCluster>,
-        index: usize,
+        index: NodeIndex,
         folder: &Path,
         programs: Programs<'_>,
     ) -> io::Result<Rc<Self>> {
@@ -92,7 +92,7 @@
         std::fs::create_dir_all(folder.join("tmp"))?;
         let control = ControlFile::create(&folder.join("faults"))?;
         // The system gives out the port once, and the node keeps it: nobody else uses the address.
-        let address = cluster.address(AddressGroup::Nodes, index);
+        let address = cluster.address(AddressGroup::Nodes, index.0);
         let address = std::net::TcpListener::bind(address)?.local_addr()?;
         let node = Rc::new(ProxyNode {
             index,
@@ -147,12 +147,12 @@
     fn write_config(&self, discovery: SocketAddr) -> io::Result<()> {
         let plan = &self.cluster.plan;
         let mut settings = plan.settings();
-        settings["zone"] = json!(self.index % ZONE_NAMES.len());
+        settings["zone"] = json!(self.index.0 % ZONE_NAMES.len());
         let config = json!({
             "name": format!("n{}", self.index),
             "listen": self.address.to_string(),
             "discovery": discovery.to_string(),
-            "seed": format!("{:x}", plan.seed + self.index as u64),
+            "seed": format!("{:x}", plan.seed + self.index.0 as u64),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "settings": settings,
         });
--- a/crates/soak-test/src/run.rs
+++ b/crates/soak-test/src/run.rs
@@ -5,7 +5,7 @@
 use crate::cluster::{NewCluster, TestCluster};
 use crate::fault_injector;
 use crate::invariants::{Totals, Violation};
-use crate::plan::Plan;
+use crate::plan::{BackendIndex, NodeIndex, Plan};
 use crate::proxy_node::{Programs, ProxyNode};
 use std::future::Future;
 use std::io;
@@ -51,7 +51,11 @@
         backend_listeners,
     } = TestCluster::create(plan, network).await?;
     for (index, listener) in backend_listeners.into_iter().enumerate() {
-        spawn_local(backend::serve(cluster.clone(), index, listener));
+        spawn_local(backend::serve(
+            cluster.clone(),
+            BackendIndex(index),
+            listener,
+        ));
     }
     let nodes = start_nodes(&cluster, folder, programs).await?;
     spawn_local(measure_lag(cluster.clone()));
@@ -77,7 +81,7 @@
 ) -> io::Result<Vec<Rc<ProxyNode>>> {
     let mut nodes = Vec::new();
     for index in 0..cluster.plan.nodes {
-        nodes.push(ProxyNode::new(cluster, index, folder, programs).await?);
+        nodes.push(ProxyNode::new(cluster, NodeIndex(index), folder, programs).await?);
     }
     join(spawn_for_each(&nodes, |node| async move {
         node.start().await;
--- a/crates/soak-test/tests/plan.rs
+++ b/crates/soak-test/tests/plan.rs
@@ -1,6 +1,8 @@
 //! A seed runs the same faults in every version, so that a failure can be run again.
 
-use soak_test::plan::{BackendBehavior, Fault, Idempotency, KeyScope, Plan, ScheduledFault};
+use soak_test::plan::{
+    BackendBehavior, BackendIndex, Fault, Idempotency, KeyScope, NodeIndex, Plan, ScheduledFault,
+};
 use std::time::Duration;
 
 const SEED: u64 = 2;
@@ -15,6 +17,14 @@
     Duration::from_millis(count)
 }
 
+fn nodes(positions: [usize; 2]) -> Vec<NodeIndex> {
+    positions.map(NodeIndex).to_vec()
+}
+
+fn backends(positions: [usize; 2]) -> Vec<BackendIndex> {
+    positions.map(BackendIndex).to_vec()
+}
+
 #[test]
 fn settings_and_sizes_of_a_seed_stay_the_same() {
     let plan = plan();
@@ -65,23 +75,27 @@
     assert_eq!(
         plan().faults,
         [
-            fault(1_562_976_517, 2_905_596_844, Fault::PauseNodes(vec![2, 0])),
-            fault(1_607_445_087, 592_223_309, Fault::KillNodes(vec![0, 3])),
+            fault(
+                1_562_976_517,
+                2_905_596_844,
+                Fault::PauseNodes(nodes([2, 0]))
+            ),
+            fault(1_607_445_087, 592_223_309, Fault::KillNodes(nodes([0, 3]))),
             fault(
                 1_847_728_756,
                 1_981_226_917,
-                Fault::TerminateNodes(vec![2, 0])
+                Fault::TerminateNodes(nodes([2, 0]))
             ),
             fault(
                 1_863_286_681,
                 2_835_895_896,
-                Fault::DrainBackends(vec![1, 3])
+                Fault::DrainBackends(backends([1, 3]))
             ),
-            fault(2_181_021_717, 847_922_688, Fault::PauseNodes(vec![0, 2])),
+            fault(2_181_021_717, 847_922_688, Fault::PauseNodes(nodes([0, 2]))),
             fault(
                 2_221_624_858,
                 665_839_901,
-                Fault::Misbehave(vec![1, 2], BackendBehavior::Garbage)
+                Fault::Misbehave(backends([1, 2]), BackendBehavior::Garbage)
             ),
         ]
     );
