--- a/crates/proxy/src/admin/operator_control.rs
+++ b/crates/proxy/src/admin/operator_control.rs
@@ -54,7 +54,7 @@
                 self.apply();
                 let state = self.store.state();
                 self.log.log(format_args!(
-                    "operator state updated by peer process draining={} in_maintenance={}",
+                    "operator state updated from file draining={} in_maintenance={}",
                     state.draining,
                     state.in_maintenance.len()
                 ));
--- a/crates/proxy/src/discovery/state.rs
+++ b/crates/proxy/src/discovery/state.rs
@@ -1,4 +1,5 @@
-//! What discovery calls share: where the endpoint list is, what is known of it, and who is told.
+//! What discovery calls share: discovery's address, what is held of the endpoint list, and
+//! the receiver of events.
 
 use super::wire::EndpointList;
 use crate::event_log::EventLog;
@@ -45,9 +46,9 @@
     /// The list held comes from another address than the present one, so that changes to it are of
     /// no use.
     needs_snapshot: Cell<bool>,
-    lists_received: Cell<u64>,
+    /// Whether a first list may come soon.
+    first_list_pending: Cell<bool>,
     watches_opened: Cell<u64>,
-    watch_was_rejected: Cell<bool>,
     /// The watch at the previous address. It runs until the present address has sent a snapshot.
     superseded_watch: RefCell<Option<AbortHandle>>,
     /// A call that was given up because nothing came, and may still bring something.
@@ -64,15 +65,14 @@
             event_handler: OnceCell::new(),
             revision: Cell::new(0),
             needs_snapshot: Cell::new(false),
-            lists_received: Cell::new(0),
+            first_list_pending: Cell::new(mode == DiscoveryMode::Pushed),
             watches_opened: Cell::new(0),
-            watch_was_rejected: Cell::new(false),
             superseded_watch: RefCell::default(),
             unanswered_call: RefCell::default(),
         }
     }
 
-    /// Sets who is told of events. Only the first call has an effect.
+    /// Sets the receiver of events. Only the first call has an effect.
     pub fn set_event_handler(&self, handler: impl Fn(DiscoveryEvent) + 'static) {
         let _ = self.event_handler.set(Box::new(handler));
     }
@@ -118,14 +118,12 @@
     /// Whether there is no first list to wait for: one has come or can't be had, or lists are polled
     /// and the list of the configuration serves until then.
     pub fn is_settled(&self) -> bool {
-        self.mode == DiscoveryMode::Polled
-            || self.lists_received.get() > 0
-            || self.watch_was_rejected.get()
+        !self.first_list_pending.get()
     }
 
-    /// Notes that a watch was rejected, so that there is no first list to wait for.
-    pub fn set_watch_was_rejected(&self) {
-        self.watch_was_rejected.set(true);
+    /// Notes that a watch failed at once, so that there is no first list to wait for.
+    pub fn stop_awaiting_first_list(&self) {
+        self.first_list_pending.set(false);
     }
 
     /// How many watches have been opened so far.
@@ -150,7 +148,7 @@
 
     /// Takes a list that discovery has sent from `source`, and hands it on.
     pub fn publish(&self, list: &EndpointList, source: SocketAddr) {
-        self.lists_received.set(self.lists_received.get() + 1);
+        self.first_list_pending.set(false);
         if list.is_snapshot && source == self.address.get() {
             self.needs_snapshot.set(false);
             abort(self.superseded_watch.take());
--- a/crates/proxy/src/discovery/watch_loop.rs
+++ b/crates/proxy/src/discovery/watch_loop.rs
@@ -36,7 +36,7 @@
 }
 
 impl EndpointWatcher {
-    /// A watcher that does nothing until it is told to. `seed` is that of the process.
+    /// A watcher that does nothing until it is started. `seed` is that of the process.
     pub fn new(mode: DiscoveryMode, address: SocketAddr, seed: u64, log: EventLog) -> Rc<Self> {
         Rc::new_cyclic(|me| EndpointWatcher {
             me: me.clone(),
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Sets who is told of events. Only the first call has an effect.
+    /// Sets the receiver of events. Only the first call has an effect.
     pub fn set_event_handler(&self, handler: impl Fn(DiscoveryEvent) + 'static) {
         self.state.set_event_handler(handler);
     }
@@ -120,7 +120,7 @@
                 opening_timeout = INITIAL_OPENING_TIMEOUT;
             }
             if !matches!(error, WatchError::Silent) {
-                self.state.set_watch_was_rejected();
+                self.state.stop_awaiting_first_list();
             }
             // The time that an unanswered call took counts as a pause.
             let pause = backoff
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,9 @@
 //! A reverse proxy on real sockets. The `balancer` crate decides; this crate carries its decisions
 //! out.
+//!
+//! `node` builds the parts and connects them. A request comes in through `downstream`, is kept and
+//! dispatched by `requests`, and goes out through `upstream`. `discovery` receives endpoint lists,
+//! `admin` operators' commands, whose effects `operator_state` stores. Everything runs on one thread.
 
 mod admin;
 mod clock;
--- a/crates/proxy/src/operator_state/store_tests.rs
+++ b/crates/proxy/src/operator_state/store_tests.rs
@@ -119,7 +119,7 @@
     assert!(!new.peer_process_running());
 }
 
-/// As a version of the program has written it that an upgrade may find beside this one.
+/// Written by an older version of the program, which may run beside this one during an upgrade.
 const STORED_BY_AN_OLDER_VERSION: &str = r#"{"version":1,"node":"n","word":{"draining":true,"out":["a","c"],"returned":{"b":1796285865475}}}"#;
 
 fn state_of_the_older_version() -> OperatorState {
--- a/crates/proxy/src/resource_limits.rs
+++ b/crates/proxy/src/resource_limits.rs
@@ -5,10 +5,10 @@
 /// Descriptors for all that is neither client nor backend: standard streams, the listener, discovery
 /// and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Memory that one request takes at most: its body and response, and the buffers of both connections.
+/// Memory that one request uses at most: its body and response, and the buffers of both connections.
 const MAX_REQUEST_BYTES: usize = 200 << 10;
 
-/// What the process may use. A peer process of the same node takes half of the machine's part.
+/// What the process may use. Half of it while a peer process of the same node runs.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
     /// Descriptors of the node's processes together.
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -73,7 +73,7 @@
     /// process accepts them, and then requests and messages in flight are finished.
     ///
     /// `longest_deadline` is that of any request, `server` the task that accepts connections and ends
-    /// with the last of them, and `is_busy` tells whether a request or a message is still in flight.
+    /// with the last of them, and `is_busy` says whether a request or a message is still in flight.
     pub async fn run(
         &self,
         handing_over: bool,
--- a/crates/proxy/src/startup_log.rs
+++ b/crates/proxy/src/startup_log.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the system does not tell a listener's address.
+/// Fails if a listener's address cannot be read.
 pub fn log_start(
     log: &EventLog,
     listeners: &Listeners,
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-/// The line of the log that tells the settings in force.
+/// The log line with the settings in force.
 pub fn settings_summary(instance: &InstanceSettings, pool_sizes: PoolSizes) -> String {
     let settings = &instance.settings;
     let limits = &settings.protocol_limits;
--- a/crates/proxy/tests/listener_inheritance.rs
+++ b/crates/proxy/tests/listener_inheritance.rs
@@ -104,10 +104,10 @@
     let (mut old, _old_watch) = shared.start(&discovery, &members).await;
     let (mut new, _new_watch) = shared.start(&discovery, &members).await;
     assert_eq!(new.admin_call("POST", "/backends/a/maint").await, 200);
-    old.wait_for_log("operator state updated by peer process draining=false in_maintenance=1")
+    old.wait_for_log("operator state updated from file draining=false in_maintenance=1")
         .await;
     assert_eq!(old.admin_call("POST", "/healthcheck/fail").await, 200);
-    new.wait_for_log("operator state updated by peer process draining=true in_maintenance=1")
+    new.wait_for_log("operator state updated from file draining=true in_maintenance=1")
         .await;
     assert_eq!(new.get("/health/ready").await.status(), 503);
     // The drain does not hold up an upgrade.
--- a/crates/proxy/tests/operator_state.rs
+++ b/crates/proxy/tests/operator_state.rs
@@ -160,7 +160,7 @@
         assert_eq!(proxy.admin_call("POST", "/healthcheck/fail").await, 500);
     }
     proxy
-        .wait_for_log("operator state updated by peer process draining=false in_maintenance=2")
+        .wait_for_log("operator state updated from file draining=false in_maintenance=2")
         .await;
     assert_eq!(node_state.in_maintenance(), ["a", "b"]);
 }
