--- a/crates/proxy/src/admin/operator_control.rs
+++ b/crates/proxy/src/admin/operator_control.rs
@@ -1,9 +1,9 @@
 //! Carries out operators' commands: changes the stored operator state and applies it.
 
 use super::commands::{AdminCommand, AdminReply};
+use crate::endpoint_updates::EndpointUpdates;
 use crate::event_log::EventLog;
 use crate::operator_state::store::{OperatorState, OperatorStateStore};
-use crate::requests::dispatcher::Dispatcher;
 use crate::shutdown::{ShutdownController, ShutdownPhase};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 /// Applies the operator state to this process, whichever process of the node has changed it.
 pub struct OperatorControl {
     log: EventLog,
-    dispatcher: Rc<Dispatcher>,
+    endpoint_updates: Rc<EndpointUpdates>,
     shutdown: Rc<ShutdownController>,
     store: Rc<OperatorStateStore>,
     slow_start_duration: Duration,
@@ -25,14 +25,14 @@
     /// from maintenance.
     pub fn new(
         log: EventLog,
-        dispatcher: Rc<Dispatcher>,
+        endpoint_updates: Rc<EndpointUpdates>,
         shutdown: Rc<ShutdownController>,
         store: Rc<OperatorStateStore>,
         slow_start_duration: Duration,
     ) -> Self {
         let control = OperatorControl {
             log,
-            dispatcher,
+            endpoint_updates,
             shutdown,
             store,
             slow_start_duration,
@@ -67,8 +67,10 @@
     /// Forgets returns from maintenance of backends that have warmed up: the next process could not
     /// tell how long ago they were.
     async fn forget_warmed_up(&self) {
-        let has_warmed_up =
-            |name: &String| self.dispatcher.warmed_up(name, self.slow_start_duration);
+        let has_warmed_up = |name: &String| {
+            self.endpoint_updates
+                .has_warmed_up(name, self.slow_start_duration)
+        };
         let any_warmed_up = self
             .store
             .state()
@@ -102,7 +104,9 @@
 
     fn check_health(&self) -> AdminReply {
         match self.shutdown.phase() {
-            ShutdownPhase::Serving | ShutdownPhase::Draining if !self.dispatcher.ready() => {
+            ShutdownPhase::Serving | ShutdownPhase::Draining
+                if !self.endpoint_updates.is_ready() =>
+            {
                 AdminReply::NoEndpointList
             }
             ShutdownPhase::Serving => AdminReply::Ready,
@@ -126,7 +130,7 @@
     }
 
     async fn start_maintenance(&self, backend: &str) -> Result<AdminReply, NotStored> {
-        let is_listed = self.dispatcher.knows(backend);
+        let is_listed = self.endpoint_updates.is_listed(backend);
         let start = |state: &mut OperatorState| {
             let is_known = is_listed || state.in_maintenance.contains(backend);
             if is_known {
@@ -139,7 +143,7 @@
     }
 
     async fn end_maintenance(&self, backend: &str) -> Result<AdminReply, NotStored> {
-        let is_listed = self.dispatcher.knows(backend);
+        let is_listed = self.endpoint_updates.is_listed(backend);
         let end = |state: &mut OperatorState| {
             let was_in_maintenance = state.in_maintenance.remove(backend);
             if was_in_maintenance {
@@ -172,7 +176,7 @@
     /// Applies the state to this process.
     fn apply(&self) {
         let state = self.store.state();
-        self.dispatcher.apply_operator_state(&state);
+        self.endpoint_updates.apply_operator_state(&state);
         self.shutdown.set_draining(state.draining);
     }
 }
--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -66,7 +66,7 @@
 pub async fn handle_accept_error(dispatcher: &Dispatcher, operation: &str, error: &std::io::Error) {
     if transient_errors::is_single_connection_error(error) {
         dispatcher
-            .stats()
+            .metrics()
             .count_rejected_message(CloseReason::ClosedBeforeAccept);
         return;
     }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -5,6 +5,7 @@
 use crate::downstream::connection_table::{ConnectionSlot, ConnectionTable};
 use crate::downstream::connection_task::ConnectionTask;
 use crate::downstream::request_handler::RequestHandler;
+use crate::endpoint_updates::EndpointUpdates;
 use crate::requests::dispatcher::Dispatcher;
 use crate::shutdown::ShutdownPhase;
 use balancer::Idempotency;
@@ -37,13 +38,19 @@
     /// `listening_since`.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
+        endpoint_updates: Rc<EndpointUpdates>,
         idempotency_by_class: Vec<Idempotency>,
         max_connections: usize,
         listening_since: Instant,
         phase: watch::Receiver<ShutdownPhase>,
     ) -> Rc<Self> {
-        let handler = RequestHandler::new(dispatcher.clone(), idempotency_by_class, phase.clone());
-        let connections = ConnectionTable::new(max_connections, dispatcher.stats().clone());
+        let handler = RequestHandler::new(
+            dispatcher.clone(),
+            endpoint_updates,
+            idempotency_by_class,
+            phase.clone(),
+        );
+        let connections = ConnectionTable::new(max_connections, dispatcher.metrics().clone());
         Rc::new(Listener {
             dispatcher,
             handler: Rc::new(handler),
@@ -119,7 +126,7 @@
     fn start_connection(&self, accepted: QueuedConnection, slot: ConnectionSlot) {
         let _ = accepted.stream.set_nodelay(true);
         let connection = ClientConnection::new(accepted.stream, accepted.queued_since);
-        let metrics = self.dispatcher.stats();
+        let metrics = self.dispatcher.metrics();
         metrics.count(|c| c.connections_accepted += 1);
         // Inserted before its task runs: a burst may take all slots within one turn of the runtime,
         // and only connections in the table can be evicted.
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -5,6 +5,7 @@
 use crate::downstream::responses::{
     final_response, plain_text, rejection, set_connection_close, ClientBody,
 };
+use crate::endpoint_updates::EndpointUpdates;
 use crate::http1::body::{buffer_body, BufferedPart};
 use crate::http1::error::MessageError;
 use crate::http1::hop_by_hop::end_to_end_headers;
@@ -41,6 +42,7 @@
 /// Handles the requests of all client connections.
 pub struct RequestHandler {
     dispatcher: Rc<Dispatcher>,
+    endpoint_updates: Rc<EndpointUpdates>,
     idempotency_by_class: Vec<Idempotency>,
     phase: watch::Receiver<ShutdownPhase>,
 }
@@ -58,11 +60,13 @@
     /// A handler for the classes with these idempotencies.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
+        endpoint_updates: Rc<EndpointUpdates>,
         idempotency_by_class: Vec<Idempotency>,
         phase: watch::Receiver<ShutdownPhase>,
     ) -> Self {
         RequestHandler {
             dispatcher,
+            endpoint_updates,
             idempotency_by_class,
             phase,
         }
@@ -86,8 +90,8 @@
     fn health_response(&self, method: &Method, uri: &Uri) -> Option<Response<ClientBody>> {
         match (method, uri.path()) {
             (&Method::GET, "/health/ready") => {
-                let is_ready =
-                    self.dispatcher.ready() && *self.phase.borrow() == ShutdownPhase::Serving;
+                let is_ready = self.endpoint_updates.is_ready()
+                    && *self.phase.borrow() == ShutdownPhase::Serving;
                 let status = if is_ready {
                     StatusCode::OK
                 } else {
@@ -96,7 +100,7 @@
                 Some(plain_text(status, ""))
             }
             (&Method::GET, "/health/live") => {
-                let revision = self.dispatcher.revision();
+                let revision = self.endpoint_updates.revision();
                 Some(plain_text(StatusCode::OK, format!("list {revision}\n")))
             }
             _ => None,
@@ -120,7 +124,7 @@
         let upload = received.body.upload().cloned();
         let pending = self
             .dispatcher
-            .arrival(ForwardRequest {
+            .submit(ForwardRequest {
                 class: head.class,
                 tenant: head.tenant,
                 work: head.work,
@@ -137,11 +141,11 @@
         let response = match &upload {
             None => {
                 let overdue = tokio::time::sleep_until(due + grace);
-                pending.answer(overdue).await
+                pending.response(overdue).await
             }
             Some(upload) => {
                 let overdue = self.streaming_overdue(id, upload, remaining + grace);
-                pending.answer(overdue).await
+                pending.response(overdue).await
             }
         };
         check_upload(upload.as_deref(), connection)?;
@@ -157,7 +161,7 @@
     async fn streaming_overdue(&self, id: RequestId, upload: &Upload, time_limit: Duration) {
         upload.ended().await;
         if upload.is_complete() {
-            self.dispatcher.uploaded(id);
+            self.dispatcher.request_body_received(id);
         }
         tokio::time::sleep(time_limit).await;
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -11,6 +11,7 @@
 mod config_reload;
 mod discovery;
 mod downstream;
+mod endpoint_updates;
 mod event_log;
 mod http1;
 mod listener_inheritance;
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -8,6 +8,7 @@
 use crate::discovery::state::{DiscoveryEvent, DiscoveryMode};
 use crate::discovery::watch_loop::EndpointWatcher;
 use crate::downstream::listener::Listener;
+use crate::endpoint_updates::EndpointUpdates;
 use crate::event_log::EventLog;
 use crate::metrics::{Metrics, LOG_INTERVAL};
 use crate::operator_state::store::OperatorStateStore;
@@ -99,6 +100,7 @@
     listeners: Listeners,
     upstream_pool: Rc<ConnectionPool>,
     dispatcher: Rc<Dispatcher>,
+    endpoint_updates: Rc<EndpointUpdates>,
     endpoint_watcher: Rc<EndpointWatcher>,
     shutdown: Rc<ShutdownController>,
     control: Rc<OperatorControl>,
@@ -128,7 +130,7 @@
             config.seed,
             log.clone(),
         );
-        let dispatcher = build_dispatcher(
+        let endpoint_updates = build_endpoint_updates(
             &log,
             config.instance,
             config.seed,
@@ -136,18 +138,19 @@
             &upstream_pool,
             &endpoint_watcher,
         )?;
+        let dispatcher = endpoint_updates.dispatcher().clone();
         let listeners = Listeners::open(&config.listen)?;
         log_start(&log, &listeners, &summary, &operator_state)?;
         let shutdown = Rc::new(ShutdownController::new());
         let control = Rc::new(OperatorControl::new(
             log.clone(),
-            dispatcher.clone(),
+            endpoint_updates.clone(),
             shutdown.clone(),
             operator_state.store.clone(),
             limits.slow_start_duration,
         ));
-        dispatcher.known(config.known_endpoints.as_ref());
-        endpoint_watcher.start(dispatcher.revision());
+        endpoint_updates.apply_configured_list(config.known_endpoints.as_ref());
+        endpoint_watcher.start(endpoint_updates.revision());
         Ok(Node {
             log,
             limits,
@@ -158,6 +161,7 @@
             listeners,
             upstream_pool,
             dispatcher,
+            endpoint_updates,
             endpoint_watcher,
             shutdown,
             control,
@@ -200,6 +204,7 @@
         }
         let client_listener = Listener::new(
             self.dispatcher.clone(),
+            self.endpoint_updates.clone(),
             self.limits.idempotency,
             self.resource_limits
                 .pool_sizes(self.peer_process_running)
@@ -221,7 +226,7 @@
         }
         let readiness = Readiness {
             endpoint_watcher: self.endpoint_watcher,
-            dispatcher: self.dispatcher.clone(),
+            endpoint_updates: self.endpoint_updates,
             operator_state: self.operator_state.store.clone(),
             inherits_listener: self.inherits_listener,
         };
@@ -296,42 +301,43 @@
 }
 
 /// Builds the dispatcher and connects it with discovery, in both directions.
-fn build_dispatcher(
+fn build_endpoint_updates(
     log: &EventLog,
     instance: InstanceSettings,
     seed: u64,
     metrics: Rc<Metrics>,
     upstream_pool: &Rc<ConnectionPool>,
     endpoint_watcher: &Rc<EndpointWatcher>,
-) -> Result<Rc<Dispatcher>, balancer::SettingsError> {
+) -> Result<Rc<EndpointUpdates>, balancer::SettingsError> {
     let client = UpstreamClient::new(
         upstream_pool.clone(),
         &instance.names,
         &instance.load_report_fields,
         metrics,
     );
-    let backends = BackendRegistry::new(instance.names, upstream_pool.clone());
+    let backends = Rc::new(BackendRegistry::new(instance.names, upstream_pool.clone()));
     let refreshed_watcher = endpoint_watcher.clone();
     let dispatcher = Dispatcher::new(
         log.clone(),
         instance.settings,
         seed,
-        Rc::new(backends),
+        backends.clone(),
         Rc::new(client),
         move || refreshed_watcher.refresh(),
     )?;
-    let event_receiver = Rc::downgrade(&dispatcher);
+    let endpoint_updates = EndpointUpdates::new(backends, dispatcher, log.clone());
+    let event_receiver = Rc::downgrade(&endpoint_updates);
     endpoint_watcher.set_event_handler(move |event| {
-        let Some(dispatcher) = event_receiver.upgrade() else {
+        let Some(updates) = event_receiver.upgrade() else {
             return;
         };
         match event {
-            DiscoveryEvent::EndpointList(list) => dispatcher.list(list),
-            DiscoveryEvent::WatchOpened => dispatcher.endpoint_list_unchanged(),
-            DiscoveryEvent::WatchFailed => dispatcher.endpoint_list_failed(),
+            DiscoveryEvent::EndpointList(list) => updates.apply_discovered_list(list),
+            DiscoveryEvent::WatchOpened => updates.poll_answered(),
+            DiscoveryEvent::WatchFailed => updates.poll_failed(),
         }
     });
-    Ok(dispatcher)
+    Ok(endpoint_updates)
 }
 
 /// Logs the counters at regular intervals.
@@ -339,14 +345,14 @@
     let mut interval = interval_at(Instant::now() + LOG_INTERVAL, LOG_INTERVAL);
     loop {
         interval.tick().await;
-        dispatcher.log_stats();
+        dispatcher.log_statistics();
     }
 }
 
 /// What a new process waits for before it accepts connections.
 struct Readiness {
     endpoint_watcher: Rc<EndpointWatcher>,
-    dispatcher: Rc<Dispatcher>,
+    endpoint_updates: Rc<EndpointUpdates>,
     operator_state: Rc<OperatorStateStore>,
     inherits_listener: bool,
 }
@@ -360,7 +366,7 @@
             sleep(READINESS_POLL_INTERVAL).await;
         }
         while self.inherits_listener
-            && !self.dispatcher.ready()
+            && !self.endpoint_updates.is_ready()
             && self.operator_state.peer_process_running()
         {
             sleep(READINESS_POLL_INTERVAL).await;
