--- a/crates/balancer/src/pricing.rs
+++ b/crates/balancer/src/pricing.rs
@@ -1,12 +1,12 @@
-//! Prices of backends, moved by the dual step of the paper's market on the load that backends
-//! report:
+//! Prices of backends, moved by a projected dual step on the load that backends report:
 //!
 //! ```text
-//! price ← [price + step · (load − target)]₊
+//! price ← [price − step · (rho − utilization)]₊
 //! ```
 //!
-//! Prices are relative to the number of active backends, loads are in units of a backend's
-//! capacity, and times are in seconds.
+//! where rho is the fraction of its capacity that a backend is meant to use. Prices are relative to
+//! the number of active backends, loads are in units of a backend's capacity, and times are in
+//! seconds.
 
 use crate::backend::Backend;
 use crate::estimators::{ExponentialMean, InFlightBaseline};
@@ -31,7 +31,7 @@
 
 /// Price per second and unit of excess load: the step size.
 const STEP_SIZE: f64 = 0.15;
-/// Highest fraction of its capacity that a backend aims to be loaded to; less in an idle fleet.
+/// Fraction of its capacity that a backend is meant to use (rho); less in an idle fleet.
 const TARGET_LOAD: f64 = 0.7;
 /// Highest load that anything counts for.
 const MAX_LOAD: f64 = 4.0;
@@ -94,7 +94,7 @@
     }
 
     /// Moves a backend's price by the intervals that have passed since it was last updated:
-    /// `price ← [price + step · (load − target)]₊` while its report lives, then back towards the
+    /// `price ← [price − step · (rho − load)]₊` while its report lives, then back towards the
     /// traffic-weighted price. `typical_latency` is in seconds.
     pub fn update_price(&self, now: Time, backend: &mut Backend, typical_latency: f64) {
         let limits = &self.settings.protocol_limits;
--- a/crates/balancer/src/share_allocation.rs
+++ b/crates/balancer/src/share_allocation.rs
@@ -18,11 +18,11 @@
 /// Least `price + lambda` where capacity is known: keeps failing backends nearly closed where upper
 /// bounds leave no room.
 const MIN_TOTAL_PRICE: f64 = 0.1;
-/// Seconds in which a node wants a response from each backend that it deals with.
+/// Seconds within which a node is to receive a response from each backend that it uses.
 const CONTACT_INTERVAL: f64 = 1.0;
-/// Fewest backends that a node deals with for a class.
+/// Fewest backends that a node uses for a class.
 const MIN_BACKENDS: f64 = 5.0;
-/// Price above the traffic-weighted one from which a backend does not count among these.
+/// Price above the traffic-weighted one from which a backend does not count among those used.
 const CLOSED_PRICE: f64 = 0.25;
 /// Factor on the recent share of a backend per price interval.
 const RECENT_SHARE_DECAY: f64 = 0.95;
@@ -265,7 +265,7 @@
         work_taken
     }
 
-    /// Limits each class to as many backends as this node can hear of in time. Where no load is
+    /// Limits each class to as many backends as this node hears from often enough. Where no load is
     /// reported, closed backends and what warming ones cannot take make room for others: otherwise
     /// all that would fall on the few that are well.
     fn limit_to_contacted(
