--- a/crates/soak-test/src/invariants/attempts.rs
+++ b/crates/soak-test/src/invariants/attempts.rs
@@ -4,6 +4,7 @@
 use super::requests::RequestRecord;
 use super::{Invariant, InvariantChecker, Problem, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
 use crate::http::Connection;
+use crate::plan::BackendIndex;
 use std::rc::Weak;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
@@ -25,10 +26,10 @@
 /// An attempt that has reached a backend.
 pub struct AttemptArrival {
     /// Position of the backend.
-    pub backend: usize,
+    pub backend: BackendIndex,
     /// When its first byte was seen.
     pub first_byte: Instant,
-    /// How long the backend was told that the node waits.
+    /// How long the node waits, by its `X-Timeout`.
     pub timeout: Option<Duration>,
     /// The connection on which it came.
     pub socket: Weak<TcpStream>,
@@ -45,7 +46,7 @@
 
 /// What is known of an attempt.
 pub(super) struct AttemptRecord {
-    pub(super) backend: usize,
+    pub(super) backend: BackendIndex,
     pub(super) first_byte: Instant,
     pub(super) execution: Execution,
     answered: bool,
@@ -86,7 +87,7 @@
             let backend = arrival.backend;
             self.violated(
                 Invariant::NoInventedMessage,
-                format!("server {backend} got request {request_id}, which no client sent"),
+                format!("backend {backend} got request {request_id}, which no client sent"),
             );
             return None;
         }
@@ -160,5 +161,5 @@
         return None;
     }
     let (timeout, left) = (timeout.as_millis(), left.as_millis());
-    Some(format!("{timeout} ms given to a server, {left} ms left"))
+    Some(format!("{timeout} ms given to a backend, {left} ms left"))
 }
