--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -162,20 +162,27 @@
 
     let mut leaving = proxy.connect().await;
     leaving.send_with_id("left", "unsafe", "20000m").await;
-    let mut connection = loop {
-        let (got, request) = tokio::select! {
-            new = backend.accept_request() => new,
-            old = connection.read() => { connection.respond("200 OK", "Connection: close\r\n", "").await; drop(old); continue }
-        };
-        if request.header("x-request-id") == Some("left") {
-            break got;
-        }
-    };
+    let (mut connection, request) = next_request(&backend, connection).await;
+    assert_eq!(request.header("x-request-id"), Some("left"));
     leaving.close().await;
     assert_rejected(&proxy, &second.replace("same", "left"), 409).await;
     connection.respond("200 OK", "", "").await;
 }
 
+/// The next request, on this connection or on a new one: a pooled connection may be reused or closed.
+async fn next_request(backend: &ScriptedServer, mut pooled: Connection) -> (Connection, Message) {
+    let accepted = backend.accept_request();
+    tokio::pin!(accepted);
+    let on_pooled = tokio::select! {
+        new = &mut accepted => return new,
+        request = pooled.read() => request,
+    };
+    match on_pooled {
+        Some(request) => (pooled, request),
+        None => accepted.await,
+    }
+}
+
 /// Clients that send nothing, begin a head or begin a body.
 #[tokio::test]
 async fn clients_that_are_too_slow_are_closed() {
