--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -139,9 +139,9 @@
                     }
                     client.write(bytes).await;
                     if reset {
-                        client.reset()
+                        client.reset();
                     } else {
-                        drop(client)
+                        drop(client);
                     }
                     proxy.signal("CONT").await;
                     let mut fence = proxy.connect().await;
@@ -197,9 +197,9 @@
                     .await;
                 client.write(&bytes).await;
                 if reset {
-                    client.reset()
+                    client.reset();
                 } else {
-                    drop(client)
+                    drop(client);
                 }
                 proxy.signal("CONT").await;
                 let case = format!(
--- a/crates/proxy/tests/common/connection.rs
+++ b/crates/proxy/tests/common/connection.rs
@@ -90,9 +90,6 @@
         self.expect_closed().await;
     }
 
-    /// Closes the connection at once.
-    pub fn close_now(self) {}
-
     /// Resets the connection.
     pub fn reset(self) {
         self.0
--- a/crates/proxy/tests/common/faults.rs
+++ b/crates/proxy/tests/common/faults.rs
@@ -21,7 +21,7 @@
         let control = ControlFile::create(&path).expect("a control file");
         let this = std::env::current_exe().expect("this program");
         let library = this.with_file_name("libfault_injection_preload.so");
-        assert!(library.exists(), "{library:?} was not built");
+        assert!(library.exists(), "{} was not built", library.display());
         FaultInjection {
             control,
             path,
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -21,10 +21,12 @@
 use std::future::Future;
 use std::time::Duration;
 
+/// Longest time for which a test waits.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+
 /// Fails a test that waits for something that never comes; nothing is measured by it.
 pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
-    match tokio::time::timeout(Duration::from_secs(30), future).await {
-        Ok(value) => value,
-        Err(_) => panic!("{what}: nothing came"),
-    }
+    tokio::time::timeout(TEST_TIMEOUT, future)
+        .await
+        .unwrap_or_else(|_| panic!("{what}: nothing came"))
 }
--- a/crates/proxy/tests/large_messages.rs
+++ b/crates/proxy/tests/large_messages.rs
@@ -2,13 +2,19 @@
 
 mod common;
 use common::*;
+use std::fmt::Write as _;
 use std::time::Duration;
 
 const MEBIBYTE: usize = 1 << 20;
 
 /// Text of this length in which no two parts are alike.
 fn text(length: usize) -> String {
-    let mut text: String = (0..=(length / 8)).map(|n| format!("{n:07x} ")).collect();
+    let mut text = String::new();
+    let mut number = 0;
+    while text.len() < length {
+        write!(text, "{number:07x} ").expect("a string takes all");
+        number += 1;
+    }
     text.truncate(length);
     text
 }
@@ -342,7 +348,7 @@
                 if reset {
                     connection.reset();
                 } else {
-                    connection.close_now();
+                    drop(connection);
                 }
                 let status = client.read().await.expect("an answer").status();
                 assert!(status >= 500, "{status} {case}");
