--- a/crates/proxy/src/downstream/responses.rs
+++ b/crates/proxy/src/downstream/responses.rs
@@ -37,7 +37,7 @@
 
     /// Whether it is streamed.
     pub fn is_streaming(&self) -> bool {
-        matches!(self.body, ResponseBody::StreamingResponse(_))
+        matches!(self.body, ResponseBody::Streaming(_))
     }
 }
 
@@ -48,9 +48,11 @@
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context) -> PolledFrame {
         let body = self.get_mut();
         match &mut body.body {
-            ResponseBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            ResponseBody::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            ResponseBody::StreamingResponse(response) => {
+            ResponseBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseBody::Buffered(bytes) => {
+                Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes)))))
+            }
+            ResponseBody::Streaming(response) => {
                 let polled = Pin::new(response).poll_frame(cx);
                 if let (Poll::Ready(_), Some(connection)) = (&polled, &body.connection) {
                     connection.record_progress();
@@ -61,13 +63,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(&self.body, ResponseBody::Whole(bytes) if bytes.is_empty())
+        matches!(&self.body, ResponseBody::Buffered(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            ResponseBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            ResponseBody::StreamingResponse(response) => response.size_hint(),
+            ResponseBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::Streaming(response) => response.size_hint(),
         }
     }
 }
@@ -86,7 +88,7 @@
 
 /// A response of plain text.
 pub fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<ClientBody> {
-    let body = ResponseBody::Whole(text.into());
+    let body = ResponseBody::Buffered(text.into());
     let mut response = Response::new(ClientBody::new(body));
     *response.status_mut() = status;
     response
--- a/crates/proxy/src/requests/attempts.rs
+++ b/crates/proxy/src/requests/attempts.rs
@@ -1,13 +1,12 @@
 //! The life of one attempt: from its start, over the forwarding of its response, to its end.
 
-use super::registry::AttemptId;
 use crate::http1::download::StreamOutcome;
 use crate::http1::upload::RequestBody;
 use crate::send_invariants::{BackendIdentity, Execution, PriorAttempt};
 use crate::upstream::backend::Backend;
 use crate::upstream::exchange::{AttemptTerms, SendProgress, UpstreamClient};
 use crate::upstream::response::{Exchange, ExchangeError, ExchangeResponse, ResponseBody};
-use balancer::{AttemptOutcome, BackendId, LoadReport};
+use balancer::{AttemptOutcome, BackendId, LoadReport, RequestId};
 use hyper::{Request, Response};
 use std::cell::Cell;
 use std::rc::{Rc, Weak};
@@ -16,6 +15,15 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
+/// Names one attempt.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptId {
+    /// Its request.
+    pub request: RequestId,
+    /// Its position among the request's attempts.
+    pub index: u32,
+}
+
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
@@ -46,7 +54,7 @@
         /// Shared with the task.
         progress: Rc<Cell<SendProgress>>,
     },
-    /// It has ended, and the balancer has been told or will be.
+    /// It has ended, and the event for the balancer is handled or queued.
     Ended(AttemptEnd),
 }
 
@@ -185,7 +193,7 @@
 }
 
 impl<O: AttemptObserver> AttemptTask<O> {
-    /// Runs the attempt to its end, then gives its connection back for reuse.
+    /// Runs the attempt to its end, then releases its connection for reuse.
     ///
     /// # Cancellation
     ///
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -4,11 +4,13 @@
 //! the actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
 //! that an action causes at once.
 
-use super::attempts::{Attempt, AttemptEnd, AttemptObserver, AttemptTask, FinishedAttempt};
+use super::attempts::{
+    Attempt, AttemptEnd, AttemptId, AttemptObserver, AttemptTask, FinishedAttempt,
+};
 use super::class_policies::ClassPolicies;
 use super::load_probe::{run_load_probe, unsent_probe};
 use super::pending_request::PendingRequest;
-use super::registry::{has_disconnected, AttemptId, RequestRecord, RequestRegistry};
+use super::registry::{has_disconnected, RequestRecord, RequestRegistry};
 use super::request::ForwardRequest;
 use super::request_log::{exchange_failed_line, printable_id, GivenUpResponse};
 use super::responder::Responder;
@@ -66,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the balancer's error if it can't use the settings.
+    /// Returns the balancer's error if it cannot use the settings.
     pub fn new(
         log: EventLog,
         settings: Settings,
@@ -152,7 +154,7 @@
         self.handle_event(Event::RequestBodyReceived { request });
     }
 
-    /// Number of requests whose final response is still owed.
+    /// Number of requests whose final response is outstanding.
     pub fn open_requests(&self) -> usize {
         self.state.borrow().requests.open_requests()
     }
@@ -231,7 +233,7 @@
         self.state.borrow_mut().requests.remove_if_settled(request);
     }
 
-    /// Gives an event to the balancer and carries out the actions that it wants.
+    /// Passes an event to the balancer and carries out the actions it returns.
     fn handle_event(&self, event: Event) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
@@ -350,7 +352,7 @@
         allowed.is_ok()
     }
 
-    /// Gives a request its final response without a backend's.
+    /// Closes a request without a backend's response.
     fn give_up(
         &self,
         state: &mut State,
@@ -431,7 +433,7 @@
         if let Some(response) = finished.response {
             self.responder.serve(record, response);
         }
-        // A client that has disconnected is owed no retry.
+        // Without a client there is no point in a retry.
         if record.is_abandoned() {
             record.close();
             self.metrics.count(|c| c.client_disconnected += 1);
--- a/crates/proxy/src/requests/load_probe.rs
+++ b/crates/proxy/src/requests/load_probe.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Sends a load probe, passes its result on, and gives the connection back for reuse. Its latency
-/// counts from `started_at`.
+/// Sends a load probe, reports its result, and releases the connection for reuse. Its latency counts
+/// from `started_at`.
 pub async fn run_load_probe(
     client: Rc<UpstreamClient>,
     backend: Rc<Backend>,
--- a/crates/proxy/src/requests/registry.rs
+++ b/crates/proxy/src/requests/registry.rs
@@ -1,6 +1,6 @@
 //! All requests that have no final response yet or an attempt in flight.
 
-use super::attempts::{Attempt, AttemptEnd, AttemptState};
+use super::attempts::{Attempt, AttemptEnd, AttemptId, AttemptState};
 use super::request::{FinalResponse, ForwardRequest};
 use crate::http1::upload::RequestBody;
 use crate::socket::is_closed_by_peer;
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What the client of a request is owed.
+/// Whether a client is waiting.
 enum ClientState {
     /// The client waits for the final response.
     Waiting(oneshot::Sender<FinalResponse>),
@@ -46,7 +46,7 @@
 }
 
 impl RequestRecord {
-    /// Whether the final response is still owed.
+    /// Whether the final response is outstanding.
     pub fn is_open(&self) -> bool {
         matches!(self.client_state, ClientState::Waiting(_))
     }
@@ -110,15 +110,6 @@
     }
 }
 
-/// Names one attempt.
-#[derive(Clone, Copy, Debug)]
-pub struct AttemptId {
-    /// Its request.
-    pub request: RequestId,
-    /// Its position among the request's attempts.
-    pub index: u32,
-}
-
 /// Owner of the requests in progress.
 #[derive(Default)]
 pub struct RequestRegistry {
@@ -172,7 +163,7 @@
         self.records.len()
     }
 
-    /// Number of requests whose final response is still owed.
+    /// Number of requests whose final response is outstanding.
     pub fn open_requests(&self) -> usize {
         self.records
             .values()
@@ -218,3 +209,7 @@
         .upgrade()
         .is_none_or(|socket| is_closed_by_peer(&socket))
 }
+
+#[cfg(test)]
+#[path = "registry_tests.rs"]
+mod tests;
--- a/crates/proxy/src/requests/responder.rs
+++ b/crates/proxy/src/requests/responder.rs
@@ -1,4 +1,4 @@
-//! Gives requests their final responses, with the counts and log lines that belong to these.
+//! Sends final responses, with the counts and log lines that belong to them.
 
 use super::class_policies::ClassPolicies;
 use super::registry::RequestRecord;
@@ -38,8 +38,8 @@
         let _ = client.send(FinalResponse::Served(response));
     }
 
-    /// Closes a request as rejected or failed. Returns `false` if it is closed already: a client that
-    /// has disconnected is owed nothing.
+    /// Closes a request as rejected or failed. Returns `false` if it is closed already, as after the
+    /// client has disconnected.
     pub fn give_up(
         &self,
         record: &mut RequestRecord,
--- a/crates/proxy/src/requests/statistics_log.rs
+++ b/crates/proxy/src/requests/statistics_log.rs
@@ -9,7 +9,7 @@
 use std::fmt::{self, Write as _};
 use std::time::Duration;
 
-/// Backends that a line tells about one by one, the busiest first.
+/// Backends with figures of their own in a line; the busiest ones have them.
 const MAX_LOGGED_BACKENDS: usize = 64;
 
 /// Attempts at one backend in an interval.
@@ -38,7 +38,7 @@
     }
 }
 
-/// What one line tells.
+/// The contents of one line.
 pub struct Statistics<'a> {
     /// The names of classes and tenants.
     pub names: &'a SettingNames,
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Position of names that the settings don't give.
+/// Position of names that the settings do not give.
 const UNKNOWN_NAME_POSITION: u8 = u8::MAX;
 
 /// Where an endpoint list comes from.
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -99,7 +99,7 @@
         terms: AttemptTerms,
     ) -> Exchange {
         let (head, body) = request.into_parts();
-        // Part of the body is gone: it can't be sent again.
+        // Part of the body is gone: it cannot be sent again.
         let Some(stream) = body.new_stream() else {
             return Exchange::failed(AttemptOutcome::NotSent);
         };
@@ -189,13 +189,13 @@
         let load_report = self.load_reports.read_headers(&head.headers);
         let (response, connection) = match body {
             ReceivedBody::Complete(body) => {
-                let response = Response::from_parts(head, ResponseBody::Whole(body));
+                let response = Response::from_parts(head, ResponseBody::Buffered(body));
                 let response = is_success.then_some(ExchangeResponse::Complete(response));
                 (response, Some(connection))
             }
             ReceivedBody::Partial { buffered, rest } if is_success => {
                 let (body, body_end) = StreamingResponse::new(buffered, rest);
-                let body = ResponseBody::StreamingResponse(body);
+                let body = ResponseBody::Streaming(body);
                 let response = Response::from_parts(head, body);
                 let response = ExchangeResponse::Streaming { response, body_end };
                 (Some(response), Some(connection))
@@ -252,8 +252,8 @@
 }
 
 impl AttemptCheck {
-    /// Checks it for a connection of this generation. `timeout_computed_at` is when the time was
-    /// computed that the backend is told, once it was.
+    /// Checks it for a connection of this generation. `timeout_computed_at` is when the remaining
+    /// time stated to the backend was computed, once it was.
     fn run(
         &self,
         generation: ConnectionGeneration,
@@ -284,7 +284,7 @@
         Err(_) if progress.get() == SendProgress::Written => {
             Exchange::failed(AttemptOutcome::TimedOut)
         }
-        // It was still connecting: the request can't have been executed.
+        // It was still connecting: the request cannot have been executed.
         Err(_) => Exchange::failed(AttemptOutcome::ConnectFailed),
     }
 }
--- a/crates/proxy/src/upstream/load_report_header.rs
+++ b/crates/proxy/src/upstream/load_report_header.rs
@@ -80,3 +80,7 @@
         Ok(report)
     }
 }
+
+#[cfg(test)]
+#[path = "load_report_header_tests.rs"]
+mod tests;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -18,7 +18,7 @@
 use tokio::time::{timeout, Instant};
 
 /// Time that a connection stays unused after a response. Surplus bytes that were still on their way
-/// would otherwise be taken for the response to the next request.
+/// would otherwise be read as the response to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(5);
 /// Pauses before connecting again where the node itself lacks a descriptor, a port or a buffer, in
 /// milliseconds.
@@ -49,7 +49,7 @@
     /// The backend moved or restarted in the meantime.
     #[error("the backend at {0} was replaced while connecting")]
     BackendReplaced(SocketAddr),
-    /// The backend can't be reached.
+    /// The backend cannot be reached.
     #[error("connecting to {0} failed: {1}")]
     ConnectFailed(SocketAddr, io::Error),
     /// The backend did not accept in time.
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -11,9 +11,9 @@
 /// The body of a response.
 pub enum ResponseBody {
     /// All of it has been received.
-    Whole(Bytes),
-    /// More of it is to come.
-    StreamingResponse(StreamingResponse),
+    Buffered(Bytes),
+    /// More of it is still to come.
+    Streaming(StreamingResponse),
 }
 
 /// A response to forward to the client.
