--- a/crates/proxy/src/requests/responder.rs
+++ b/crates/proxy/src/requests/responder.rs
@@ -50,7 +50,7 @@
             return false;
         };
         self.metrics.count_class(record.class, |c| {
-            *c.given_up.entry(reason).or_default() += 1
+            *c.given_up.entry(reason).or_default() += 1;
         });
         self.metrics.count(|c| match response {
             GivenUpResponse::Rejected { .. } => c.rejected += 1,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -237,7 +237,7 @@
     for pause in SHORTAGE_PAUSES_MS.map(Duration::from_millis) {
         match TcpStream::connect(address).await {
             Err(error) if transient_errors::is_resource_shortage(&error) => {
-                tokio::time::sleep(pause).await
+                tokio::time::sleep(pause).await;
             }
             result => return result,
         }
