--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -29,11 +29,11 @@
 /// are being drained.
 pub const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// How long bytes that were sent together with the connecting may take to arrive, once the node no
-/// longer accepts connections.
+/// How long a request sent right after the handshake may take to arrive, once the node no longer
+/// accepts connections.
 const FIRST_BYTES_GRACE: Duration = Duration::from_millis(100);
 
-/// What the system may buffer of a streamed response for a slow client.
+/// Size of the socket's send buffer for a streamed response, which a slow client fills.
 const STREAMING_SEND_BUFFER_BYTES: usize = 256 << 10;
 
 /// The method of the request that hyper reads in place of a rejected one, so that the rejection
@@ -102,7 +102,8 @@
     }
 
     // ---- requests and responses ----
-    /// A request goes from hyper to its handler. Returns when its head began.
+
+    /// Records that a request goes from hyper to its handler. Returns when its head began.
     pub fn start_request(&self) -> Instant {
         let head_since = self.state.get().since();
         let since = Instant::now();
@@ -141,7 +142,7 @@
         self.upload_unfinished.get()
     }
 
-    /// The response in flight is streamed.
+    /// Records that the response in flight is streamed, and bounds the socket's send buffer.
     pub fn start_streaming(&self) {
         let last_progress = Instant::now();
         self.state
@@ -150,13 +151,13 @@
         let _ = socket.set_send_buffer_size(STREAMING_SEND_BUFFER_BYTES);
     }
 
-    /// A part of the streamed response is ready for the client.
+    /// Records that a part of the streamed response, or its end, is ready for the client.
     pub fn record_progress(&self) {
         let state = self.state.get().restarted_at(Instant::now());
         self.state.set(state);
     }
 
-    /// Hyper has read all of the response, or dropped it.
+    /// Records that hyper has read all of the response, or dropped it.
     pub fn finish_response(&self) {
         self.accepted_request.set(None);
         if self.state.get().is_request_in_flight() {
@@ -166,6 +167,7 @@
     }
 
     // ---- timeouts and closing ----
+
     /// Checks whether it may be closed at this moment for want of a request.
     ///
     /// # Errors
@@ -202,7 +204,7 @@
         let since = state.since();
         let age = since.elapsed();
         match state {
-            // What was sent with the connecting may still arrive. A request that has begun is
+            // A request sent right after the handshake may still arrive. One that has begun is
             // answered, with `Connection: close`.
             ConnectionState::AwaitingFirstRequest { .. }
                 if phase == ShutdownPhase::Closing
@@ -211,7 +213,8 @@
             {
                 self.close();
             }
-            // If a request has been received and was not read yet, the connection is resumed.
+            // Unread bytes are not checked here: if there are any, the task that serves the
+            // connection resumes it.
             ConnectionState::AwaitingFirstRequest { .. } if age >= HEAD_TIMEOUT => {
                 metrics.count_rejected_message(CloseReason::NoRequest);
                 self.close();
--- a/crates/proxy/src/downstream/connection_table.rs
+++ b/crates/proxy/src/downstream/connection_table.rs
@@ -16,10 +16,10 @@
 /// How often eviction is repeated while no slot is free and no connection can be closed yet.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One eviction frees up to this fraction of all slots, since more connections are likely to wait.
+/// One eviction frees up to one in this many slots, since more connections are likely to wait.
 const EVICTION_DIVISOR: usize = 8;
 
-/// Slots are scarce when fewer than this fraction of them are free.
+/// Slots are scarce when fewer than one in this many are free.
 const SCARCITY_DIVISOR: usize = 4;
 
 /// The right to hold one client connection.
--- a/crates/proxy/src/downstream/eviction.rs
+++ b/crates/proxy/src/downstream/eviction.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a new connection is safe: what was sent with the connecting may still arrive.
+/// How long a new connection is safe: a request sent right after the handshake may still arrive.
 const MIN_TIME_FOR_FIRST_BYTES: Duration = Duration::from_millis(10);
 
 /// How long a connection with an incomplete head is safe.
--- a/crates/proxy/src/downstream/lingering_close.rs
+++ b/crates/proxy/src/downstream/lingering_close.rs
@@ -15,13 +15,13 @@
 /// How long input is read after a request was rejected.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest pause of a client that is still writing a request whose response it has.
+/// Longest pause between two reads, after which the client counts as having stopped writing.
 const MAX_WRITE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Reads what the client still sends, if it has a response that it may not expect yet.
+/// Reads what the client still sends, if it was sent a response before all of its request was read.
 ///
-/// A connection without such a response is closed at once, and reset if it has unread bytes: these
-/// crossed the close and were not processed, and the client may send them again.
+/// Any other connection is closed at once, and reset if it has unread bytes: the client sent them
+/// before it noticed the close; they were not processed, and the client may send them again.
 pub async fn linger(connection: &ClientConnection) {
     let socket = connection.socket();
     if connection.last_request_rejected() {
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -19,8 +19,8 @@
 /// How often the timeouts of all connections are checked.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long connections are still accepted once the process closes: a client whose request crossed
-/// the close of an idle connection connects again, and finds a listener.
+/// How long connections are still accepted in [`ShutdownPhase::Closing`]: a client that sends a
+/// request while its idle connection is being closed connects again, and finds a listener.
 const RECONNECT_GRACE: Duration = Duration::from_millis(100);
 
 /// Accepts client connections, and owns them.
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -23,20 +23,21 @@
 use tokio::sync::watch;
 use tokio::time::{timeout_at, Instant};
 
-/// Most of a client's timeout that is reserved for the way between it and the node, in both
-/// directions.
+/// Most of a client's timeout that is reserved for the network transit between client and node, in
+/// both directions.
 const MAX_TRANSIT_MARGIN: Duration = Duration::from_millis(20);
 
-/// The margin is at most this fraction of the timeout.
+/// The margin is at most the timeout divided by this.
 const TRANSIT_MARGIN_DIVISOR: u32 = 8;
 
-/// Fraction of the margin for which the balancer's response is still awaited after the deadline.
+/// After the deadline the balancer's response is still awaited for the margin divided by this.
 const OVERDUE_DIVISOR: u32 = 4;
 
-/// How long a request with a buffered body may take from the beginning of its head, beside the time
-/// that the body takes at [`MIN_BODY_BYTES_PER_SECOND`].
+/// How long a request with a buffered body may take from the beginning of its head, in addition to
+/// the time that the received part of the body takes at [`MIN_BODY_BYTES_PER_SECOND`].
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
 
+/// Rate of a buffered body that is still acceptable.
 const MIN_BODY_BYTES_PER_SECOND: f64 = (32 << 10) as f64;
 
 /// Handles the requests of all client connections.
@@ -50,9 +51,10 @@
 /// A request that was read as far as it is buffered.
 struct ReceivedRequest {
     body: RequestBody,
-    /// When its final response is due, by the time of its last byte.
+    /// When its final response is due. For a streamed body, whose last byte is not here yet, only an
+    /// upper bound.
     due: Instant,
-    /// What is left of its timeout, from its last byte on.
+    /// What is left of its timeout, counted from its last byte.
     remaining: Duration,
 }
 
@@ -196,7 +198,8 @@
     let length = body.size_hint().exact();
     let mut buffer = BytesMut::new();
     let part = buffer_in_time(&mut buffer, &mut body, head_since).await?;
-    // The timeout counts from the last byte, which is here or still to come.
+    // The timeout counts from the last byte: for a streamed body that one has not been received,
+    // and all of the timeout is left.
     let complete_at = connection
         .request_complete_at()
         .unwrap_or_else(Instant::now);
@@ -216,7 +219,7 @@
     })
 }
 
-/// Buffers a body as long as it keeps up the least rate.
+/// Buffers a body as long as it is received at [`MIN_BODY_BYTES_PER_SECOND`] or faster.
 async fn buffer_in_time(
     buffer: &mut BytesMut,
     body: &mut Incoming,
--- a/crates/proxy/src/downstream/request_head.rs
+++ b/crates/proxy/src/downstream/request_head.rs
@@ -1,4 +1,4 @@
-//! What the head of a client's request says, and why a request is rejected.
+//! Parsing and validation of the head of a client's request.
 
 use crate::http1::error::MessageError;
 use balancer::{ClassId, Idempotency, TenantId};
@@ -28,7 +28,7 @@
 /// The text goes into the log and into the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The message itself is invalid, or came too slowly.
+    /// The message itself is invalid, or was received too slowly.
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The first segment of the path is no class.
@@ -96,7 +96,7 @@
     pub work: Option<Duration>,
     /// How long the client waits.
     pub timeout: Duration,
-    /// The client's name for the request.
+    /// `X-Request-ID`, unique among the requests in flight.
     pub id: Box<[u8]>,
     /// The path and query that are forwarded.
     pub target: Uri,
--- a/crates/proxy/src/downstream/responses.rs
+++ b/crates/proxy/src/downstream/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to clients, and the body that tells their connection when they are complete.
+//! Responses to clients, and the body that notifies its connection of its progress and end.
 
 use crate::downstream::connection::ClientConnection;
 use crate::downstream::request_head::RequestError;
@@ -133,7 +133,8 @@
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// A backend's response, of which only successful ones are forwarded.
+/// Makes the client's response of a backend's. Only responses with status 200 are forwarded, so the
+/// status is not copied.
 fn forwarded(response: Response<ResponseBody>) -> Response<ClientBody> {
     let (head, body) = response.into_parts();
     let mut response = Response::new(ClientBody::new(body));
