--- a/crates/proxy/src/http1/error.rs
+++ b/crates/proxy/src/http1/error.rs
@@ -26,7 +26,7 @@
     /// The response switches to a protocol that was not requested.
     #[error("nobody asked for another protocol")]
     UnexpectedProtocolSwitch,
-    /// The head has both headers that tell the length of the body.
+    /// The head has both headers that delimit a body.
     #[error("Content-Length and Transfer-Encoding exclude each other")]
     LengthAndTransferEncoding,
     /// The transfer coding is not `chunked` alone.
--- a/crates/proxy/src/http1/head_filter.rs
+++ b/crates/proxy/src/http1/head_filter.rs
@@ -101,7 +101,7 @@
 /// What one step of reading led to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadStep {
-    /// There is more to look at.
+    /// Another step may follow.
     Progress,
     /// The peer has closed its side of the connection.
     EndOfStream,
@@ -240,7 +240,7 @@
         )))
     }
 
-    /// Turns to what is expected after a message, if its last byte was let through.
+    /// Expects the next message, if the last byte of the current one was let through.
     fn finish_message(&mut self) {
         if self.expected != Expected::Body(0) {
             return;
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReaderId(u32);
 
-/// How far an upload is.
+/// The progress of an upload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UploadState {
     Receiving,
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Activity {
     at: Instant,
-    /// Whether more was requested of the client since then, and has not come.
+    /// Whether more was requested of the client since then, and has not been received.
     waiting_for_client: bool,
 }
 
