--- a/crates/proxy/src/http1/framing_tests.rs
+++ b/crates/proxy/src/http1/framing_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn request_heads_tell_what_follows() {
+fn request_head_determines_the_length_of_the_body() {
     let next = |head: &str| {
         parse_request_head(head.as_bytes())
             .map(|head| head.map(|head| head.next))
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn response_heads_tell_what_follows() {
+fn response_head_determines_the_length_of_the_body() {
     let next =
         |head: &str| parse_response_head(head.as_bytes()).map(|head| head.map(|head| head.next));
     assert_eq!(
