--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -17,7 +17,7 @@
     connection
         .respond("200 OK", "Connection: close\r\n", "")
         .await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     name
 }
 
@@ -220,7 +220,7 @@
     assert_eq!(proxy.admin_call("GET", "/healthcheck").await, 503);
     assert_eq!(proxy.admin_call("POST", "/healthcheck/ok").await, 409);
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     assert!(proxy.wait_for_exit().await.success());
 }
 
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -125,7 +125,7 @@
     first.send("safe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(first.read().await.expect("an answer").status(), 200);
+    first.expect_status(200).await;
     tokio::time::sleep(std::time::Duration::from_millis(50)).await; // The connection is ready for the next.
     for class in CLASSES {
         for bytes in &trailing_bytes()[..3] {
--- a/crates/proxy/tests/common/connection.rs
+++ b/crates/proxy/tests/common/connection.rs
@@ -118,6 +118,12 @@
         within("a message", self.read_message()).await
     }
 
+    /// Reads the next message and asserts that it is a response with this status.
+    pub async fn expect_status(&mut self, status: u16) {
+        let response = self.read().await.expect("a response");
+        assert_eq!(response.status(), status, "{}", response.start);
+    }
+
     async fn read_message(&mut self) -> Option<Message> {
         let mut lines = Vec::new();
         loop {
--- a/crates/proxy/tests/configuration_reload.rs
+++ b/crates/proxy/tests/configuration_reload.rs
@@ -75,7 +75,7 @@
     client.send("unsafe", "20000m").await;
     let (mut connection, _) = new.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 
     // A reload without a change keeps the watch; the next one moves it once more.
     proxy.signal("HUP").await;
@@ -220,6 +220,6 @@
         .await;
     let _watch = take_over(&other, 2, &[endpoint("s", backend.address(), "active")]).await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     assert!(proxy.wait_for_exit().await.success());
 }
--- a/crates/proxy/tests/connection_limits.rs
+++ b/crates/proxy/tests/connection_limits.rs
@@ -26,7 +26,7 @@
     let (mut connection, _) = backend.accept_request().await;
     assert!(proxy.open_descriptors() <= 64);
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
 
 /// Idle clients take all descriptors they can get while discovery is down, and the system allows
@@ -82,7 +82,7 @@
             proxy.open_descriptors()
         );
         connection.respond("200 OK", "", "").await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
     }
 }
 
@@ -106,7 +106,7 @@
     proxy.signal("CONT").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
 
 /// Connections without a request are evicted, not those whose request is still to be read.
@@ -227,7 +227,7 @@
         client.send("unsafe", "20000m").await;
         let (mut connection, _) = backends[k].accept_request().await;
         connection.respond("200 OK", "", "").await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
         connections.push(connection);
     }
     assert!(proxy.open_descriptors() <= 64);
@@ -249,6 +249,6 @@
     client.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     connection.expect_closed().await;
 }
--- a/crates/proxy/tests/discovery_watch.rs
+++ b/crates/proxy/tests/discovery_watch.rs
@@ -62,7 +62,7 @@
         out = left.accept_request() => (out.0, "left"),
     };
     out.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     drop(watch);
     let (mut late, _) = discovery.accept_request().await;
     let (_second, _) = discovery.accept_request().await;
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -16,7 +16,7 @@
     client.send("unsafe", "20000m").await;
     (at_one, _) = one.accept_request().await;
     at_one.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 
     watch
         .send_list(2, true, &[endpoint("two", two.address(), "active")])
@@ -25,7 +25,7 @@
     client.send("unsafe", "20000m").await;
     (at_two, _) = two.accept_request().await;
     at_two.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 
     watch
         .send_list(3, false, &[endpoint("two", one.address(), "active")])
@@ -34,16 +34,14 @@
     client.send("unsafe", "20000m").await;
     (at_one, _) = one.accept_request().await;
     at_one.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 
     watch
         .send_list(4, false, &[json!({"id": "two", "phase": "left"})])
         .await;
     at_one.expect_closed().await;
-    assert_eq!(
-        client.request("unsafe").await.expect("an answer").status(),
-        503
-    );
+    client.send("unsafe", "20000m").await;
+    client.expect_status(503).await;
 }
 
 /// A dead machine's connections look open.
@@ -55,7 +53,7 @@
     client.send("unsafe", "20000m").await;
     let (mut old, _) = backend.accept_request().await;
     old.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     let mut entry = endpoint("s", backend.address(), "active");
     entry["up_since_ms"] = json!(1_700_000_000_000u64);
     watch.send_list(2, false, &[entry.clone()]).await;
@@ -63,7 +61,7 @@
     client.send("unsafe", "20000m").await;
     let (mut new, _) = backend.accept_request().await;
     new.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     // The same start time once more is no restart.
     watch.send_list(3, true, &[entry]).await;
     proxy.wait_for_revision(3).await;
@@ -286,7 +284,7 @@
             .await
             .expect("a connection");
     }
-    assert_eq!(client.read().await.expect("an answer").status(), 504);
+    client.expect_status(504).await;
     let (mut stream, _) = within("the proxy's connection", listener.accept())
         .await
         .expect("a connection");
@@ -329,7 +327,7 @@
         connection
             .respond("200 OK", "Connection: close\r\n", "")
             .await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
     }
 }
 
@@ -364,7 +362,7 @@
         _ = old.accept_request() => panic!("sent by the old list"),
     };
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     drop(proxy);
 }
 
@@ -382,7 +380,7 @@
     client.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
 
 /// A line of the log stays of readable length.
@@ -410,7 +408,7 @@
             connection
                 .respond("200 OK", "Connection: close\r\n", "")
                 .await;
-            assert_eq!(client.read().await.expect("an answer").status(), 200);
+            client.expect_status(200).await;
         }
         let line = proxy.wait_for_log("stats ").await;
         assert!(
@@ -449,7 +447,7 @@
     client.send("safe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
 
 /// The configured list may name draining endpoints only.
@@ -492,7 +490,7 @@
         connection
             .respond("503 Service Unavailable", outcome, "")
             .await;
-        assert_eq!(client.read().await.expect("an answer").status(), 503);
+        client.expect_status(503).await;
         assert!(other.is_untouched().await, "sent to a server that drains");
     }
 }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -49,7 +49,7 @@
     connection
         .respond("200 OK", "Connection: close\r\n", "")
         .await;
-    assert_eq!(kept.read().await.expect("an answer").status(), 200);
+    kept.expect_status(200).await;
     let mut idle = proxy.connect().await;
     new.write(&head("new")[..30]).await;
     kept.write(&head("kept")[..30]).await;
@@ -92,7 +92,7 @@
     connection
         .respond("200 OK", "Connection: close\r\n", "")
         .await;
-    assert_eq!(kept.read().await.expect("an answer").status(), 200);
+    kept.expect_status(200).await;
     proxy.signal("TERM").await;
     proxy.wait_for_log("shutting down").await;
     proxy.signal("STOP").await;
@@ -103,7 +103,7 @@
     connection
         .respond("200 OK", "Connection: close\r\n", "")
         .await;
-    assert_eq!(kept.read().await.expect("an answer").status(), 200);
+    kept.expect_status(200).await;
     assert!(proxy.wait_for_exit().await.success());
 }
 
@@ -134,11 +134,11 @@
         connection
             .respond("200 OK", "Connection: close\r\n", "")
             .await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
     }
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(waiting.read().await.expect("an answer").status(), 200);
+    waiting.expect_status(200).await;
     assert!(proxy.wait_for_exit().await.success());
 }
 
@@ -171,5 +171,5 @@
     client.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
--- a/crates/proxy/tests/listener_inheritance.rs
+++ b/crates/proxy/tests/listener_inheritance.rs
@@ -83,7 +83,7 @@
     );
     kept.expect_closed().await;
     under_way.respond("200 OK", "", "").await;
-    assert_eq!(busy.read().await.expect("an answer").status(), 200);
+    busy.expect_status(200).await;
     assert!(old.wait_for_exit().await.success());
 
     new.wait_for_log("peer_process_running=false").await;
@@ -130,7 +130,7 @@
     let mut client = proxy.connect().await;
     assert_eq!(served(&mut client, &a).await.status(), 200);
     under_way.respond("200 OK", "", "").await;
-    assert_eq!(open.read().await.expect("an answer").status(), 200);
+    open.expect_status(200).await;
     assert!(proxy.wait_for_exit().await.success());
 }
 
--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -50,7 +50,7 @@
     client.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
 
 const HEAD: &str = "POST /unsafe HTTP/1.1\r\nHost: a\r\nX-Timeout: 60000m\r\nX-Tenant-Id: one\r\n";
@@ -193,7 +193,7 @@
     kept.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(kept.read().await.expect("an answer").status(), 200);
+    kept.expect_status(200).await;
     let body = format!("{HEAD}X-Request-ID: r\r\nContent-Length: 9\r\n\r\nhalf");
     tokio::join!(
         silent.expect_closed(),
@@ -226,10 +226,8 @@
     // Kept from before the idle connections; among them a connection is closed after each response.
     let mut usual = proxy.connect().await;
     let began = std::time::Instant::now();
-    assert_eq!(
-        usual.request("unsafe").await.expect("an answer").status(),
-        200
-    );
+    usual.send("unsafe", "20000m").await;
+    usual.expect_status(200).await;
     let mut idle_clients = Vec::new();
     for k in 0..200 {
         idle_clients.push(proxy.connect().await);
@@ -277,10 +275,8 @@
     let began = std::time::Instant::now();
     for _ in 0..400 {
         let mut client = proxy.connect().await;
-        assert_eq!(
-            client.request("unsafe").await.expect("an answer").status(),
-            503
-        );
+        client.send("unsafe", "20000m").await;
+        client.expect_status(503).await;
         kept.push(client);
     }
     // Closing only what has been idle for two seconds would let in 16 in that time: 50 s for all.
@@ -310,7 +306,7 @@
             .await;
         assert_eq!(client.read().await.expect("an answer").body, id.as_bytes());
     }
-    assert_eq!(client.read().await.expect("an answer").status(), 400);
+    client.expect_status(400).await;
     client.drain_until_closed().await;
     assert!(backend.is_untouched().await, "read on");
 }
--- a/crates/proxy/tests/operator_state.rs
+++ b/crates/proxy/tests/operator_state.rs
@@ -136,7 +136,7 @@
         connection
             .respond("200 OK", "Connection: close\r\n", "")
             .await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
     }
     // The change of another process, which cannot be read for a moment, is not lost or overwritten.
     let another =
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -48,5 +48,5 @@
     client.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -42,7 +42,7 @@
     client.send("safe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
 
 /// The process is stopped for longer than it would wait for the watch.
@@ -75,7 +75,7 @@
     client.send("safe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     let closing = &faults.control.before_shutdown;
     closing.pause_next(1, Duration::from_secs(1));
     while closing.pause_count() == 0 {
@@ -92,7 +92,7 @@
     let request = connection.read().await.expect("the repeated request");
     assert!(request.start.starts_with("GET /safe"));
     connection.respond("200 OK", "", "").await;
-    assert_eq!(again.read().await.expect("an answer").status(), 200);
+    again.expect_status(200).await;
 }
 
 /// SIGHUP comes once.
@@ -139,7 +139,7 @@
     client.send("safe", "60000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
     assert_eq!(
         faults
             .control
@@ -164,7 +164,7 @@
     client.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
 
 /// Each request's time runs from its own last byte.
@@ -189,7 +189,7 @@
         "{timeout_us:?} us stated, 19 s are left"
     );
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
 
 #[tokio::test]
@@ -211,7 +211,7 @@
             .await
             .expect("a connection");
     }
-    assert_eq!(client.read().await.expect("an answer").status(), 503);
+    client.expect_status(503).await;
     let line = proxy.wait_for_log(" prevented_").await;
     assert!(
         line.contains("stats ") && line.contains(" prevented_Drain="),
@@ -241,7 +241,7 @@
     watch
         .send_list(2, false, &[endpoint("two", two.address(), "active")])
         .await;
-    assert_eq!(client.read().await.expect("an answer").status(), 504);
+    client.expect_status(504).await;
     assert!(two.is_untouched().await);
 }
 
@@ -281,5 +281,5 @@
         "{timeout_us:?} us stated, 19.4 s are left"
     );
     connection.respond("200 OK", "", "").await;
-    assert_eq!(client.read().await.expect("an answer").status(), 200);
+    client.expect_status(200).await;
 }
--- a/crates/proxy/tests/upstream_attempts.rs
+++ b/crates/proxy/tests/upstream_attempts.rs
@@ -98,7 +98,7 @@
         };
         connection.write(begun).await;
         drop(connection);
-        assert_eq!(client.read().await.expect("an answer").status(), 504);
+        client.expect_status(504).await;
         assert!(other.is_untouched().await, "sent again");
     }
 }
@@ -123,7 +123,7 @@
         // Checked without waiting: a later close shows as open.
         assert!(first.is_closed(), "both are out after {spoilt:?}");
         second.respond("200 OK", "", "").await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
     }
 }
 
@@ -180,7 +180,7 @@
         client.send("unsafe", "20000m").await;
         let (mut connection, _) = backend.accept_request().await;
         connection.respond("200 OK", "", "").await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
         connection.close().await;
     }
 }
@@ -196,7 +196,7 @@
         client.send("unsafe", "20000m").await;
         let (mut connection, _) = backend.accept_request().await;
         connection.respond("200 OK", "", "").await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
         tokio::time::sleep(Duration::from_millis(50)).await; // It rests first.
         proxy.signal("STOP").await;
         connection.write(late).await;
@@ -222,7 +222,7 @@
     let (mut connection, _) = backend.accept_request().await;
     for _ in 0..3 {
         connection.respond("200 OK", "", "").await;
-        assert_eq!(client.read().await.expect("an answer").status(), 200);
+        client.expect_status(200).await;
         // It idles for a moment first, in case more than the response is on its way.
         tokio::time::sleep(Duration::from_millis(50)).await;
         client.send("unsafe", "20000m").await;
@@ -329,7 +329,7 @@
     let mut client = proxy.connect().await;
     client.send("unsafe", "400m").await;
     let (mut connection, _) = backend.accept_request().await;
-    assert_eq!(client.read().await.expect("an answer").status(), 504);
+    client.expect_status(504).await;
     connection.expect_closed().await;
 }
 
