--- a/crates/proxy/src/admin/commands.rs
+++ b/crates/proxy/src/admin/commands.rs
@@ -121,7 +121,7 @@
     /// The response on the wire, after which the connection ends.
     pub fn to_http(self) -> String {
         let text = format!("{self}\n");
-        let allow = if self == AdminReply::MethodNotAllowed {
+        let allow = if self.status() == StatusCode::METHOD_NOT_ALLOWED {
             "Allow: GET, POST\r\n"
         } else {
             ""
--- a/crates/proxy/src/admin/commands_tests.rs
+++ b/crates/proxy/src/admin/commands_tests.rs
@@ -47,3 +47,17 @@
         );
     }
 }
+
+#[test]
+fn every_405_response_names_the_allowed_methods() {
+    for reply in [
+        AdminReply::MethodNotAllowed,
+        AdminReply::MalformedRequest(MessageError::UnsupportedMethod),
+    ] {
+        let response = reply.to_http();
+        assert!(response.starts_with("HTTP/1.1 405 "), "{response}");
+        assert!(response.contains("\r\nAllow: GET, POST\r\n"), "{response}");
+    }
+    let response = AdminReply::UnknownCommand.to_http();
+    assert!(!response.contains("\r\nAllow:"), "{response}");
+}
