--- a/crates/proxy/src/admin/commands.rs
+++ b/crates/proxy/src/admin/commands.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// What an operator's request is answered with.
+/// The reply to an operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminReply {
     /// The process can serve.
@@ -73,13 +73,13 @@
     ReadyDraining,
     /// No endpoint list has named an active endpoint yet.
     NoEndpointList,
-    /// The process was told to stop, and is not healthy any more.
+    /// The process is shutting down.
     ShuttingDown,
     /// The node is drained.
     DrainStarted,
     /// The node is not drained any more.
     DrainEnded,
-    /// The node cannot be drained: the process was told to stop.
+    /// The drain can be neither started nor ended: the process is shutting down.
     DrainRefused,
     /// The backend gets no new requests.
     MaintenanceStarted,
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,5 +1,5 @@
 //! The server for operators' commands: a listener and connections of its own, so that clients cannot
-//! take what operators need.
+//! exhaust what operators need.
 
 use super::commands::{AdminCommand, AdminReply};
 use super::operator_control::OperatorControl;
@@ -36,7 +36,7 @@
 /// Capacity of the buffer that a request's head is first read to.
 const HEAD_BUFFER_BYTES: usize = 1 << 10;
 
-/// Takes operators' commands, one a connection.
+/// Accepts operators' commands, one per connection.
 pub struct AdminServer {
     log: EventLog,
     dispatcher: Rc<Dispatcher>,
@@ -87,7 +87,7 @@
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut stream = Socket(stream);
-        // Nothing is owed to those who leave or finish no request in time.
+        // A client that disconnects or sends no complete request in time gets no response.
         let Ok(Some(request)) = timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await else {
             return;
         };
@@ -116,8 +116,8 @@
     }
 }
 
-/// Writes the response and ends the connection. What still comes is read, since closing on unread
-/// bytes would reset the connection and might take the response from the operator.
+/// Writes the response and ends the connection. What still arrives is read, since closing with unread
+/// bytes would reset the connection, and the operator might lose the response.
 async fn respond(mut stream: Socket, reply: AdminReply) -> std::io::Result<()> {
     stream.write_all(reply.to_http().as_bytes()).await?;
     SockRef::from(&stream.0).shutdown(Shutdown::Write)?;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -80,7 +80,7 @@
     pub discovery: SocketAddr,
     /// The same as the file gives it, which counts when the file is reloaded.
     pub discovery_in_file: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
     /// Descriptors that the node's processes may hold together.
     pub descriptors: usize,
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -20,8 +20,7 @@
 
 /// Path of the endpoint list.
 const LIST_PATH: &str = "/registry/instances";
-/// A watch from which nothing comes for this long is given up. Discovery sends an empty line every
-/// 2 s.
+/// A watch that receives nothing for this long is given up. Discovery sends an empty line every 2 s.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// For the connection and the head of the response, where discovery may queue calls; and for a whole
 /// snapshot.
@@ -31,7 +30,7 @@
 pub const INITIAL_OPENING_TIMEOUT: Duration = Duration::from_millis(300);
 /// For the connection alone.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// After a timeout, for what came while the whole process was suspended.
+/// After a timeout, for data that arrived while the whole process was suspended.
 const RESUME_GRACE: Duration = Duration::from_millis(5);
 
 /// Why a call to discovery failed or ended.
@@ -40,7 +39,7 @@
     /// There is no connection.
     #[error("no connection: {0}")]
     Connect(std::io::Error),
-    /// Nothing came for too long, not even an empty line.
+    /// Nothing was received for too long, not even an empty line.
     #[error("silent for too long")]
     Silent,
     /// The connection broke, or the peer does not speak HTTP.
@@ -52,16 +51,16 @@
     /// Discovery ended the watch.
     #[error("ended by discovery")]
     Ended,
-    /// What came cannot be split into lists.
+    /// The data received cannot be split into lists.
     #[error("invalid list: {0}")]
     Decode(#[from] DecodeError),
-    /// What came is not an endpoint list.
+    /// An object received is not an endpoint list.
     #[error("invalid list: {0}")]
     List(#[from] InvalidList),
     /// A snapshot could not be read to its end.
     #[error("invalid list: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// A delta came where a snapshot was asked for.
+    /// A delta was received where a snapshot was requested.
     #[error("invalid list: the list is not complete")]
     NotSnapshot,
 }
@@ -73,7 +72,8 @@
     }
 }
 
-/// Opens one watch, from the revision held on, and publishes what it brings. Returns why it ended.
+/// Opens one watch, from the revision held on, and publishes the lists it receives. Returns why it
+/// ended.
 ///
 /// `opening_timeout` is for the connection and the head of the response.
 ///
@@ -106,15 +106,14 @@
 struct DiscoveryCall {
     state: Rc<DiscoveryState>,
     address: SocketAddr,
-    /// By when something has to come.
+    /// By when data has to be received.
     deadline: Rc<Cell<Instant>>,
-    /// Whether the call was given up as unanswered, so that what it may still bring comes beside
-    /// other calls.
+    /// Whether the call was given up as unanswered. It may still receive lists, beside other calls.
     is_given_up: Rc<Cell<bool>>,
 }
 
 impl DiscoveryCall {
-    /// A call that is given up unless something comes within `response_timeout`.
+    /// A call that is given up unless it receives data within `response_timeout`.
     fn new(state: &Rc<DiscoveryState>, address: SocketAddr, response_timeout: Duration) -> Self {
         DiscoveryCall {
             state: state.clone(),
@@ -124,16 +123,16 @@
         }
     }
 
-    /// Notes that something has come. More has to come within [`SILENCE_TIMEOUT`].
+    /// Notes that data was received. More has to follow within [`SILENCE_TIMEOUT`].
     fn extend_deadline(&self) {
         self.deadline.set(Instant::now() + SILENCE_TIMEOUT);
     }
 
-    /// Publishes a list that has come.
+    /// Publishes a list that was received.
     fn publish(&self, list: &EndpointList) {
-        // Of a call that was given up a list counts if it is not older than what came since. One of
-        // the same revision counts: a snapshot may name fewer endpoints, since it leaves out those
-        // that drain.
+        // A list of a call that was given up counts if it is not older than the list held. One of
+        // the same revision counts: a snapshot may name fewer endpoints, since it omits those that
+        // drain.
         let is_awaited = self.state.needs_snapshot() && list.is_snapshot;
         let is_current = list.revision >= self.state.revision();
         if !self.is_given_up.get() || is_awaited || is_current {
@@ -144,9 +143,9 @@
         }
     }
 
-    /// Runs the call's exchange to its end, or until nothing comes for too long. The exchange goes on
-    /// beside the next call then: what discovery has sent has to be applied, whether or not the
-    /// proxy still waits for it.
+    /// Runs the call's exchange to its end, or until nothing is received for too long. The exchange
+    /// goes on beside the next call then: what discovery has sent has to be applied, whether or not
+    /// the proxy still waits for it.
     async fn drive(
         self,
         exchange: impl Future<Output = Result<(), WatchError>> + 'static,
@@ -160,7 +159,7 @@
             if self.deadline.get() > deadline {
                 continue;
             }
-            // Something may have come while the whole process was suspended.
+            // Data may have arrived while the whole process was suspended.
             if let Ok(result) = timeout(RESUME_GRACE, exchange.as_mut()).await {
                 return result;
             }
@@ -215,7 +214,7 @@
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        // A list that has begun has to end in time, whatever comes of it meanwhile.
+        // A list that has begun has to end in time, however much of it arrives meanwhile.
         if !decoder.is_mid_object() {
             call.extend_deadline();
         }
@@ -259,8 +258,8 @@
     }
 }
 
-/// Drives a connection and an exchange on it. The connection is polled first: what it has brought is
-/// read before any of the exchange's timers, and before its own end is noticed.
+/// Drives a connection and an exchange on it. The connection is polled first: data that has arrived
+/// is read before any of the exchange's timers, and before the connection's end is noticed.
 async fn drive_connection<T>(
     connection: impl Future,
     exchange: impl Future<Output = Result<T, WatchError>>,
--- a/crates/proxy/src/discovery/json_lines.rs
+++ b/crates/proxy/src/discovery/json_lines.rs
@@ -16,7 +16,7 @@
     /// An object exceeds [`MAX_OBJECT_BYTES`].
     #[error("over {MAX_OBJECT_BYTES} bytes")]
     TooLong,
-    /// What has come of an object cannot be the beginning of any.
+    /// The part of an object received so far cannot be the beginning of a valid one.
     #[error("{0}")]
     InvalidJson(#[from] serde_json::Error),
 }
@@ -36,7 +36,7 @@
 /// Decoder that takes the stream in parts and gives back complete objects.
 #[derive(Default)]
 pub struct JsonLineDecoder {
-    /// What has come of the present object and behind it.
+    /// The part of the present object received so far, and what follows it.
     buffer: BytesMut,
     /// Bytes of `buffer` that were scanned for the end of the object.
     scanned: usize,
@@ -59,12 +59,12 @@
         self.buffer.extend_from_slice(data);
     }
 
-    /// The next complete object, if it has come.
+    /// The next complete object, if all of it has been received.
     ///
     /// # Errors
     ///
-    /// Fails as soon as it shows that what has come cannot become an object, which may be before its
-    /// end. The decoder is of no further use then.
+    /// Fails as soon as the data received cannot become an object, which may be before its end. The
+    /// decoder is of no further use then.
     pub fn next_object(&mut self) -> Result<Option<BytesMut>, DecodeError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             if self.depth == 0 && byte != b'{' {
@@ -100,8 +100,7 @@
             (Context::String, b'"') => self.context = Context::Structure,
             (Context::Structure, b'{' | b'[') => self.depth += 1,
             (Context::Structure, b'}' | b']') => self.depth -= 1,
-            // An empty line within an object shows that the rest of the object is missing, unless
-            // what came so far is valid.
+            // After an empty line within an object the next line may belong to another object.
             (_, b'\n') if self.ends_empty_line() => self.validate()?,
             _ => {}
         }
--- a/crates/proxy/src/discovery/state.rs
+++ b/crates/proxy/src/discovery/state.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// How long an unanswered call is still listened to, beside the calls that follow it.
+/// How long an unanswered call is kept running, beside the calls that follow it.
 const UNANSWERED_CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Whether discovery pushes lists or is asked for them.
@@ -26,7 +26,7 @@
 pub enum DiscoveryEvent<'a> {
     /// An endpoint list, or a change to the one received before.
     EndpointList(&'a EndpointList),
-    /// A watch was answered, and may bring nothing for long. Only under polled discovery.
+    /// A watch was answered, and may receive no list for long. Only under polled discovery.
     WatchOpened,
     /// A watch failed or ended. Only under polled discovery.
     WatchFailed,
@@ -51,12 +51,12 @@
     watches_opened: Cell<u64>,
     /// The watch at the previous address. It runs until the present address has sent a snapshot.
     superseded_watch: RefCell<Option<AbortHandle>>,
-    /// A call that was given up because nothing came, and may still bring something.
+    /// A call that was given up for its silence, and may still receive a list.
     unanswered_call: RefCell<Option<AbortHandle>>,
 }
 
 impl DiscoveryState {
-    /// No list is held yet. Discovery answers at `address`.
+    /// Creates the state of a process that has received no list. Discovery answers at `address`.
     pub fn new(mode: DiscoveryMode, address: SocketAddr, log: EventLog) -> Self {
         DiscoveryState {
             mode,
@@ -92,8 +92,8 @@
         self.address.get()
     }
 
-    /// Changes where discovery answers. `watch` is what follows the previous address: it goes on
-    /// until the new address has sent a snapshot.
+    /// Changes where discovery answers. `watch` is the task that watches the previous address: it
+    /// goes on until the new address has sent a snapshot.
     pub fn set_address(&self, address: SocketAddr, watch: Option<AbortHandle>) {
         self.address.set(address);
         self.needs_snapshot.set(true);
@@ -115,8 +115,8 @@
         self.needs_snapshot.get()
     }
 
-    /// Whether there is no first list to wait for: one has come or can't be had, or lists are polled
-    /// and the list of the configuration serves until then.
+    /// Whether there is no first list to wait for: one has been received or discovery is
+    /// unavailable, or lists are polled and the list of the configuration serves until then.
     pub fn is_settled(&self) -> bool {
         !self.first_list_pending.get()
     }
@@ -139,14 +139,14 @@
         }
     }
 
-    /// Hands an event to the handler.
+    /// Passes an event to the handler.
     pub fn emit(&self, event: DiscoveryEvent) {
         if let Some(handler) = self.event_handler.get() {
             handler(event);
         }
     }
 
-    /// Takes a list that discovery has sent from `source`, and hands it on.
+    /// Passes a list that discovery has sent from `source` to the event handler.
     pub fn publish(&self, list: &EndpointList, source: SocketAddr) {
         self.first_list_pending.set(false);
         if list.is_snapshot && source == self.address.get() {
@@ -157,8 +157,8 @@
         self.emit(DiscoveryEvent::EndpointList(list));
     }
 
-    /// Goes on listening to a call that was given up because nothing came. One that is kept already
-    /// has precedence, since it was made first.
+    /// Keeps a call running that was given up for its silence. One that is kept already has
+    /// precedence, since it was made first.
     pub fn keep_unanswered_call(&self, address: SocketAddr, call: impl Future + 'static) {
         let mut unanswered_call = self.unanswered_call.borrow_mut();
         let is_occupied = unanswered_call
@@ -173,9 +173,9 @@
         *unanswered_call = Some(task.abort_handle());
     }
 
-    /// Ends a call that was kept. To be called once a later call has brought a list: before that
-    /// the kept call may still be the one that brings something, since an open watch may end
-    /// without a list.
+    /// Ends a call that was kept. To be called once a later call has received a list: before that
+    /// the kept call may still be the one that receives it, since an open watch may end without a
+    /// list.
     pub fn drop_unanswered_call(&self) {
         abort(self.unanswered_call.take());
     }
--- a/crates/proxy/src/discovery/watch_loop.rs
+++ b/crates/proxy/src/discovery/watch_loop.rs
@@ -20,15 +20,15 @@
 /// Fraction of a pause that is random, so that many nodes do not come back in step.
 const BACKOFF_JITTER: f64 = 0.5;
 
-// Two watches in a row may say nothing, and the third still has most of a second to answer before
-// the node has to know what the first one missed.
+// Two watches in a row may be silent, and the third still has most of a second to answer before the
+// node has to know what the first one missed.
 const _: () =
     assert!(2 * (client::SILENCE_TIMEOUT.as_millis() + INITIAL_BACKOFF.as_millis()) <= 5300);
 
 /// Owner of the watch on the endpoint list.
 pub struct EndpointWatcher {
     /// Itself, for the tasks it starts.
-    me: Weak<EndpointWatcher>,
+    this: Weak<EndpointWatcher>,
     state: Rc<DiscoveryState>,
     rng: RefCell<Xoshiro256PlusPlus>,
     /// The watch, or the loop that keeps one open.
@@ -38,8 +38,8 @@
 impl EndpointWatcher {
     /// A watcher that does nothing until it is started. `seed` is that of the process.
     pub fn new(mode: DiscoveryMode, address: SocketAddr, seed: u64, log: EventLog) -> Rc<Self> {
-        Rc::new_cyclic(|me| EndpointWatcher {
-            me: me.clone(),
+        Rc::new_cyclic(|this| EndpointWatcher {
+            this: this.clone(),
             state: Rc::new(DiscoveryState::new(mode, address, log)),
             // The balancer has the same seed and its own numbers.
             rng: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(!seed)),
@@ -67,9 +67,11 @@
         if watch.as_ref().is_some_and(|task| !task.is_finished()) {
             return;
         }
-        let (me, address) = (self.me.clone(), self.state.address());
+        let (this, address) = (self.this.clone(), self.state.address());
         let task = spawn_local(async move {
-            let Some(watcher) = me.upgrade() else { return };
+            let Some(watcher) = this.upgrade() else {
+                return;
+            };
             match watcher.state.mode() {
                 DiscoveryMode::Pushed => watcher.run_watch_loop(address).await,
                 DiscoveryMode::Polled => watcher.watch_once(address).await,
@@ -78,8 +80,8 @@
         *watch = Some(task.abort_handle());
     }
 
-    /// Watches another address from now on. A list on its way from the previous address is still
-    /// taken, and the endpoints last known stay, until the new address has sent a snapshot.
+    /// Watches another address from now on. Until the new address has sent a snapshot, lists from the
+    /// previous address are still applied and the endpoints last known stay.
     pub fn change_address(&self, address: SocketAddr) {
         if self.state.address() != address {
             self.state
@@ -89,8 +91,8 @@
         }
     }
 
-    /// Whether requests can be handled by what discovery has sent: a list has come, or is not to be
-    /// had or not to be waited for.
+    /// Whether there is no first list to wait for before requests are accepted: one has been
+    /// received, discovery is unavailable, or lists are polled.
     pub fn is_settled(&self) -> bool {
         self.state.is_settled()
     }
--- a/crates/proxy/src/discovery/wire.rs
+++ b/crates/proxy/src/discovery/wire.rs
@@ -10,7 +10,7 @@
     /// It is not the JSON of an endpoint list.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// An endpoint that takes requests or finishes some has no address.
+    /// An active or draining endpoint has no address.
     #[error("{0} has no host_port")]
     MissingAddress(String),
 }
@@ -34,7 +34,7 @@
     /// Its name, the same at every node.
     #[serde(rename = "id")]
     pub name: String,
-    /// Where it listens. One that is removed needs none.
+    /// Where it listens. A removed endpoint needs no address.
     #[serde(rename = "host_port")]
     pub address: Option<SocketAddr>,
     /// Name of its zone.
@@ -46,7 +46,7 @@
     /// Number of its cell.
     #[serde(default)]
     pub cell: u16,
-    /// What it takes.
+    /// Whether it accepts requests.
     pub phase: EndpointPhase,
     /// Its weight.
     #[serde(rename = "size", default = "default_weight")]
@@ -67,16 +67,16 @@
     1.0
 }
 
-/// What an endpoint takes.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointPhase {
-    /// New requests.
+    /// It accepts new requests.
     Active,
-    /// No new requests; those in flight are finished.
+    /// It accepts no new requests and finishes those in flight.
     #[serde(rename = "leaving")]
     Draining,
-    /// Nothing: it is no more.
+    /// It no longer exists.
     #[serde(rename = "left")]
     Removed,
 }
--- a/crates/proxy/src/endpoint_updates.rs
+++ b/crates/proxy/src/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! Changes to the set of backends on their way to the balancer: endpoint lists, and what operators
-//! have said.
+//! Changes to the set of backends on their way to the balancer: endpoint lists and the operator
+//! state.
 
 use crate::clock::Clock;
 use crate::discovery::wire::EndpointList;
@@ -102,7 +102,7 @@
             .endpoint_list_updated(ListUpdate::Failed, Vec::new());
     }
 
-    /// Applies what operators have said, under this list and all later ones.
+    /// Applies the operator state, under this list and all later ones.
     pub fn apply_operator_state(&self, operator_state: &OperatorState) {
         let endpoints = self
             .backends
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -60,7 +60,7 @@
     Settings(#[from] balancer::SettingsError),
 }
 
-/// Reads the configuration named by the environment and runs the proxy until it is told to stop.
+/// Reads the configuration named by the environment and runs the proxy until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
@@ -251,7 +251,7 @@
     }
 }
 
-/// What other parts than the balancer need of its settings.
+/// What parts other than the balancer need of its settings.
 struct RequestLimits {
     /// By class.
     idempotency: Vec<Idempotency>,
@@ -358,8 +358,8 @@
 }
 
 impl Readiness {
-    /// Waits for a first endpoint list, for a moment; and for as long as a peer process can serve
-    /// what comes to the inherited listener, for a list that names an active endpoint.
+    /// Waits for a first endpoint list, for a moment; and for as long as a peer process can serve the
+    /// connections to an inherited listener, for a list that names an active endpoint.
     async fn wait(&self) {
         let deadline = Instant::now() + FIRST_LIST_TIMEOUT;
         while !self.endpoint_watcher.is_settled() && Instant::now() < deadline {
--- a/crates/proxy/src/operator_state/file_lock.rs
+++ b/crates/proxy/src/operator_state/file_lock.rs
@@ -79,7 +79,7 @@
         .map_err(LockError::Io)
 }
 
-/// This process's claim to run, by which a peer process of the same node sees it.
+/// The lock by which a peer process of the same node detects that this process runs.
 #[derive(Default)]
 pub struct Presence {
     /// The index among [`PRESENCE_FILES`] and the lock on that file, once one was acquired.
--- a/crates/proxy/src/operator_state/store.rs
+++ b/crates/proxy/src/operator_state/store.rs
@@ -80,7 +80,7 @@
     Io {
         /// Its name.
         file: &'static str,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// Another process holds the lock.
@@ -105,7 +105,7 @@
     }
 }
 
-/// Tells one content of the state file from the next without reading it.
+/// Identifies a version of the state file without reading it.
 #[derive(Clone, Copy, PartialEq)]
 struct FileIdentity {
     inode: u64,
@@ -155,7 +155,7 @@
         self.state.borrow()
     }
 
-    /// Takes in what another process has written since, and returns whether that changes the state.
+    /// Reads what another process has written since, and returns whether that changes the state.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/peer_process.rs
+++ b/crates/proxy/src/peer_process.rs
@@ -1,4 +1,4 @@
-//! Follows the other process of the same node, which there is during an upgrade.
+//! Monitors the other process of the same node, which runs during an upgrade.
 
 use crate::admin::operator_control::OperatorControl;
 use crate::downstream::listener::Listener;
@@ -17,11 +17,11 @@
 pub struct PeerProcessMonitor {
     /// Applies changes of the operator state.
     pub control: Rc<OperatorControl>,
-    /// Where the peer process is seen.
+    /// Detects the peer process.
     pub operator_state: Rc<OperatorStateStore>,
     /// What the processes share.
     pub resource_limits: ResourceLimits,
-    /// Takes connections from clients.
+    /// Accepts connections from clients.
     pub listener: Rc<Listener>,
     /// Holds connections to backends.
     pub upstream_pool: Rc<ConnectionPool>,
@@ -32,7 +32,7 @@
 }
 
 impl PeerProcessMonitor {
-    /// Follows the peer process for as long as this one runs.
+    /// Monitors the peer process for as long as this one runs.
     pub async fn run(mut self) {
         let mut interval = tokio::time::interval(POLL_INTERVAL);
         loop {
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -22,7 +22,7 @@
     /// An operator has drained the node: the process serves, and asks clients to go elsewhere until
     /// the drain ends.
     Draining,
-    /// The process was told to stop: it serves, and asks clients to go elsewhere.
+    /// A signal has started the shutdown: the process serves, and asks clients to go elsewhere.
     ShuttingDown,
     /// The same, while a peer process accepts the connections.
     HandingOver,
@@ -36,7 +36,7 @@
 }
 
 impl ShutdownController {
-    /// The process serves.
+    /// Creates a controller of a process that serves.
     pub fn new() -> Self {
         ShutdownController {
             phase: watch::Sender::new(ShutdownPhase::Serving),
@@ -53,7 +53,7 @@
         self.phase.subscribe()
     }
 
-    /// Begins or ends a drain, unless the process was told to stop.
+    /// Begins or ends a drain, unless the process is shutting down.
     pub fn set_draining(&self, draining: bool) {
         let target = if draining {
             ShutdownPhase::Draining
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -50,8 +50,8 @@
 }
 
 impl StartTimes {
-    /// Takes in a list's timestamps, before the starts of its backends are asked for. They show how
-    /// far the clock has come that they were taken from.
+    /// Observes a list's timestamps, before [`start_of`](Self::start_of) is called for its backends.
+    /// They show how far the clock has advanced that they were read from.
     pub fn observe_timestamps(&mut self, now: Time, timestamps: impl Iterator<Item = Duration>) {
         let Some(latest) = timestamps.max().filter(|timestamp| !timestamp.is_zero()) else {
             return;
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Takes in which backends operators have put back into use. A marker that is new counts as a
+    /// Observes which backends operators have put back into use. A marker that is new counts as a
     /// start at this moment.
     pub fn observe_returned<'a>(
         &mut self,
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,4 +1,4 @@
-//! What the process takes from the system at its start: signal handlers, listeners and the stored
+//! What the process acquires at its start: signal handlers, listeners and the stored
 //! operator state. Failures that may pass are retried, as [`retry_at_start`] does.
 
 use crate::config::ListenConfig;
@@ -96,7 +96,7 @@
 }
 
 impl Listeners {
-    /// Binds the configured addresses, or takes over an inherited listener.
+    /// Binds the configured addresses, or uses an inherited listener.
     ///
     /// # Errors
     ///
