--- a/crates/proxy/src/admin/commands_tests.rs
+++ b/crates/proxy/src/admin/commands_tests.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn every_405_response_names_the_allowed_methods() {
+fn every_reply_of_method_not_allowed_lists_the_methods() {
     for reply in [
         AdminReply::MethodNotAllowed,
         AdminReply::MalformedRequest(MessageError::UnsupportedMethod),
@@ -58,6 +58,6 @@
         assert!(response.starts_with("HTTP/1.1 405 "), "{response}");
         assert!(response.contains("\r\nAllow: GET, POST\r\n"), "{response}");
     }
-    let response = AdminReply::UnknownCommand.to_http();
-    assert!(!response.contains("\r\nAllow:"), "{response}");
+    let unknown = AdminReply::UnknownCommand.to_http();
+    assert!(!unknown.contains("Allow"), "{unknown}");
 }
