--- a/crates/proxy/src/admin/operator_control.rs
+++ b/crates/proxy/src/admin/operator_control.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Carries out a command. What the reply says is in force then, and lasts.
+    /// Carries out a command. The change is stored and in force when this returns.
     pub async fn execute(&self, command: AdminCommand<'_>) -> AdminReply {
         let result = match command {
             AdminCommand::CheckHealth => Ok(self.check_health()),
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -22,12 +22,12 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// Connections at a time. A further one takes the place of the oldest.
+/// Connections at a time. Accepting a further one closes the oldest.
 const MAX_CONNECTIONS: usize = 16;
-/// Descriptors that the server takes at most: the connections, the listener and one that is being
+/// Descriptors that the server holds at most: the connections, the listener and one that is being
 /// accepted.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
-/// For a request to come.
+/// For a complete request to be received.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// For the response to be written, and for what an operator still sends behind the request.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -9,7 +9,7 @@
 
 /// The variable that names the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
-/// Fewer descriptors than this leave none to serve clients with.
+/// The fewest descriptors with which clients can be served.
 const MIN_DESCRIPTORS: usize = 64;
 
 /// Why a configuration cannot be used.
@@ -23,7 +23,7 @@
     Unreadable {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
     /// The file is not JSON, or lacks a key.
--- a/crates/proxy/src/config_reload.rs
+++ b/crates/proxy/src/config_reload.rs
@@ -20,8 +20,8 @@
 }
 
 /// Reloads the configuration. The whole file is checked before anything of it is used; a file that is
-/// invalid changes nothing. What it says takes precedence from now on over what the environment said
-/// at the start.
+/// invalid changes nothing. The discovery address of a valid file takes precedence from now on over
+/// that of the environment.
 async fn reload(log: &EventLog, endpoint_watcher: &EndpointWatcher) {
     match read_text(log).await.and_then(|text| text.parse()) {
         Ok(config) => {
--- a/crates/proxy/src/discovery/json_lines.rs
+++ b/crates/proxy/src/discovery/json_lines.rs
@@ -33,7 +33,7 @@
     Escape,
 }
 
-/// Decoder that takes the stream in parts and gives back complete objects.
+/// Decoder that accepts the stream in parts and returns complete objects.
 #[derive(Default)]
 pub struct JsonLineDecoder {
     /// The part of the present object received so far, and what follows it.
--- a/crates/proxy/src/discovery/state.rs
+++ b/crates/proxy/src/discovery/state.rs
@@ -46,7 +46,7 @@
     /// The list held comes from another address than the present one, so that changes to it are of
     /// no use.
     needs_snapshot: Cell<bool>,
-    /// Whether a first list may come soon.
+    /// Whether a first list may be received soon.
     first_list_pending: Cell<bool>,
     watches_opened: Cell<u64>,
     /// The watch at the previous address. It runs until the present address has sent a snapshot.
--- a/crates/proxy/src/operator_state/store.rs
+++ b/crates/proxy/src/operator_state/store.rs
@@ -1,4 +1,4 @@
-//! What operators have asked for, kept in one file for the next process of the node. While two
+//! What operators have requested, stored in one file for the next process of the node. While two
 //! processes of a node run, both go by that file.
 
 use super::file_lock::{lock, LockError, Presence};
@@ -28,7 +28,7 @@
 /// Pause after a change that could not be written, before one that no operator waits for is tried.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What operators have asked for and not taken back.
+/// What operators have requested and not revoked.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorState {
@@ -211,7 +211,7 @@
             })?;
         let latest = match read_state(folder, &self.node) {
             Ok(latest) => latest,
-            // The file may hold another process's change, which writing would take back.
+            // The file may hold another process's change, which writing would undo.
             Err(error @ StoreError::Io { .. }) => return Err(error),
             // Invalid content is replaced: it was logged when it was first read.
             Err(_) => None,
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! How far the process's end has come, and the graceful shutdown.
+//! Phases of a process from serving to its end, and the graceful shutdown.
 
 use std::time::Duration;
 use tokio::sync::watch;
@@ -14,7 +14,7 @@
 /// How often the shutdown checks for messages that are being streamed.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How far the process's end has come. Later phases are greater.
+/// Phase of a process from serving to its end. Later phases are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
     /// The process serves.
@@ -73,7 +73,7 @@
     /// process accepts them, and then requests and messages in flight are finished.
     ///
     /// `longest_deadline` is that of any request, `server` the task that accepts connections and ends
-    /// with the last of them, and `is_busy` says whether a request or a message is still in flight.
+    /// with the last of them. `is_busy` returns whether a request or a message is still in flight.
     pub async fn run(
         &self,
         handing_over: bool,
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -45,7 +45,7 @@
     listed: FxHashMap<String, ListedStart>,
     maintenance_ends: FxHashMap<String, MaintenanceEnd>,
     latest_reading: Option<ClockReading>,
-    /// A list has come from discovery itself: whatever is new from now on has started since.
+    /// A list from discovery itself has been applied: whatever is new from now on has started since.
     discovery_list_applied: bool,
 }
 
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -31,7 +31,7 @@
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
     /// A listener is open and cannot be used.
