--- a/crates/balancer/src/balancer/probes.rs
+++ b/crates/balancer/src/balancer/probes.rs
@@ -81,7 +81,11 @@
             backend.probe.sent_at = None;
         }
         let load = self.record_probe_result(now, result);
-        for id in self.probing.waiting_requests() {
+        // From the last to the first, since a request that is dispatched leaves the list.
+        for position in (0..self.probing.waiting_count()).rev() {
+            let Some(id) = self.probing.waiting_request(position) else {
+                continue;
+            };
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -89,13 +89,16 @@
             .map(|selection| selection.request)
     }
 
-    /// The requests that wait, the latest first.
-    pub fn waiting_requests(&self) -> Vec<RequestId> {
+    /// Number of requests that wait.
+    pub fn waiting_count(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// The request at this position among those that wait, the earliest first.
+    pub fn waiting_request(&self, position: usize) -> Option<RequestId> {
         self.pending
-            .iter()
-            .rev()
+            .get(position)
             .map(|selection| selection.request)
-            .collect()
     }
 
     /// The request waits no longer.
