--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -14,18 +14,18 @@
 
 /// Seconds over which a tenant's rate is taken.
 const TENANT_WINDOW: f64 = 5.0;
-/// Load above which arrivals are shed.
+/// Load above which arrivals are shed, in units of a backend's capacity.
 const SHEDDING_LOAD: f64 = 1.0;
-/// Load above which arrivals are shed where backends report none: the latency of a response tells
-/// late.
+/// Load above which arrivals are shed where backends report none, as a fraction of the latency
+/// objective: latency rises late.
 const UNREPORTED_SHEDDING_LOAD: f64 = 0.2;
 /// Step of the logarithm of the admitted fraction, per second and unit of excess load.
 const SHEDDING_STEP: f64 = 2.0;
-/// Most seconds that one attempt speaks for.
+/// Longest time, in seconds, for which one attempt moves the shed fraction.
 const MAX_STEP_TIME: f64 = 0.5;
 /// Largest fraction that is shed; the rest goes on testing whether backends have recovered.
 const MAX_SHED_FRACTION: f64 = 0.98;
-/// Seconds in which shedding drifts back by itself, for when nothing is sent.
+/// Time constant, in seconds, with which the shed fraction decays while no attempt moves it.
 const RECOVERY_TIME: f64 = 24.0;
 /// Highest multiple of its class's priority weight that a request counts with.
 const MAX_WEIGHT_MULTIPLE: f64 = 8.0;
@@ -212,8 +212,8 @@
         group.shed_fraction = shed_fraction.clamp(0.0, MAX_SHED_FRACTION);
     }
 
-    /// Sets the thresholds by how much of each class's traffic has found a place. Without news the
-    /// shed fraction drifts back; `elapsed` is in seconds since the last update.
+    /// Sets the thresholds by how much of each class's traffic the shares have room for, and lets the
+    /// shed fractions decay. `elapsed` is in seconds since the last update.
     pub fn update_thresholds(&mut self, elapsed: f64, placements: &[ClassPlacement]) {
         for position in 0..self.groups.len() {
             let (mut unplaced, mut traffic) = (0.0, 0.0);
--- a/crates/balancer/src/backend.rs
+++ b/crates/balancer/src/backend.rs
@@ -1,4 +1,4 @@
-//! What the balancer knows of one backend.
+//! The state that the balancer keeps of one backend.
 
 use crate::estimators::{FailureFraction, SpeedEstimate, WorkRate};
 use crate::events::{Endpoint, EndpointState};
@@ -17,9 +17,9 @@
 pub struct ReportedLoad {
     /// The latest report.
     pub report: LoadReport,
-    /// Load in units of the backend's capacity, by that report or by an attempt that met more.
+    /// Load in units of the backend's capacity, by that report or by an overloaded attempt since.
     pub load: Option<f64>,
-    /// When the load was reported or met.
+    /// When `load` was set.
     pub reported_at: Time,
     /// Requests per second by the latest report, 0 where it gave none.
     pub throughput: f64,
@@ -200,7 +200,8 @@
             .map(|&started_at| (now - started_at).as_secs_f64())
     }
 
-    /// An attempt that started at `started_at` is answered or has ended.
+    /// Removes the attempt that started at `started_at` from those in flight: it is answered or has
+    /// ended.
     pub fn release_in_flight(&mut self, started_at: Time) {
         let Some(position) = self.in_flight.iter().position(|&at| at == started_at) else {
             return;
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -24,9 +24,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Rotation of the seed that gives the order of backends numbers of its own.
+/// Bits by which the seed is rotated, so that the order of backends and the draws use different seeds.
 const RANK_SEED_ROTATION: u32 = 32;
-/// Most seconds that a refresh of the shares speaks for.
+/// Longest time since the last refresh of the shares, in seconds, that a refresh accounts for.
 const MAX_REFRESH_TIME: f64 = 1.0;
 
 /// The balancer of one node.
@@ -41,7 +41,7 @@
     pub(crate) admission: Admission,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) probing: LoadProbing,
-    /// Requests that are owed a response or have an attempt in flight.
+    /// Requests without a final response, or with an attempt in flight.
     pub(crate) requests: FxHashMap<RequestId, Request>,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What the balancer goes by at present, for the node's log.
+    /// The present state of prices, shares and shedding, for the node's log.
     pub fn snapshot(&self, now: Time) -> BalancerSnapshot {
         let first_class = ClassId(0);
         let shares = &self.allocation.class(first_class).shares;
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Drops a request that is answered and has no attempt in flight.
+    /// Removes a request whose response is closed and that has no attempt in flight.
     fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self
             .requests
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -14,10 +14,10 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Load that a rejected or overdue attempt has met, in units of the backend's capacity.
+/// Load indicated by a rejected or overdue attempt, in units of the backend's capacity.
 const OVERLOADED: f64 = 1.0 + EXCESS_LOAD;
 
-/// An attempt that has ended, with what its request tells of it.
+/// An attempt that has ended, with the properties of its request that are learned from.
 struct EndedAttempt {
     backend: BackendId,
     class: ClassId,
@@ -163,7 +163,7 @@
             mean_work.record(ended.latency);
         }
         if self.settings.is_capacity_unknown() {
-            if let Some(load) = self.load_met(ended) {
+            if let Some(load) = self.indicated_load(ended) {
                 self.admission.update_shed_fraction(now, ended.class, load);
             }
         }
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Load that an attempt has met, in units of the backend's capacity.
-    fn load_met(&self, ended: &EndedAttempt) -> Option<f64> {
+    /// Load indicated by an attempt, in units of the backend's capacity; `None` where it indicates none.
+    fn indicated_load(&self, ended: &EndedAttempt) -> Option<f64> {
         let overdue = OVERDUE_LATENCY_MULTIPLE * self.fleet.typical_latency.seconds();
         match ended.outcome {
             AttemptOutcome::Rejected => Some(OVERLOADED),
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Sends the final response of a request that is given up: a rejection where that is true to
-    /// its class, else a failure.
+    /// Sends the final response of a request that is given up: a rejection where the client may
+    /// repeat it harmlessly, else a failure.
     pub(super) fn give_up(
         &mut self,
         id: RequestId,
@@ -261,8 +261,8 @@
         self.remove_if_finished(id);
     }
 
-    /// When a rejected client should come back: once capacity is free and while its response still
-    /// counts, the later the more is shed.
+    /// The Retry-After of a rejected client: at least a typical latency, and up to the latency
+    /// objective as the shed fraction grows.
     fn retry_after(&self, class: ClassId) -> Option<Duration> {
         let shed_fraction = self.admission.group(class).shed_fraction;
         let objective = self.settings.class(class).latency_objective;
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! When the endpoint list is asked for again, where changes come only on request.
+//! When discovery is polled for the endpoint list, where changes come only on request.
 
 use crate::actions::Action;
 use crate::events::{Endpoint, EndpointState, ListUpdate};
@@ -9,10 +9,10 @@
 use crate::timers::Timers;
 use std::sync::Arc;
 
-/// Longest wait, in seconds, after a first failed call; doubled by each further one ...
+/// Longest wait, in seconds, after a first failed call. Each further failure doubles it.
 const MIN_BACKOFF: f64 = 0.25;
-/// ... up to this many seconds: a further call, and one more, have to fit into the time after which
-/// a change counts as notified.
+/// Upper bound of the doubled wait, in seconds: two further calls have to fit into the time after
+/// which a change counts as notified.
 const MAX_BACKOFF: f64 = 2.0;
 /// Longest poll interval, in seconds, of a node that knows active backends.
 const MAX_POLL_INTERVAL: f64 = 30.0;
@@ -20,9 +20,9 @@
 const MAX_POLL_INTERVAL_WITHOUT_BACKENDS: f64 = POLLS_PER_INTERVAL * MAX_BACKOFF;
 /// Shortest poll interval in seconds.
 const MIN_POLL_INTERVAL: f64 = 1.0;
-/// The first call after a cached list comes within this part of the poll interval.
+/// Calls that fit into one poll interval; the first one after a cached list comes within one part.
 const POLLS_PER_INTERVAL: f64 = 5.0;
-/// Largest exponent of the backoff.
+/// Failures from which the backoff is no longer doubled; keeps its shift in range.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Polls discovery after a cached list or a failed call, at random times: all nodes may have
@@ -105,7 +105,7 @@
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let max_wait = (MIN_BACKOFF * f64::from(1u32 << doublings)).min(MAX_BACKOFF);
         if self.consecutive_failures == 0 {
-            // No call, maybe, but a watch that broke after a long time.
+            // A watch that broke after a long time, perhaps: its duration was no pause.
             return max_wait;
         }
         (max_wait - (now - self.called_at).as_secs_f64()).max(MIN_BACKOFF)
--- a/crates/balancer/src/estimators.rs
+++ b/crates/balancer/src/estimators.rs
@@ -4,7 +4,7 @@
 const LATENCY_INCREASE: f64 = 1.012;
 /// Factor on the typical latency after a response that did not.
 const LATENCY_DECREASE: f64 = 0.992;
-/// Shortest latency of a response that counts, in seconds.
+/// Lower bound of recorded latencies, in seconds; keeps rates finite.
 const MIN_LATENCY: f64 = 1e-6;
 /// Weight of a sample in the usual number of requests in flight.
 const IN_FLIGHT_BASELINE_GAIN: f64 = 1.0 / 64.0;
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -16,11 +16,11 @@
 use crate::time::Time;
 use std::sync::Arc;
 
-/// Fraction of its measured capacity that a backend is asked for; reports miss the rest.
+/// Fraction of its measured capacity up to which a backend is used; reports miss the rest.
 pub const USABLE_CAPACITY_FRACTION: f64 = 0.72;
-/// Price of this node's own attempts in flight at a backend, relative to those usual there.
+/// Price of this node's own attempts in flight at a backend, per multiple of those usual there.
 const OWN_IN_FLIGHT_PRICE: f64 = 0.5;
-/// Seconds in which the fraction of failing new connections drifts back.
+/// Time constant, in seconds, with which the fraction of failed new connections decays.
 const CONNECT_RECOVERY_TIME: f64 = 24.0;
 /// Weight of a new connection in the fraction that fails.
 const CONNECT_FAILURE_GAIN: f64 = 1.0 / 8.0;
@@ -30,7 +30,9 @@
 const MIN_RELATIVE_SPEED: f64 = 0.01;
 /// Sum of trust in load reports below which the fleet counts as idle.
 const MIN_REPORT_TRUST: f64 = 0.01;
-/// Smallest typical latency to begin with, in seconds.
+/// Initial value of the sum of recent shares, against a division by zero.
+const MIN_SUM_OF_SHARES: f64 = 1e-9;
+/// Lower bound of the initial typical latency, in seconds.
 const MIN_INITIAL_LATENCY: f64 = 1e-3;
 
 /// This node's part of the traffic of all nodes.
@@ -148,7 +150,7 @@
         }
     }
 
-    /// An attempt that started at `started_at` is answered or has ended.
+    /// Removes an attempt from those in flight at a backend: it is answered or has ended.
     pub fn release_in_flight(&mut self, id: BackendId, started_at: Time) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.release_in_flight(started_at);
@@ -204,7 +206,7 @@
     /// What the share allocation needs of each active backend, in the node's order.
     pub fn share_inputs(&self, now: Time, traffic: NodeTraffic) -> Vec<ShareInput> {
         let count = self.backends.active_count() as f64;
-        let [mut mean_weight, mut in_flight, mut recent_shares] = [0.0, 0.0, 1e-9];
+        let [mut mean_weight, mut in_flight, mut recent_shares] = [0.0, 0.0, MIN_SUM_OF_SHARES];
         for backend in self.backends.active() {
             mean_weight += backend.weight / count;
             in_flight += backend.in_flight.len() as f64;
@@ -304,7 +306,7 @@
     }
 }
 
-/// Lets the samples of a backend that has not answered of late lose their weight.
+/// Reduces the weight of the samples of a backend that has not responded recently.
 fn fade_old_samples(now: Time, backend: &mut Backend, elapsed: f64) {
     if (now - backend.sampled_at).as_secs_f64() > DRIFT_TIME / 2.0 {
         let kept = 1.0 - (elapsed / DRIFT_TIME).min(1.0);
--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -1,4 +1,4 @@
-//! Load probes: where load is reported only to them, a few backends are asked before an attempt.
+//! Load probes: where load is reported only to them, a few backends are probed before an attempt.
 
 use crate::backend::Backend;
 use crate::estimators::ExponentialMean;
@@ -11,15 +11,15 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Backends that are asked for one request.
+/// Backends that are probed for one request.
 pub const CANDIDATES_PER_REQUEST: usize = 5;
 
-/// Estimated waits over actual ones at their worst.
+/// Ratio of the estimated wait to the longest actual one; corrects estimates that are too short.
 const WAIT_ESTIMATE_RATIO: f64 = 0.85;
-/// Typical latencies for which the answer to a load probe, with own attempts since counted in,
-/// needs no other.
+/// Age, in typical latencies, below which the answer to a load probe, corrected by this node's own
+/// attempts since, is used without another probe.
 const RECENT_ANSWER_LATENCIES: f64 = 0.3;
-/// Typical latencies of load probes for which answers are awaited.
+/// Time for which an answer is awaited, in typical latencies of load probes.
 const TIMEOUT_PROBE_LATENCIES: f64 = 4.0;
 /// Latency of a load probe to begin with, in seconds.
 const INITIAL_PROBE_LATENCY: f64 = 0.003;
@@ -108,7 +108,7 @@
     }
 }
 
-/// Whether backends are asked for their load before an attempt.
+/// Whether backends are probed before an attempt.
 pub fn is_enabled(settings: &Settings) -> bool {
     settings.load_reporting == LoadReporting::OnProbe && settings.load_probes_allowed
 }
--- a/crates/balancer/src/pricing.rs
+++ b/crates/balancer/src/pricing.rs
@@ -1,12 +1,12 @@
 //! Prices of backends, moved by a projected dual step on the load that backends report:
 //!
 //! ```text
-//! price ← [price − step · (rho − utilization)]₊
+//! price ← [price − ν · t · (ρ − load)]₊
 //! ```
 //!
-//! where rho is the fraction of its capacity that a backend is meant to use. Prices are relative to
-//! the number of active backends, loads are in units of a backend's capacity, and times are in
-//! seconds.
+//! where ν is the step size, t the time in seconds for which the latest report is valid, and ρ the
+//! fraction of its capacity that a backend is meant to use. Prices are relative to the number of
+//! active backends, and loads are in units of a backend's capacity.
 
 use crate::backend::Backend;
 use crate::estimators::{ExponentialMean, InFlightBaseline};
@@ -22,18 +22,18 @@
 /// Seconds in which an unreported price drifts to the traffic-weighted one, and a speed to the
 /// mean.
 pub const DRIFT_TIME: f64 = 6.0;
-/// Load beyond a whole capacity that a saturated backend counts for.
+/// Load beyond its capacity that is assumed of a saturated backend, in units of that capacity.
 pub const EXCESS_LOAD: f64 = 0.5;
 /// Multiple of the typical latency after which an unanswered attempt counts as overload.
 pub const OVERDUE_LATENCY_MULTIPLE: f64 = 2.5;
 /// Utilization from which a report tells a backend's capacity.
 pub const MIN_INFORMATIVE_UTILIZATION: f64 = 0.05;
 
-/// Price per second and unit of excess load: the step size.
+/// Change of a price per second and unit of excess load: the step size ν.
 const STEP_SIZE: f64 = 0.15;
-/// Fraction of its capacity that a backend is meant to use (rho); less in an idle fleet.
+/// Fraction of its capacity that a backend is meant to use (ρ); less in an idle fleet.
 const TARGET_LOAD: f64 = 0.7;
-/// Highest load that anything counts for.
+/// Upper bound of every load, in units of a backend's capacity.
 const MAX_LOAD: f64 = 4.0;
 /// Highest price above the traffic-weighted one, so that no backend is avoided for long.
 const MAX_PRICE_ABOVE_TRAFFIC: f64 = 1.0;
@@ -45,9 +45,9 @@
 const FAILING_FRACTION: f64 = 0.5;
 /// Utilization above which a report gives only a lower bound of the load.
 const SATURATED_UTILIZATION: f64 = 0.85;
-/// Seconds for which a report moves the price, where reports are frequent.
+/// Seconds for which a report is valid, where reports are frequent.
 const MIN_REPORT_LIFETIME: f64 = 0.5;
-/// Seconds for which a report moves the price, where reports are rare.
+/// Seconds for which a report is valid, where reports are rare.
 const MAX_REPORT_LIFETIME: f64 = 4.0;
 /// Weight of a sample in the lifetime of reports.
 const REPORT_LIFETIME_GAIN: f64 = 1.0 / 64.0;
@@ -55,9 +55,9 @@
 /// What a failure did to a backend's price.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PriceChange {
-    /// It is as before.
+    /// None.
     Unchanged,
-    /// It has risen.
+    /// The price rose, unless it was at its maximum.
     Raised,
 }
 
@@ -93,8 +93,8 @@
         self.report_lifetime.value()
     }
 
-    /// Moves a backend's price by the intervals that have passed since it was last updated:
-    /// `price ← [price − step · (rho − load)]₊` while its report lives, then back towards the
+    /// Moves a backend's price by the whole intervals that have passed since it was last updated:
+    /// by the dual step for as long as its report is valid, for the rest back towards the
     /// traffic-weighted price. `typical_latency` is in seconds.
     pub fn update_price(&self, now: Time, backend: &mut Backend, typical_latency: f64) {
         let limits = &self.settings.protocol_limits;
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes in a load report. One without a usable utilization is passed over.
+    /// Takes in a load report. One without a usable utilization is ignored.
     pub fn record_load_report(
         &mut self,
         now: Time,
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -95,8 +95,8 @@
             warming.push(backend.id, share);
         }
     }
-    // On a first attempt, load shedding has already rejected what upper bounds leave without a
-    // place.
+    // Load shedding has already rejected the requests for which the upper bounds of the shares have
+    // no room, so a first attempt draws from the shares alone.
     let is_first = request.attempts.is_empty() && request.candidates.is_empty();
     let range = if is_first {
         allocation.shares.iter().sum()
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -97,9 +97,9 @@
     pub slow_start_initial_capacity: f64,
     /// A backend has its full capacity this long after its start, at the latest.
     pub slow_start_duration: Duration,
-    /// More than this multiple of its present capacity ...
+    /// Multiple of its present capacity above which a warming backend is overloaded.
     pub overload_multiple: f64,
-    /// ... for this long takes a warming backend down.
+    /// A warming backend that is overloaded for this long fails.
     pub overload_duration: Duration,
     /// A node without an open watch counts as notified this long after a change was listed.
     pub poll_interval_limit: Duration,
@@ -107,7 +107,10 @@
 
 /// All that a balancer is configured with.
 #[derive(Clone, Debug)]
-#[allow(clippy::struct_excessive_bools)] // independent properties of the site
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each is an independent property of the deployment"
+)]
 pub struct Settings {
     /// Nodes of the fleet, this one included.
     pub nodes: u32,
--- a/crates/balancer/src/share_allocation.rs
+++ b/crates/balancer/src/share_allocation.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// How much of a class's traffic has found a place.
+/// How much of a class's traffic the upper bounds of the shares have room for.
 #[derive(Clone, Copy)]
 pub struct ClassPlacement {
     /// The class's fraction of all arrivals.
@@ -155,7 +155,7 @@
     ///
     /// `inputs` are those of the active backends in the node's order, `arrival_rates` the requests
     /// per second of each class, and `elapsed` the seconds since the last solution. Returns how
-    /// much of each class's traffic has found a place.
+    /// much of each class's traffic the upper bounds have room for.
     pub fn allocate_shares(
         &mut self,
         now: Time,
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Integration tests and unit tests both include this file: the balancer's public items have to be
 //! at their crate's root.
-#![allow(dead_code)]
+#![allow(dead_code)] // Each test program uses a part of it.
 
 use crate::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, CellId, ClassId, Endpoint,
