--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -147,23 +147,8 @@
         self.allocation.record_arrival(now, class);
         let weight = self.admission.record_arrival(now, class, arrival.tenant);
         self.refresh_allocation(now);
-        let shed_probability = self.admission.shed_probability(class, weight);
-        let objective = self.settings.class(class).objective_seconds(work);
-        // Work beyond the objective can only be late, and takes capacity from requests that can be
-        // in time.
-        let is_unreachable = work.is_some_and(|work| work > objective);
-        if let Some(work) = work.filter(|_| !is_unreachable) {
-            self.allocation.mean_work_mut(class).record(work);
-            self.fleet.mean_work.record(work);
-        }
-        let reason = if is_unreachable {
-            Some(GiveUpReason::ObjectiveUnreachable)
-        } else if arrival.remaining.is_zero() {
-            Some(GiveUpReason::DeadlineExceeded)
-        } else {
-            (self.random.uniform() < shed_probability).then_some(GiveUpReason::LoadShed)
-        };
-        if let Some(reason) = reason {
+        if let Some(reason) = self.reason_against_admission(class, work, weight, arrival.remaining)
+        {
             self.give_up(arrival.request, reason, actions);
         } else {
             self.admission.record_admitted(now, arrival.tenant);
@@ -171,6 +156,31 @@
         }
     }
 
+    /// Why a request that has arrived is not admitted, or `None` where it is. Learns from its work,
+    /// in seconds, unless that is out of reach.
+    fn reason_against_admission(
+        &mut self,
+        class: ClassId,
+        work: Option<f64>,
+        priority_weight: f64,
+        remaining: Duration,
+    ) -> Option<GiveUpReason> {
+        if let Some(work) = work {
+            // Work beyond the objective can only be late, and takes capacity from requests that can
+            // be in time.
+            if work > self.settings.class(class).objective_seconds(Some(work)) {
+                return Some(GiveUpReason::ObjectiveUnreachable);
+            }
+            self.allocation.mean_work_mut(class).record(work);
+            self.fleet.mean_work.record(work);
+        }
+        if remaining.is_zero() {
+            return Some(GiveUpReason::DeadlineExceeded);
+        }
+        let shed_probability = self.admission.shed_probability(class, priority_weight);
+        (self.random.uniform() < shed_probability).then_some(GiveUpReason::LoadShed)
+    }
+
     fn on_request_body_received(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.body_pending) else {
             return;
--- a/crates/soak-test/src/plan/mod.rs
+++ b/crates/soak-test/src/plan/mod.rs
@@ -16,9 +16,9 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// A backend in slow start falls over when it gets more than this multiple of its capacity ...
+/// Multiple of its present capacity above which a backend in slow start is overloaded.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// ... for this long.
+/// A backend in slow start that is overloaded for this long fails.
 pub const OVERLOAD_DURATION: Duration = Duration::from_secs(1);
 /// Requests that a backend works on at a time.
 pub const CORES_PER_BACKEND: usize = 2;
