--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Seconds over which a tenant's rate is taken.
+/// Time constant, in seconds, of a tenant's rate.
 const TENANT_WINDOW: f64 = 5.0;
 /// Load above which arrivals are shed, in units of a backend's capacity.
 const SHEDDING_LOAD: f64 = 1.0;
@@ -186,7 +186,7 @@
     }
 
     /// Probability that an arrival of this priority weight is shed. Of what is admitted a part goes
-    /// to all classes alike; the rest goes by weight among classes too, which alone would leave a
+    /// to all classes alike; the rest is by weight among classes too, which alone would leave a
     /// class of little weight with hardly anything.
     pub fn shed_probability(&self, class: ClassId, weight: f64) -> f64 {
         let probability = |threshold: f64| (threshold / weight.max(MIN_DIVISOR)).min(1.0);
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -273,7 +273,7 @@
 }
 
 /// How long an attempt may take: as long as the client waits. Where no load is reported and a late
-/// response earns nothing, it ends with the latency objective: that it takes so long tells that its
+/// response earns nothing, it ends with the latency objective: taking so long means that its
 /// backend is overloaded.
 fn attempt_timeout(now: Time, settings: &Settings, request: &Request) -> Duration {
     let class = settings.class(request.class);
--- a/crates/balancer/src/balancer/probes.rs
+++ b/crates/balancer/src/balancer/probes.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Learns from the end of a load probe and returns the load that it tells.
+    /// Learns from the end of a load probe and returns the load that it reports.
     fn record_probe_result(&mut self, now: Time, result: &LoadProbeResult) -> CandidateLoad {
         match result.outcome {
             AttemptOutcome::Success => {
--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -114,7 +114,7 @@
 }
 
 /// Makes a backend a candidate of a request. Returns whether a load probe is to be sent: not where
-/// the load was reported a moment ago or is being asked for already. `timeout` and `typical_latency`
+/// the load was reported a moment ago or a probe is in flight already. `timeout` and `typical_latency`
 /// are in seconds.
 pub fn add_candidate(
     now: Time,
@@ -136,7 +136,7 @@
     needs_probe
 }
 
-/// The load that the answer to a load probe tells.
+/// The load reported in the answer to a load probe.
 pub fn load_of(result: &LoadProbeResult) -> CandidateLoad {
     let report = result.load_report.unwrap_or_default();
     usable(report.in_flight.or(report.utilization))
--- a/crates/balancer/src/pricing.rs
+++ b/crates/balancer/src/pricing.rs
@@ -26,7 +26,7 @@
 pub const EXCESS_LOAD: f64 = 0.5;
 /// Multiple of the typical latency after which an unanswered attempt counts as overload.
 pub const OVERDUE_LATENCY_MULTIPLE: f64 = 2.5;
-/// Utilization from which a report tells a backend's capacity.
+/// Lowest utilization at which a report indicates a backend's capacity.
 pub const MIN_INFORMATIVE_UTILIZATION: f64 = 0.05;
 
 /// Change of a price per second and unit of excess load: the step size ν.
@@ -39,7 +39,7 @@
 const MAX_PRICE_ABOVE_TRAFFIC: f64 = 1.0;
 /// Price of a failure at a backend all of whose latest responses failed.
 const FAILURE_PRICE: f64 = 0.5;
-/// Latest responses over which the fraction of failures is taken.
+/// Number of latest responses over which the fraction of failures is measured.
 const FAILURE_SAMPLES: f64 = 16.0;
 /// Fraction of failures from which a backend's load reports are set aside.
 const FAILING_FRACTION: f64 = 0.5;
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The load that a report tells, in units of the backend's capacity.
+    /// The load that a report indicates, in units of the backend's capacity.
     fn load_of(&mut self, report: &LoadReport, utilization: f64, typical_latency: f64) -> f64 {
         // Requests that wait count by the fraction of the latency objective that they take.
         let objective = self.settings.shortest_latency_objective();
--- a/crates/balancer/src/rate.rs
+++ b/crates/balancer/src/rate.rs
@@ -2,7 +2,7 @@
 
 use crate::time::Time;
 
-/// Shortest time, in seconds, that a young rate is taken to have been observed for.
+/// Lower bound, in seconds, of the time for which a rate has been observed.
 const MIN_OBSERVED: f64 = 1.0;
 
 /// An exponentially weighted rate of events per second.
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -98,7 +98,7 @@
     Unknown,
 }
 
-/// A backend whose load is asked for before an attempt starts there.
+/// A backend that is probed for its load before an attempt starts there.
 pub struct Candidate {
     /// The backend.
     pub backend: BackendId,
@@ -122,7 +122,7 @@
     pub response: ResponseState,
     /// Its attempts, in the order in which they started.
     pub attempts: Vec<Attempt>,
-    /// Backends whose load is asked for before the next attempt.
+    /// Backends that are probed for their load before the next attempt.
     pub candidates: Vec<Candidate>,
 }
 
@@ -165,7 +165,7 @@
             .any(|attempt| attempt.backend == backend)
     }
 
-    /// Whether this backend is among those asked for their load.
+    /// Whether this backend is among those probed for their load.
     pub fn is_candidate(&self, backend: BackendId) -> bool {
         self.candidates
             .iter()
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -132,7 +132,7 @@
     pub load_reporting: LoadReporting,
     /// Load reports carry both utilization and throughput, which together tell capacity.
     pub throughput_reported: bool,
-    /// Changes of the endpoint list come only when asked for.
+    /// Changes of the endpoint list come only when polled.
     pub polled_discovery: bool,
     /// Attempts allowed per request.
     pub max_attempts: u32,
--- a/crates/balancer/src/share_allocation.rs
+++ b/crates/balancer/src/share_allocation.rs
@@ -32,9 +32,9 @@
 const MEAN_WORK_GAIN: f64 = 1.0 / 64.0;
 /// Smallest divisor, against divisions by zero.
 const MIN_DIVISOR: f64 = 1e-9;
-/// Seconds over which rates of arrivals are taken.
+/// Time constant, in seconds, of the rates of arrivals.
 const ARRIVAL_WINDOW: f64 = 1.0;
-/// Seconds over which the rate of attempts is taken that decides on the number of backends.
+/// Time constant, in seconds, of the rate of attempts that decides on the number of backends.
 const CONTACT_WINDOW: f64 = 10.0;
 
 /// The allocation of one class.
@@ -277,7 +277,7 @@
     ) {
         let is_load_reported = self.settings.load_reporting != LoadReporting::Absent;
         let closed_price = fleet.pricing.traffic_weighted_price + CLOSED_PRICE;
-        let room_at = |position: usize| {
+        let usable_fraction = |position: usize| {
             if is_load_reported {
                 1.0
             } else if fleet.backends.nth_active(position).price > closed_price {
@@ -289,10 +289,10 @@
         for (allocation, positions) in self.classes.iter_mut().zip(eligible) {
             let contacted = CONTACT_INTERVAL * allocation.attempts.advance_unbiased(now);
             let wanted = contacted.max(MIN_BACKENDS).ceil();
-            let mut room = 0.0;
+            let mut usable = 0.0;
             positions.retain(|&position| {
-                let is_wanted = room < wanted;
-                room += room_at(position);
+                let is_wanted = usable < wanted;
+                usable += usable_fraction(position);
                 is_wanted
             });
         }
--- a/crates/balancer/src/speed_estimates.rs
+++ b/crates/balancer/src/speed_estimates.rs
@@ -8,9 +8,9 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Responses over which a backend's work rate is taken.
+/// Number of responses over which a backend's work rate is averaged.
 const BACKEND_SAMPLES: f64 = 16.0;
-/// Responses over which the work rate of a machine type is taken, of all its backends.
+/// Number of responses, of all its backends, over which a machine type's work rate is averaged.
 const MACHINE_TYPE_SAMPLES: f64 = 64.0;
 /// Weight of the machine type's work rate beside the backend's own, in responses.
 const MACHINE_TYPE_PRIOR: f64 = 6.0;
@@ -91,7 +91,7 @@
             / (sample_weight + MACHINE_TYPE_PRIOR)
     }
 
-    /// Speed of a backend relative to the mean. The weight of the endpoint list tells a backend's
+    /// Speed of a backend relative to the mean. The weight of the endpoint list gives a backend's
     /// size, a response the speed of one of its cores.
     pub fn relative_speed(&self, backend: &Backend, mean_weight: f64) -> f64 {
         let has_weights = self.settings.endpoint_weights_given;
--- a/crates/balancer/src/traffic_fraction.rs
+++ b/crates/balancer/src/traffic_fraction.rs
@@ -4,11 +4,11 @@
 use crate::rate::Rate;
 use crate::time::Time;
 
-/// Seconds over which the rate of attempts is taken.
+/// Time constant, in seconds, of the rate of attempts.
 const ATTEMPT_WINDOW: f64 = 1.0;
-/// Seconds from the start before which the rate of attempts says too little.
+/// Seconds after the start until which the rate of attempts is too uncertain.
 const MIN_AGE: f64 = 4.0 * ATTEMPT_WINDOW;
-/// Seconds over which the fraction is learned.
+/// Time constant, in seconds, with which the fraction is learned.
 const LEARNING_TIME: f64 = 10.0;
 
 /// Estimates the fraction of all requests that this node sends.
--- a/crates/fault-injection-preload/src/next_symbol.rs
+++ b/crates/fault-injection-preload/src/next_symbol.rs
@@ -33,7 +33,7 @@
     fn fsync(fd: c_int) -> c_int;
     fn fdatasync(fd: c_int) -> c_int;
     fn rename(from: *const c_char, to: *const c_char) -> c_int;
-    fn epoll_wait(fd: c_int, events: *mut libc::epoll_event, most: c_int, timeout: c_int) -> c_int;
+    fn epoll_wait(fd: c_int, events: *mut libc::epoll_event, max_events: c_int, timeout: c_int) -> c_int;
     fn shutdown(fd: c_int, how: c_int) -> c_int;
     fn clock_gettime(clock: libc::clockid_t, time: *mut timespec) -> c_int;
     fn recv(fd: c_int, buffer: *mut c_void, length: usize, flags: c_int) -> ssize_t;
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -39,7 +39,7 @@
     /// They are pushed without a request.
     #[serde(rename = "automatic")]
     Pushed,
-    /// They come only when asked for.
+    /// They come only when polled.
     #[serde(rename = "subscribe")]
     Polled,
 }
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -1,4 +1,4 @@
-//! Event frames: what the simulator tells instances.
+//! Event frames: what the simulator sends to instances.
 
 use super::codes::{event, WORK_GIVEN};
 use super::errors::{WireError, WireField};
--- a/crates/soak-test/src/backend.rs
+++ b/crates/soak-test/src/backend.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
 
-/// Most requests that a backend holds; it rejects any beyond.
+/// Largest number of requests in flight at a backend, which rejects any beyond.
 const MAX_IN_FLIGHT: usize = 40;
 /// A backend that closes its connections unannounced does so this long after a response.
 const UNANNOUNCED_CLOSE_DELAY: Duration = Duration::from_millis(30);
--- a/crates/soak-test/src/http.rs
+++ b/crates/soak-test/src/http.rs
@@ -193,7 +193,7 @@
 fn peek(socket: &TcpStream) -> io::Result<usize> {
     let mut byte = [0u8];
     // SAFETY: The descriptor is the socket's, which is borrowed, and the buffer is one byte long.
-    #[allow(unsafe_code)]
+    #[expect(unsafe_code, reason = "no safe interface peeks without the runtime")]
     let read = unsafe {
         libc::recv(
             socket.as_raw_fd(),
--- a/crates/soak-test/src/invariants/responses.rs
+++ b/crates/soak-test/src/invariants/responses.rs
@@ -1,4 +1,5 @@
-//! Final responses: in time, made by a backend, and true where they reject.
+//! Final responses: they come in time, successes are made by a backend, and rejections promise a
+//! harmless retry only where that holds.
 
 use super::requests::RequestRecord;
 use super::{Invariant, InvariantChecker, Problem, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
--- a/crates/soak-test/src/invariants/slow_start.rs
+++ b/crates/soak-test/src/invariants/slow_start.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Below this many allowed requests, chance gets more room.
+/// Number of allowed requests below which the allowance for chance is larger.
 const FEW_REQUESTS: f64 = 30.0;
 
 /// One attempt at a backend in slow start.
--- a/crates/soak-test/src/proxy_node.rs
+++ b/crates/soak-test/src/proxy_node.rs
@@ -115,7 +115,7 @@
         Ok(node)
     }
 
-    /// Counts the processes.
+    /// Number of processes started so far, the present one included.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
@@ -235,7 +235,7 @@
         };
         // SAFETY: The process is a child of this one that was not waited for yet, so that its number
         // is its own.
-        #[allow(unsafe_code)]
+        #[expect(unsafe_code, reason = "signals a process by its number")]
         unsafe {
             libc::kill(pid, signal);
         }
