--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -1,4 +1,4 @@
-//! Load probes: where load is reported only to them, a few backends are asked before an attempt.
+//! Load probes: where load is reported only to them, a few backends are probed before an attempt.
 
 use crate::backend::Backend;
 use crate::estimators::ExponentialMean;
@@ -11,15 +11,15 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Backends that are asked for one request.
+/// Backends that are probed for one request.
 pub const CANDIDATES_PER_REQUEST: usize = 5;
 
-/// Estimated waits over actual ones at their worst.
+/// Ratio of the estimated wait to the longest actual one; corrects estimates that are too short.
 const WAIT_ESTIMATE_RATIO: f64 = 0.85;
-/// Typical latencies for which the answer to a load probe, with own attempts since counted in,
-/// needs no other.
+/// Age, in typical latencies, below which the answer to a load probe, corrected by this node's own
+/// attempts since, is used without another probe.
 const RECENT_ANSWER_LATENCIES: f64 = 0.3;
-/// Typical latencies of load probes for which answers are awaited.
+/// Time for which an answer is awaited, in typical latencies of load probes.
 const TIMEOUT_PROBE_LATENCIES: f64 = 4.0;
 /// Latency of a load probe to begin with, in seconds.
 const INITIAL_PROBE_LATENCY: f64 = 0.003;
@@ -89,13 +89,16 @@
             .map(|selection| selection.request)
     }
 
-    /// The requests that wait, the latest first.
-    pub fn waiting_requests(&self) -> Vec<RequestId> {
+    /// Number of requests that wait.
+    pub fn waiting_count(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// The request at this position among those that wait, the earliest first.
+    pub fn waiting_request(&self, position: usize) -> Option<RequestId> {
         self.pending
-            .iter()
-            .rev()
+            .get(position)
             .map(|selection| selection.request)
-            .collect()
     }
 
     /// The request waits no longer.
@@ -105,13 +108,13 @@
     }
 }
 
-/// Whether backends are asked for their load before an attempt.
+/// Whether backends are probed before an attempt.
 pub fn is_enabled(settings: &Settings) -> bool {
     settings.load_reporting == LoadReporting::OnProbe && settings.load_probes_allowed
 }
 
 /// Makes a backend a candidate of a request. Returns whether a load probe is to be sent: not where
-/// the load was reported a moment ago or is being asked for already. `timeout` and `typical_latency`
+/// the load was reported a moment ago or a probe is in flight already. `timeout` and `typical_latency`
 /// are in seconds.
 pub fn add_candidate(
     now: Time,
@@ -133,7 +136,7 @@
     needs_probe
 }
 
-/// The load that the answer to a load probe tells.
+/// The load reported in the answer to a load probe.
 pub fn load_of(result: &LoadProbeResult) -> CandidateLoad {
     let report = result.load_report.unwrap_or_default();
     usable(report.in_flight.or(report.utilization))
