--- a/crates/proxy/src/http1/error.rs
+++ b/crates/proxy/src/http1/error.rs
@@ -24,7 +24,7 @@
     #[error("GET and POST are known here")]
     UnsupportedMethod,
     /// The response switches to a protocol that was not requested.
-    #[error("nobody asked for another protocol")]
+    #[error("the response switches to a protocol that was not requested")]
     UnexpectedProtocolSwitch,
     /// The head has both headers that delimit a body.
     #[error("Content-Length and Transfer-Encoding exclude each other")]
--- a/crates/proxy/src/http1/head_filter.rs
+++ b/crates/proxy/src/http1/head_filter.rs
@@ -236,7 +236,7 @@
         }
         Poll::Ready(Err(io::Error::new(
             io::ErrorKind::InvalidData,
-            "bytes out of turn",
+            "bytes received without a request",
         )))
     }
 
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -273,7 +273,7 @@
             RequestBodyStream::Streaming { upload, reader, .. }
                 if *reader != upload.current_reader.get() =>
             {
-                Poll::Ready(Some(Err("another attempt has the body".into())))
+                Poll::Ready(Some(Err("another attempt reads the request body".into())))
             }
             RequestBodyStream::Streaming {
                 upload,
