--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -24,9 +24,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Rotation of the seed that gives the order of backends numbers of its own.
+/// Bits by which the seed is rotated, so that the order of backends and the draws use different seeds.
 const RANK_SEED_ROTATION: u32 = 32;
-/// Most seconds that a refresh of the shares speaks for.
+/// Longest time since the last refresh of the shares, in seconds, that a refresh accounts for.
 const MAX_REFRESH_TIME: f64 = 1.0;
 
 /// The balancer of one node.
@@ -41,7 +41,7 @@
     pub(crate) admission: Admission,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) probing: LoadProbing,
-    /// Requests that are owed a response or have an attempt in flight.
+    /// Requests without a final response, or with an attempt in flight.
     pub(crate) requests: FxHashMap<RequestId, Request>,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What the balancer goes by at present, for the node's log.
+    /// The present state of prices, shares and shedding, for the node's log.
     pub fn snapshot(&self, now: Time) -> BalancerSnapshot {
         let first_class = ClassId(0);
         let shares = &self.allocation.class(first_class).shares;
@@ -147,23 +147,8 @@
         self.allocation.record_arrival(now, class);
         let weight = self.admission.record_arrival(now, class, arrival.tenant);
         self.refresh_allocation(now);
-        let shed_probability = self.admission.shed_probability(class, weight);
-        let objective = self.settings.class(class).objective_seconds(work);
-        // Work beyond the objective can only be late, and takes capacity from requests that can be
-        // in time.
-        let is_unreachable = work.is_some_and(|work| work > objective);
-        if let Some(work) = work.filter(|_| !is_unreachable) {
-            self.allocation.mean_work_mut(class).record(work);
-            self.fleet.mean_work.record(work);
-        }
-        let reason = if is_unreachable {
-            Some(GiveUpReason::ObjectiveUnreachable)
-        } else if arrival.remaining.is_zero() {
-            Some(GiveUpReason::DeadlineExceeded)
-        } else {
-            (self.random.uniform() < shed_probability).then_some(GiveUpReason::LoadShed)
-        };
-        if let Some(reason) = reason {
+        if let Some(reason) = self.reason_against_admission(class, work, weight, arrival.remaining)
+        {
             self.give_up(arrival.request, reason, actions);
         } else {
             self.admission.record_admitted(now, arrival.tenant);
@@ -171,6 +156,31 @@
         }
     }
 
+    /// Why a request that has arrived is not admitted, or `None` where it is. Learns from its work,
+    /// in seconds, unless that is out of reach.
+    fn reason_against_admission(
+        &mut self,
+        class: ClassId,
+        work: Option<f64>,
+        priority_weight: f64,
+        remaining: Duration,
+    ) -> Option<GiveUpReason> {
+        if let Some(work) = work {
+            // Work beyond the objective can only be late, and takes capacity from requests that can
+            // be in time.
+            if work > self.settings.class(class).objective_seconds(Some(work)) {
+                return Some(GiveUpReason::ObjectiveUnreachable);
+            }
+            self.allocation.mean_work_mut(class).record(work);
+            self.fleet.mean_work.record(work);
+        }
+        if remaining.is_zero() {
+            return Some(GiveUpReason::DeadlineExceeded);
+        }
+        let shed_probability = self.admission.shed_probability(class, priority_weight);
+        (self.random.uniform() < shed_probability).then_some(GiveUpReason::LoadShed)
+    }
+
     fn on_request_body_received(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.body_pending) else {
             return;
@@ -241,7 +251,7 @@
         }
     }
 
-    /// Drops a request that is answered and has no attempt in flight.
+    /// Removes a request whose response is closed and that has no attempt in flight.
     fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self
             .requests
