--- a/crates/balancer/src/balancer/probes.rs
+++ b/crates/balancer/src/balancer/probes.rs
@@ -81,7 +81,11 @@
             backend.probe.sent_at = None;
         }
         let load = self.record_probe_result(now, result);
-        for id in self.probing.waiting_requests() {
+        // From the last to the first, since a request that is dispatched leaves the list.
+        for position in (0..self.probing.waiting_count()).rev() {
+            let Some(id) = self.probing.waiting_request(position) else {
+                continue;
+            };
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
@@ -92,7 +96,7 @@
         }
     }
 
-    /// Learns from the end of a load probe and returns the load that it tells.
+    /// Learns from the end of a load probe and returns the load that it reports.
     fn record_probe_result(&mut self, now: Time, result: &LoadProbeResult) -> CandidateLoad {
         match result.outcome {
             AttemptOutcome::Success => {
