--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -9,7 +9,7 @@
 };
 use super::class_policies::ClassPolicies;
 use super::load_probe::{run_load_probe, unsent_probe};
-use super::pending_request::PendingRequest;
+use super::pending_request::{PendingRequest, PendingRequestObserver};
 use super::registry::{has_disconnected, RequestRecord, RequestRegistry};
 use super::request::ForwardRequest;
 use super::request_log::{exchange_failed_line, printable_id, GivenUpResponse};
@@ -143,10 +143,7 @@
         drop(state);
         self.handle_event(Event::RequestArrived(arrival));
         self.remove_if_settled(id);
-        let dispatcher = self.clone();
-        Some(PendingRequest::new(id, response, move |id| {
-            dispatcher.client_disconnected(id);
-        }))
+        Some(PendingRequest::new(id, response, self.clone()))
     }
 
     /// The last byte of an accepted request's body has been received.
@@ -184,21 +181,6 @@
         self.log(format_args!("{line}"));
     }
 
-    fn client_disconnected(&self, request: RequestId) {
-        let mut state = self.state.borrow_mut();
-        let Some(record) = state.requests.get_mut(request) else {
-            return;
-        };
-        if record.close().is_none() {
-            return;
-        }
-        self.metrics.count(|c| c.client_disconnected += 1);
-        self.revoke_unsent_attempts(&mut state, request);
-        drop(state);
-        self.handle_event(Event::ClientDisconnected { request });
-        self.remove_if_settled(request);
-    }
-
     /// Stops the attempts of a closed request of which nothing has been written.
     fn revoke_unsent_attempts(&self, state: &mut State, request: RequestId) {
         for result in state.requests.revoke_unsent_attempts(request) {
@@ -397,6 +379,23 @@
     }
 }
 
+impl PendingRequestObserver for Dispatcher {
+    fn client_finished(&self, request: RequestId) {
+        let mut state = self.state.borrow_mut();
+        let Some(record) = state.requests.get_mut(request) else {
+            return;
+        };
+        if record.close().is_none() {
+            return;
+        }
+        self.metrics.count(|c| c.client_disconnected += 1);
+        self.revoke_unsent_attempts(&mut state, request);
+        drop(state);
+        self.handle_event(Event::ClientDisconnected { request });
+        self.remove_if_settled(request);
+    }
+}
+
 impl AttemptObserver for Dispatcher {
     fn response_started(&self, id: AttemptId, response: Response<ResponseBody>) -> bool {
         let mut state = self.state.borrow_mut();
--- a/crates/proxy/src/requests/pending_request.rs
+++ b/crates/proxy/src/requests/pending_request.rs
@@ -3,27 +3,35 @@
 use super::request::FinalResponse;
 use balancer::RequestId;
 use std::future::Future;
+use std::rc::Rc;
 use tokio::sync::oneshot;
 
+/// Receives the end of pending requests.
+pub trait PendingRequestObserver {
+    /// The client waits for no response any more: it has its response or has disconnected, or its
+    /// time is over.
+    fn client_finished(&self, request: RequestId);
+}
+
 /// A request whose final response is outstanding. Dropping it reports that the client needs none any
 /// more: it has disconnected, or its time is over.
 pub struct PendingRequest {
     id: RequestId,
     response: oneshot::Receiver<FinalResponse>,
-    on_drop: Box<dyn Fn(RequestId)>,
+    observer: Rc<dyn PendingRequestObserver>,
 }
 
 impl PendingRequest {
-    /// The response is received from `response`; `on_drop` is called with the id at the end.
+    /// The response is received from `response`; the end is reported to `observer`.
     pub fn new(
         id: RequestId,
         response: oneshot::Receiver<FinalResponse>,
-        on_drop: impl Fn(RequestId) + 'static,
+        observer: Rc<dyn PendingRequestObserver>,
     ) -> Self {
         PendingRequest {
             id,
             response,
-            on_drop: Box::new(on_drop),
+            observer,
         }
     }
 
@@ -48,6 +56,6 @@
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
-        (self.on_drop)(self.id);
+        self.observer.client_finished(self.id);
     }
 }
