--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -97,11 +97,10 @@
         if list.is_snapshot {
             self.remove_unlisted(list);
         }
-        let endpoints = list
-            .endpoints
-            .iter()
-            .filter_map(|listed| self.apply_listed(now, wall_clock, listed))
-            .collect();
+        let mut endpoints = Vec::with_capacity(list.endpoints.len());
+        for listed in &list.endpoints {
+            endpoints.extend(self.apply_listed(now, wall_clock, listed));
+        }
         if source == ListSource::Discovery {
             let by_name = self.by_name.borrow();
             self.start_times
