--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -353,19 +353,24 @@
 
 /// What a response says of the request.
 fn response_outcome(status: StatusCode, headers: &HeaderMap) -> AttemptOutcome {
-    let is_not_processed = headers
-        .get(NOT_PROCESSED)
-        .is_some_and(|value| value.as_bytes() == b"1");
     match status {
         StatusCode::OK => AttemptOutcome::Success,
         // Without the mark the status proves nothing.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_not_processed => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
+            if is_marked_not_processed(headers) =>
+        {
             AttemptOutcome::Rejected
         }
         _ => AttemptOutcome::ServerError,
     }
 }
 
+fn is_marked_not_processed(headers: &HeaderMap) -> bool {
+    headers
+        .get(NOT_PROCESSED)
+        .is_some_and(|value| value.as_bytes() == b"1")
+}
+
 fn timeout_value(remaining: Duration) -> HeaderValue {
     HeaderValue::from_str(&format!("{}u", remaining.as_micros()))
         .expect("digits are valid in a header")
