--- a/crates/proxy/src/requests/responder.rs
+++ b/crates/proxy/src/requests/responder.rs
@@ -13,11 +13,11 @@
 
 /// Sends final responses.
 pub struct Responder {
-    /// Tell which responses are late.
+    /// Decides which responses count as late.
     pub classes: Rc<ClassPolicies>,
     /// Counts the responses.
     pub metrics: Rc<Metrics>,
-    /// Takes a line on requests that are given up.
+    /// Receives a line on each request that is given up, within the limits of [`Metrics`].
     pub log: EventLog,
 }
 
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -1,4 +1,4 @@
-//! All backends: keeps them in line with endpoint lists and with what operators have said.
+//! All backends: keeps them in line with endpoint lists and the operator state.
 
 use super::backend::{Backend, Placement};
 use super::pool::ConnectionPool;
@@ -32,7 +32,7 @@
     by_id: RefCell<FxHashMap<BackendId, Rc<Backend>>>,
     next_id: Cell<u32>,
     start_times: RefCell<StartTimes>,
-    /// What operators have said of backends. It outlives what lists say of them.
+    /// Kept for backends that no list names, too: they may be listed again.
     operator_state: RefCell<OperatorState>,
 }
 
@@ -110,8 +110,8 @@
         endpoints
     }
 
-    /// Applies what operators have said, under this list and all later ones. Returns the changed
-    /// backends' entries for the balancer.
+    /// Applies the operator state, under this list and all later ones. Returns the changed backends'
+    /// entries for the balancer.
     pub fn apply_operator_state(&self, now: Time, operator_state: &OperatorState) -> Vec<Endpoint> {
         *self.operator_state.borrow_mut() = operator_state.clone();
         let mut start_times = self.start_times.borrow_mut();
