--- a/crates/balancer/src/backend.rs
+++ b/crates/balancer/src/backend.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// What the answers to load probes say of a backend.
+/// The load of a backend by its answers to load probes.
 pub struct LoadProbeState {
     /// Requests in flight by the latest answer, with what this node has sent and got back since.
     pub in_flight: Option<f64>,
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -70,7 +70,8 @@
         })
     }
 
-    /// Takes in one event and appends what is to be done about it to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`, in the order in which they
+    /// are to be carried out.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { update, endpoints } => {
--- a/crates/balancer/src/events.rs
+++ b/crates/balancer/src/events.rs
@@ -52,7 +52,7 @@
 /// How an attempt or a load probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Answered well.
+    /// A response without an error.
     Success,
     /// The backend answered with an error.
     ServerError,
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What the balancer knows of its backends as a whole, and how it learns from responses, load
-//! reports and failures.
+//! The backends with their prices and speeds, and the updates of these from responses, load reports
+//! and failures.
 
 use crate::backend::Backend;
 use crate::backend_table::BackendTable;
@@ -83,8 +83,6 @@
         self.backends.apply(now, update, endpoints, initial_price);
     }
 
-    // Learning from single attempts and load probes
-
     /// Takes in a backend's load report.
     pub fn record_load_report(&mut self, now: Time, id: BackendId, report: &LoadReport) {
         let typical_latency = self.typical_latency.seconds();
@@ -104,6 +102,7 @@
         pricing::record_success(backend);
         if !self.settings.throughput_reported {
             let mean_work = self.mean_work.seconds();
+            // Where no work is known at all, any constant gives the same relative speeds.
             let work = work.unwrap_or(if mean_work > 0.0 { mean_work } else { 1.0 });
             self.speeds.record_response(now, backend, work, latency);
         }
@@ -124,8 +123,8 @@
             .record_failure(now, backend, outcome, typical_latency)
     }
 
-    /// Learns from an attempt to which backends this node has connections, and how often new ones
-    /// fail.
+    /// Records, at the end of an attempt, whether the backend has an open connection, and how often
+    /// new connections fail.
     pub fn record_connection(
         &mut self,
         now: Time,
@@ -162,8 +161,6 @@
         self.backends.get(id)?.reported.load
     }
 
-    // Refreshing the fleet's means and the inputs of the share allocation
-
     /// Updates all prices and the means of price, load and speed. `elapsed` is in seconds since the
     /// last refresh.
     pub fn refresh(&mut self, now: Time, elapsed: f64) {
@@ -226,7 +223,7 @@
             .collect()
     }
 
-    /// A backend's price with what this node knows before any report does: its own attempts in
+    /// A backend's price, corrected by what this node knows before a report can: its own attempts in
     /// flight beyond the usual, and failing connections.
     fn present_price(&self, now: Time, backend: &Backend, usual_in_flight: f64) -> f64 {
         let own_price = if self.settings.is_capacity_unknown() {
@@ -274,8 +271,8 @@
         }
     }
 
-    /// Requests per second that the active backends serve, by their reports; those that report none
-    /// count with the usual.
+    /// Requests per second that the active backends serve, by their reports; for those that report
+    /// none, by the fleet's mean speed and load.
     pub fn served_per_second(&self) -> f64 {
         let usual = self.speeds.mean_speed() * self.pricing.mean_load.min(1.0);
         self.backends
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// What the answer to a load probe says of a candidate.
+/// The load of a candidate, by the answer to a load probe.
 #[derive(Clone, Copy, PartialEq)]
 pub enum CandidateLoad {
     /// No answer yet.
@@ -191,7 +191,8 @@
         true
     }
 
-    /// The body has been received: the time of the request and of its attempts in flight begins.
+    /// Records that the body has been received: the deadline, and the times of the attempts in
+    /// flight, count from now on.
     pub fn body_received(&mut self, now: Time) {
         self.body_pending = false;
         self.deadline = now + (self.deadline - self.arrived_at);
--- a/crates/balancer/src/traffic_fraction.rs
+++ b/crates/balancer/src/traffic_fraction.rs
@@ -19,7 +19,7 @@
 }
 
 impl TrafficFraction {
-    /// An even part among `nodes`.
+    /// Starts at an even fraction among `nodes`.
     pub fn new(now: Time, nodes: u32) -> Self {
         TrafficFraction {
             fraction: 1.0 / f64::from(nodes),
