--- a/crates/proxy/tests/operator_state.rs
+++ b/crates/proxy/tests/operator_state.rs
@@ -6,6 +6,8 @@
 use serde_json::Value;
 
 const STATE_FILE: &str = "birchswitch.json";
+const NEW_STATE_FILE: &str = "birchswitch.json.next";
+const LOCK_FILE: &str = "birchswitch.lock";
 
 /// What a process with an admin address is started with, again and again.
 struct StatefulNode {
@@ -58,10 +60,25 @@
     let (proxy, _watch) = node_state.start(&faults).await;
     assert_eq!(proxy.admin_call("POST", "/backends/a/maint").await, 200);
     // The steps: the lock and the new file are opened, the new file is written, synced and renamed,
-    // the folder is synced.
+    // the folder is synced. The process opens other files meanwhile, so an open is made to fail by
+    // the file's name: a folder in its place cannot be opened for writing.
+    for file in [LOCK_FILE, NEW_STATE_FILE] {
+        let path = node_state.folder.path.join(file);
+        let _ = std::fs::remove_file(&path);
+        std::fs::create_dir(&path).expect("a folder");
+        assert_eq!(
+            proxy.admin_call("POST", "/backends/b/maint").await,
+            500,
+            "{file} cannot be opened"
+        );
+        assert_eq!(
+            node_state.in_maintenance(),
+            ["a"],
+            "{file} cannot be opened"
+        );
+        std::fs::remove_dir(&path).expect("the folder is gone");
+    }
     let steps = [
-        (SystemCall::OpenWrite, 0),
-        (SystemCall::OpenWrite, 1),
         (SystemCall::Write, 0),
         (SystemCall::Sync, 0),
         (SystemCall::Rename, 0),
@@ -98,7 +115,7 @@
     let node_state = StatefulNode::new("left-over", &[("a", &a), ("b", &b)]).await;
     let faults = FaultInjection::new();
     std::fs::write(
-        node_state.folder.path.join("birchswitch.json.next"),
+        node_state.folder.path.join(NEW_STATE_FILE),
         "{\"version\":1,\"node\":\"n\"",
     )
     .expect("a file");
