--- a/crates/balancer/src/backend.rs
+++ b/crates/balancer/src/backend.rs
@@ -1,4 +1,5 @@
-//! The state that the balancer keeps of one backend.
+//! The state that the balancer keeps about one backend: its endpoint entry, price, load, speed and
+//! this node's attempts in flight.
 
 use crate::estimators::{FailureFraction, SpeedEstimate, WorkRate};
 use crate::events::{Endpoint, EndpointState};
@@ -10,18 +11,19 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Weight of a backend for which the endpoint list gives no usable one.
+/// Weight of a backend whose weight in the endpoint list is not a positive finite number.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// What a backend has reported of its load.
+/// The load of a backend according to its load reports and to overloaded attempts.
 pub struct ReportedLoad {
-    /// The latest report.
+    /// The latest report with a usable utilization; empty before the first.
     pub report: LoadReport,
     /// Load in units of the backend's capacity, by that report or by an overloaded attempt since.
+    /// `None` before the first report, and after failures that indicate no overload.
     pub load: Option<f64>,
-    /// When `load` was set.
+    /// When `load` was last set to a value; before that, when the backend was listed.
     pub reported_at: Time,
-    /// Requests per second by the latest report, 0 where it gave none.
+    /// Requests served per second by the latest report, 0 if it gave none.
     pub throughput: f64,
 }
 
@@ -36,13 +38,15 @@
     }
 }
 
-/// The load of a backend by its answers to load probes.
+/// The load of a backend according to its answers to load probes.
 pub struct LoadProbeState {
-    /// Requests in flight by the latest answer, with what this node has sent and got back since.
+    /// Requests in flight by the latest answer, corrected by this node's own attempts that have
+    /// since started there, ended, or begun to respond. `None` before the first answer that gives a
+    /// load.
     pub in_flight: Option<f64>,
-    /// When that answer came.
+    /// When that answer arrived.
     pub answered_at: Time,
-    /// When the probe that is not answered yet was sent.
+    /// When the probe in flight was sent; `None` if none is in flight.
     pub sent_at: Option<Time>,
 }
 
@@ -55,68 +59,73 @@
         }
     }
 
-    /// Requests in flight by an answer younger than `max_age` seconds.
+    /// Returns the requests in flight if the latest answer is younger than `max_age` seconds.
     pub fn recent_in_flight(&self, now: Time, max_age: f64) -> Option<f64> {
         self.in_flight
             .filter(|_| (now - self.answered_at).as_secs_f64() < max_age)
     }
 
-    /// Whether a probe that was sent less than `timeout` seconds ago is not answered yet.
+    /// Whether a probe is in flight that was sent less than `timeout` seconds ago.
     pub fn is_awaited(&self, now: Time, timeout: f64) -> bool {
         self.sent_at
             .is_some_and(|sent_at| (now - sent_at).as_secs_f64() < timeout)
     }
 }
 
-/// The state kept of one backend.
+/// The state kept about one backend, from its first listing until it is removed from the list and
+/// has no attempt in flight.
 pub struct Backend {
-    /// Its id.
+    /// The backend's id, which stays the same when its process restarts.
     pub id: BackendId,
-    /// Its position in this node's own order of backends.
+    /// Sort key of the backend in this node's order, a pseudo-random number from the node's seed
+    /// and the backend's id.
     pub rank: u64,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its machine type.
+    /// The type of the machine that it runs on.
     pub machine_type: MachineTypeId,
-    /// Its cell.
+    /// The cell of backends with which it shares seen idempotency keys.
     pub cell: CellId,
-    /// What the endpoint list says of it.
+    /// Its state in the endpoint list; `Removed` once it is no longer listed.
     pub state: EndpointState,
-    /// Its weight in the endpoint list.
+    /// Its weight in the endpoint list, or the default weight if that is not usable.
     pub weight: f64,
-    /// The latest time at which its process can have started, if that is recent.
+    /// The latest time at which its process can have started; `None` for long ago. Slow start
+    /// counts from it.
     pub started_at: Option<Time>,
-    /// When its process has probably started, if that is recent.
+    /// When its process has probably started: the same or earlier; `None` for long ago.
     likely_started_at: Option<Time>,
-    /// It is used like a warm backend although a slow start cannot be ruled out.
+    /// Whether it is used like a warm backend although it may still be in slow start.
     pub counts_as_warm: bool,
-    /// Its price, relative to the number of active backends.
+    /// Its price, at least 0, relative to the number of active backends (φ/n).
     pub price: f64,
-    /// The time up to which the price is updated.
+    /// The time up to which price steps have been applied.
     pub price_updated_at: Time,
-    /// Its load reports.
+    /// Its load according to its load reports.
     pub reported: ReportedLoad,
-    /// Its capacity, where throughput is reported.
+    /// Its capacity in requests per second, where throughput is reported.
     pub speed: SpeedEstimate,
     /// Work and latency of its latest responses, where throughput is not reported.
     pub work_rate: WorkRate,
-    /// When the speed or the work rate was last sampled.
+    /// When the speed or the work rate last received a sample.
     pub sampled_at: Time,
-    /// Its latest failures.
+    /// Fraction of its latest responses that failed.
     pub failures: FailureFraction,
-    /// Fraction of this node's recent attempts that were due there, up to a common factor.
+    /// Fraction of this node's recent attempts that it was due by its share, up to a factor common
+    /// to all backends.
     pub recent_share: f64,
-    /// When this node last had a connection to it.
+    /// When an attempt last ended there without a failure of its connection; `None` before that.
     pub connected_at: Option<Time>,
-    /// Start times of the attempts in flight there.
+    /// Start times of this node's attempts in flight there, except those that still wait for the
+    /// request's body or whose response has started.
     pub in_flight: Vec<Time>,
-    /// Its load probes.
+    /// Its load according to its answers to load probes.
     pub probe: LoadProbeState,
 }
 
 impl Backend {
-    /// A backend that was just listed. `rank_seed` sets this node's order of backends apart from
-    /// those of other nodes.
+    /// Creates the state of a backend that has just been listed, with the initial `price`.
+    /// `rank_seed` makes this node's order of backends differ from that of other nodes.
     pub fn new(now: Time, endpoint: &Endpoint, rank_seed: u64, price: f64) -> Self {
         let has_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
         Backend {
@@ -148,9 +157,10 @@
         }
     }
 
-    /// Takes in a changed entry of the endpoint list.
+    /// Applies an entry of the endpoint list to a known backend.
     ///
-    /// Of a process that was restarted nothing is known but the attempts still in flight.
+    /// An entry with another start time means that the process was restarted: only the attempts in
+    /// flight are kept, everything else is reset, and the price starts at `price` again.
     pub fn apply(&mut self, now: Time, endpoint: &Endpoint, rank_seed: u64, price: f64) {
         let mut listed = Backend::new(now, endpoint, rank_seed, price);
         if endpoint.started_at.is_some() && endpoint.started_at != self.started_at {
@@ -166,12 +176,12 @@
         }
     }
 
-    /// Whether the endpoint list has it as active.
+    /// Whether its state in the endpoint list is active, so that it may receive attempts.
     pub fn is_active(&self) -> bool {
         self.state == EndpointState::Active
     }
 
-    /// Whether requests of a class may go there at all, by zone and machine type.
+    /// Whether the class's allowed zones and machine types include this backend's.
     pub fn is_allowed_for(&self, class: &RequestClass) -> bool {
         let allows_zone = class
             .allowed_zones
@@ -184,12 +194,13 @@
         allows_zone && allows_machine_type
     }
 
-    /// Fraction of its full capacity that it has for certain (slow start).
+    /// Returns the fraction of its full capacity that it certainly has under slow start, up to 1.
     pub fn available_capacity(&self, limits: &ProtocolLimits, now: Time) -> f64 {
         slow_start::available_capacity(limits, self.started_at, now)
     }
 
-    /// Fraction of its full capacity that may be used.
+    /// Returns the fraction of its full capacity that may be used: the available capacity, or 1 if
+    /// the backend counts as warm.
     pub fn usable_capacity(&self, limits: &ProtocolLimits, now: Time) -> f64 {
         if self.counts_as_warm {
             1.0
@@ -198,32 +209,35 @@
         }
     }
 
-    /// Whether its slow start is probably over, without that being certain.
+    /// Whether its slow start is probably over, by its likely start time, but not certainly.
     pub fn is_probably_warm(&self, limits: &ProtocolLimits, now: Time) -> bool {
         self.is_warming_up(limits, now)
             && slow_start::available_capacity(limits, self.likely_started_at, now) >= 1.0
     }
 
-    /// Whether it may have less than its full capacity still.
+    /// Whether it may still be in slow start, with less than its full capacity.
     pub fn is_warming_up(&self, limits: &ProtocolLimits, now: Time) -> bool {
         self.available_capacity(limits, now) < 1.0
     }
 
-    /// Whether a connection to it is certain to be open still.
+    /// Whether a connection to it is certain to be open: one was in use less than `idle_timeout`
+    /// ago.
     pub fn is_connected(&self, now: Time, idle_timeout: Duration) -> bool {
         self.connected_at
             .is_some_and(|connected_at| now < connected_at + idle_timeout)
     }
 
-    /// Seconds for which the oldest attempt in flight there has been unanswered.
+    /// Returns for how long, in seconds, the oldest attempt in flight there has been unanswered, or
+    /// `None` if none is in flight.
     pub fn longest_unanswered(&self, now: Time) -> Option<f64> {
         self.in_flight
             .first()
             .map(|&started_at| (now - started_at).as_secs_f64())
     }
 
-    /// Removes the attempt that started at `started_at` from those in flight: it is answered or has
-    /// ended.
+    /// Removes the attempt that started at `started_at` from those in flight, because its response
+    /// has started or it has ended, and from the load by load probes. Does nothing if there is
+    /// none.
     pub fn release_in_flight(&mut self, started_at: Time) {
         let Some(position) = self.in_flight.iter().position(|&at| at == started_at) else {
             return;
--- a/crates/balancer/src/backend_table.rs
+++ b/crates/balancer/src/backend_table.rs
@@ -1,4 +1,5 @@
-//! All backends of which the balancer keeps state, by id and in this node's own order.
+//! The table of all backends that the balancer keeps state about, indexed by id and ordered by this
+//! node's own order, which differs from node to node.
 
 use crate::backend::Backend;
 use crate::events::{Endpoint, EndpointState, ListUpdate};
@@ -7,18 +8,20 @@
 use crate::time::Time;
 use rustc_hash::FxHashMap;
 
-/// The listed backends, and removed ones that have attempts in flight still.
+/// The listed backends, and removed ones that still have attempts in flight.
 pub struct BackendTable {
+    /// All backends, in the order in which they were first listed.
     backends: Vec<Backend>,
+    /// Position of each backend in `backends`.
     index: FxHashMap<BackendId, usize>,
-    /// Positions of the active backends, in this node's order.
+    /// Positions in `backends` of the active backends, in this node's order.
     active: Vec<usize>,
-    /// Sets this node's order of backends apart from those of other nodes.
+    /// Seed of this node's order of backends; makes it differ from that of other nodes.
     rank_seed: u64,
 }
 
 impl BackendTable {
-    /// An empty table. `rank_seed` differs from node to node.
+    /// Creates an empty table. `rank_seed` differs from node to node.
     pub fn new(rank_seed: u64) -> Self {
         BackendTable {
             backends: Vec::new(),
@@ -28,8 +31,9 @@
         }
     }
 
-    /// Brings the table in line with an endpoint list or changes to it. Backends that are new start
-    /// at `initial_price`.
+    /// Applies an endpoint list, or the changed entries of a delta. After a whole list, backends
+    /// that it does not name are removed. Removed backends stay in the table while they have
+    /// attempts in flight. New and restarted backends start at `initial_price`.
     pub fn apply(
         &mut self,
         now: Time,
@@ -57,6 +61,7 @@
         self.rebuild_indices();
     }
 
+    /// Recomputes both indices from the list of backends.
     fn rebuild_indices(&mut self) {
         self.index = self
             .backends
@@ -71,49 +76,49 @@
             .sort_by_key(|&position| self.backends[position].rank);
     }
 
-    /// The backend of this id.
+    /// Returns the backend with this id, or `None` if it is not in the table.
     pub fn get(&self, id: BackendId) -> Option<&Backend> {
         self.index
             .get(&id)
             .map(|&position| &self.backends[position])
     }
 
-    /// The backend of this id, to be changed.
+    /// Returns the backend with this id for modification, or `None` if it is not in the table.
     pub fn get_mut(&mut self, id: BackendId) -> Option<&mut Backend> {
         self.index
             .get(&id)
             .map(|&position| &mut self.backends[position])
     }
 
-    /// Number of active backends.
+    /// Returns the number of active backends, which is n in the formulas for prices and shares.
     pub fn active_count(&self) -> usize {
         self.active.len()
     }
 
-    /// The active backends in this node's order.
+    /// Iterates over the active backends in this node's order.
     pub fn active(&self) -> impl Iterator<Item = &Backend> {
         self.active.iter().map(|&position| &self.backends[position])
     }
 
-    /// The active backend at this position of the node's order.
+    /// Returns the active backend at a position in this node's order, counted from 0.
     ///
     /// # Panics
     ///
-    /// Where there are not so many.
+    /// If `position` is not below [`Self::active_count`].
     pub fn nth_active(&self, position: usize) -> &Backend {
         &self.backends[self.active[position]]
     }
 
-    /// The active backend at this position of the node's order, to be changed.
+    /// Returns the active backend at a position in this node's order for modification.
     ///
     /// # Panics
     ///
-    /// Where there are not so many.
+    /// If `position` is not below [`Self::active_count`].
     pub fn nth_active_mut(&mut self, position: usize) -> &mut Backend {
         &mut self.backends[self.active[position]]
     }
 
-    /// Positions, in the node's order, of the active backends to which a class may go.
+    /// Returns the positions, in this node's order, of the active backends allowed for a class.
     pub fn positions_allowed_for(&self, class: &RequestClass) -> Vec<usize> {
         (0..self.active_count())
             .filter(|&position| self.nth_active(position).is_allowed_for(class))
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,5 @@
-//! The balancer of one node: takes in events and owns all state.
+//! The balancer of one node. It owns all load-balancing state, changes it only in response to
+//! events, and returns the actions that the embedding process has to carry out.
 
 mod attempts;
 mod probes;
@@ -24,14 +25,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bits by which the seed is rotated, so that the order of backends and the draws use different seeds.
-const RANK_SEED_ROTATION: u32 = 32;
-/// Longest time since the last refresh of the shares, in seconds, that a refresh accounts for.
+/// Number of bits by which the seed is rotated to obtain the seed of this node's backend order, so
+/// that the order and the random draws use different seeds.
+const BACKEND_ORDER_SEED_ROTATION: u32 = 32;
+/// Upper bound, in seconds, of the elapsed time that one refresh of the shares and of the shedding
+/// thresholds accounts for.
 const MAX_REFRESH_TIME: f64 = 1.0;
 
-/// The balancer of one node.
+/// The load balancer of one node: backends, shares, admission, retries and the open requests.
 pub struct Balancer {
+    /// The checked settings; they stay the same for the balancer's lifetime.
     pub(crate) settings: Arc<Settings>,
+    /// Source of all random draws; their order is part of what makes runs repeatable.
     pub(crate) random: Random,
     pub(crate) timers: Timers,
     pub(crate) endpoint_list: EndpointListPoller,
@@ -41,17 +46,18 @@
     pub(crate) admission: Admission,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) probing: LoadProbing,
-    /// Requests without a final response, or with an attempt in flight.
+    /// Requests that are still owed a final response or that have an attempt in flight.
     pub(crate) requests: FxHashMap<RequestId, Request>,
 }
 
 impl Balancer {
-    /// A balancer without backends and requests. The same settings, seed and events give the same
-    /// actions.
+    /// Creates a balancer without backends and requests. The same settings, seed and events give
+    /// the same actions.
     ///
     /// # Errors
     ///
-    /// Names the first setting that is out of its range.
+    /// Returns the error of [`Settings::check`], which names the first setting that is out of its
+    /// range.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         settings.check()?;
         let settings = Arc::new(settings);
@@ -59,7 +65,10 @@
             random: Random::new(seed),
             timers: Timers::default(),
             endpoint_list: EndpointListPoller::new(settings.clone(), now),
-            fleet: Fleet::new(settings.clone(), seed.rotate_left(RANK_SEED_ROTATION)),
+            fleet: Fleet::new(
+                settings.clone(),
+                seed.rotate_left(BACKEND_ORDER_SEED_ROTATION),
+            ),
             allocation: ShareAllocation::new(settings.clone(), now),
             traffic_fraction: TrafficFraction::new(now, settings.nodes),
             admission: Admission::new(settings.clone(), now),
@@ -70,8 +79,8 @@
         })
     }
 
-    /// Handles one event and appends the resulting actions to `actions`, in the order in which they
-    /// are to be carried out.
+    /// Handles one event that occurred at `now` and appends the resulting actions to `actions`, in
+    /// the order in which they are to be carried out.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { update, endpoints } => {
@@ -91,7 +100,8 @@
         }
     }
 
-    /// The present state of prices, shares and shedding, for the node's log.
+    /// Returns the current prices, shares, load shedding and retry budget, for the node's log.
+    /// Shares and the shed fraction are those of the first class.
     pub fn snapshot(&self, now: Time) -> BalancerSnapshot {
         let first_class = ClassId(0);
         let shares = &self.allocation.class(first_class).shares;
@@ -105,6 +115,8 @@
         }
     }
 
+    /// Applies an endpoint list or a delta, and schedules the next poll if one is needed. After a
+    /// failed call the backends stay as they are.
     fn on_endpoint_list(
         &mut self,
         now: Time,
@@ -121,6 +133,8 @@
         }
     }
 
+    /// Handles a timer: either the endpoint list is due to be polled, or a request has waited long
+    /// enough for load probes. Any other timer is ignored.
     fn on_timer(&mut self, now: Time, timer: TimerId, actions: &mut Vec<Action>) {
         if self.endpoint_list.on_timer(now, timer, actions) {
             return;
@@ -130,6 +144,8 @@
         }
     }
 
+    /// Admits a request and starts its first attempt, or gives it up. A request whose id is already
+    /// known is ignored; a class beyond the settings' list counts as the last class.
     fn on_request_arrived(
         &mut self,
         now: Time,
@@ -148,8 +164,7 @@
         self.allocation.record_arrival(now, class);
         let weight = self.admission.record_arrival(now, class, arrival.tenant);
         self.refresh_allocation(now);
-        if let Some(reason) = self.reason_against_admission(class, work, weight, arrival.remaining)
-        {
+        if let Some(reason) = self.rejection_reason(class, work, weight, arrival.remaining) {
             self.give_up(arrival.request, reason, actions);
         } else {
             self.admission.record_admitted(now, arrival.tenant);
@@ -157,9 +172,12 @@
         }
     }
 
-    /// Why a request that has arrived is not admitted, or `None` where it is. Learns from its work,
-    /// in seconds, unless that is out of reach.
-    fn reason_against_admission(
+    /// Returns why an arriving request is not admitted, or `None` if it is admitted.
+    ///
+    /// `work` and `priority_weight` are the request's own, the work in seconds; `remaining` is the
+    /// time until its deadline. The work is recorded in the mean work of the class and of the fleet
+    /// unless it exceeds the latency objective by itself.
+    fn rejection_reason(
         &mut self,
         class: ClassId,
         work: Option<f64>,
@@ -167,8 +185,8 @@
         remaining: Duration,
     ) -> Option<GiveUpReason> {
         if let Some(work) = work {
-            // Work beyond the objective can only be late, and takes capacity from requests that can
-            // be in time.
+            // A request whose work alone exceeds the objective is certain to be late, and would
+            // take capacity from requests that can still be in time.
             if work > self.settings.class(class).objective_seconds(Some(work)) {
                 return Some(GiveUpReason::ObjectiveUnreachable);
             }
@@ -182,6 +200,8 @@
         (self.random.uniform() < shed_probability).then_some(GiveUpReason::LoadShed)
     }
 
+    /// Starts the time of a request whose body is complete now: its attempts count as in flight at
+    /// their backends from now on.
     fn on_request_body_received(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.body_pending) else {
             return;
@@ -194,6 +214,8 @@
         }
     }
 
+    /// Records that the response to an attempt is being streamed. `latency` is the time to its
+    /// first bytes; where capacity is unknown it also moves the shed fraction.
     fn on_response_started(&mut self, now: Time, id: RequestId, attempt: u32, latency: Duration) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -205,7 +227,7 @@
         request.response = request.response.started();
         let class = request.class;
         let settings = self.settings.class(class);
-        // Where all responses are streamed, the work says nothing of when they start.
+        // In a class whose responses are streamed, work does not predict when a response starts.
         let work = request.work.filter(|_| !settings.streaming);
         self.fleet.release_in_flight(backend, started_at);
         let latency = latency.as_secs_f64();
@@ -216,6 +238,7 @@
         }
     }
 
+    /// Closes a request whose client has gone; it is removed once no attempt is in flight.
     fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.response = request.response.closed();
@@ -223,7 +246,8 @@
         }
     }
 
-    /// Brings prices and shares up to date, if that is due.
+    /// Updates prices, shares, shedding thresholds and this node's traffic fraction if a refresh is
+    /// due, and otherwise does nothing.
     pub(crate) fn refresh_allocation(&mut self, now: Time) {
         let active_backends = self.fleet.backends.active_count();
         let Some(elapsed) = self.allocation.begin_refresh(now, active_backends) else {
@@ -253,7 +277,7 @@
         }
     }
 
-    /// Removes a request whose response is closed and that has no attempt in flight.
+    /// Removes a request if it is owed no response and has no attempt in flight.
     fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self
             .requests
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts of requests at backends: from the choice of a backend to a result, a retry, or the
-//! request's end.
+//! The life cycle of attempts: choosing a backend, starting the attempt, learning from its result,
+//! and then retrying the request or giving it up.
 
 use super::Balancer;
 use crate::actions::{Action, GiveUpReason};
@@ -14,27 +14,32 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Load indicated by a rejected or overdue attempt, in units of the backend's capacity.
-const OVERLOADED: f64 = 1.0 + EXCESS_LOAD;
+/// Load that a rejected or overdue attempt indicates, in units of the backend's capacity.
+const OVERLOADED_LOAD: f64 = 1.0 + EXCESS_LOAD;
 
-/// An attempt that has ended, with the properties of its request that are learned from.
+/// An attempt that has ended, with what the estimates need to know of its request and backend.
 struct EndedAttempt {
+    /// Where the attempt was sent.
     backend: BackendId,
+    /// The request's class.
     class: ClassId,
     /// The request's work in seconds on a standard core, if known.
     work: Option<f64>,
+    /// How the attempt ended.
     outcome: AttemptOutcome,
-    /// Seconds.
+    /// Time from the attempt's start to its end, in seconds.
     latency: f64,
-    /// Its response was streamed; how long that took is up to the client.
+    /// Whether its response was streamed; how long that took depends on the client.
     was_streaming: bool,
-    /// The backend's load by the report that came along, in units of its capacity.
+    /// The backend's load according to the report that came with the response, in units of its
+    /// capacity; `None` without a report.
     reported_load: Option<f64>,
 }
 
 impl Balancer {
-    /// Finds a backend for a request's next attempt, by load probes where only they tell load.
-    /// Returns whether one was found or probes were sent; otherwise the request is given up.
+    /// Chooses a backend for a request's next attempt and starts the attempt. Where load is known
+    /// only from load probes, candidates are probed first. Returns whether a backend was drawn or
+    /// candidates were found; otherwise the request has been given up.
     pub(super) fn dispatch(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         if load_probing::is_enabled(&self.settings) {
             return self.probe_candidates(now, id, actions);
@@ -44,7 +49,8 @@
         backend.is_some()
     }
 
-    /// Draws a backend for a request from the present shares.
+    /// Draws a backend for a request from the current shares, after refreshing them if that is due.
+    /// `None` if the request is not known or no eligible backend was drawn.
     pub(crate) fn pick_backend(
         &mut self,
         now: Time,
@@ -65,7 +71,8 @@
         )
     }
 
-    /// Starts an attempt at a backend, or gives the request up where that is not eligible.
+    /// Starts an attempt at a backend. Gives the request up if `backend` is `None`, unknown or not
+    /// eligible for it.
     pub(crate) fn start_attempt(
         &mut self,
         now: Time,
@@ -84,7 +91,7 @@
         };
         let backend_id = backend.id;
         let new_connection = !backend.is_connected(now, self.settings.idle_timeout);
-        // Until the body has been received there is nothing for the backend to work on.
+        // Until the whole body has been received the backend cannot work on the request.
         if !request.body_pending {
             backend.in_flight.push(now);
         }
@@ -110,8 +117,10 @@
         self.fleet.record_attempt(now, backend_id);
     }
 
-    /// Learns from the end of an attempt, and retries its request where it is still owed a
-    /// response.
+    /// Updates the estimates from the end of an attempt. Then retries the request if it is still
+    /// owed a response and has no other attempt in flight, or removes it once it is finished.
+    ///
+    /// The load report is recorded even if the request or the attempt is no longer known.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Time,
@@ -133,10 +142,10 @@
         } else {
             AttemptStatus::MayHaveExecuted
         };
-        let (backend, is_new) = (attempt.backend, attempt.new_connection);
+        let (backend, is_new_connection) = (attempt.backend, attempt.new_connection);
         self.fleet.release_in_flight(backend, attempt.started_at);
         self.fleet
-            .record_connection(now, backend, is_new, result.outcome);
+            .record_connection(now, backend, is_new_connection, result.outcome);
         if result.request_closed {
             request.response = request.response.closed();
         }
@@ -149,16 +158,18 @@
             was_streaming: request.response.has_started(),
             reported_load: result.load_report.and_then(|_| self.fleet.load_of(backend)),
         };
-        let wants_retry = !request.is_closed() && request.is_idle();
-        self.learn_from(now, &ended);
-        if wants_retry {
+        let needs_retry = !request.is_closed() && request.is_idle();
+        self.update_estimates(now, &ended);
+        if needs_retry {
             self.retry(now, result.request, actions);
         } else {
             self.remove_if_finished(result.request);
         }
     }
 
-    fn learn_from(&mut self, now: Time, ended: &EndedAttempt) {
+    /// Updates mean work, shed fraction, latency and price estimates from an ended attempt. The
+    /// latency of a streamed response is left out: it was recorded when the response started.
+    fn update_estimates(&mut self, now: Time, ended: &EndedAttempt) {
         let has_whole_response = ended.outcome == AttemptOutcome::Success && !ended.was_streaming;
         if has_whole_response && ended.work.is_none() {
             let mean_work = self.allocation.mean_work_mut(ended.class);
@@ -185,23 +196,25 @@
         }
     }
 
-    /// Load indicated by an attempt, in units of the backend's capacity; `None` where it indicates none.
+    /// Returns the load that an attempt indicates, in units of the backend's capacity, or `None` if
+    /// it indicates none.
     fn indicated_load(&self, ended: &EndedAttempt) -> Option<f64> {
-        let overdue = OVERDUE_LATENCY_MULTIPLE * self.fleet.typical_latency.seconds();
+        let overdue_latency = OVERDUE_LATENCY_MULTIPLE * self.fleet.typical_latency.seconds();
         match ended.outcome {
-            AttemptOutcome::Rejected => Some(OVERLOADED),
-            AttemptOutcome::TimedOut if ended.latency > overdue => Some(OVERLOADED),
+            AttemptOutcome::Rejected => Some(OVERLOADED_LOAD),
+            AttemptOutcome::TimedOut if ended.latency > overdue_latency => Some(OVERLOADED_LOAD),
             AttemptOutcome::Success if !ended.was_streaming => {
                 let class = self.settings.class(ended.class);
-                let by_latency = ended.latency / class.objective_seconds(ended.work);
-                let reported = ended.reported_load.unwrap_or(0.0);
-                Some(reported.max(by_latency.min(OVERLOADED)))
+                let latency_load = ended.latency / class.objective_seconds(ended.work);
+                let reported_load = ended.reported_load.unwrap_or(0.0);
+                Some(reported_load.max(latency_load.min(OVERLOADED_LOAD)))
             }
             _ => ended.reported_load,
         }
     }
 
-    /// Takes in a failed attempt or load probe of a backend.
+    /// Records a failed attempt or load probe of a backend. If that raised its price, the shares
+    /// are solved again before the next draw.
     pub(crate) fn record_failure(
         &mut self,
         now: Time,
@@ -213,7 +226,8 @@
         }
     }
 
-    /// Another attempt, where class, time and the retry budget allow.
+    /// Starts another attempt if the time left, the number of attempts and the retry budget allow
+    /// it and a backend is eligible; otherwise gives the request up.
     fn retry(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -232,8 +246,9 @@
         }
     }
 
-    /// Sends the final response of a request that is given up: a rejection where the client may
-    /// repeat it harmlessly, else a failure.
+    /// Ends a request without a backend's response: with a rejection if the client may repeat it
+    /// harmlessly, otherwise with a failure. Does nothing if a response has started or is no longer
+    /// owed.
     pub(super) fn give_up(
         &mut self,
         id: RequestId,
@@ -263,8 +278,9 @@
         self.remove_if_finished(id);
     }
 
-    /// The Retry-After of a rejected client: at least a typical latency, and up to the latency
-    /// objective as the shed fraction grows.
+    /// Returns the Retry-After of a rejected request. It grows with the shed fraction up to the
+    /// latency objective, is at least a typical latency, and at most
+    /// [`Settings::max_retry_after`]; `None` if that is not set.
     fn retry_after(&self, class: ClassId) -> Option<Duration> {
         let shed_fraction = self.admission.group(class).shed_fraction;
         let objective = self.settings.class(class).latency_objective;
@@ -274,9 +290,9 @@
     }
 }
 
-/// How long an attempt may take: as long as the client waits. Where no load is reported and a late
-/// response earns nothing, it ends with the latency objective: taking so long means that its
-/// backend is overloaded.
+/// Returns how long an attempt may take. In general this is until the client stops waiting. Where
+/// no load is reported and a late response earns nothing, the attempt ends with the latency
+/// objective, if that comes first: taking so long indicates that the backend is overloaded.
 fn attempt_timeout(now: Time, settings: &Settings, request: &Request) -> Duration {
     let class = settings.class(request.class);
     if settings.load_reporting != LoadReporting::Absent || class.late_weight != 0.0 {
--- a/crates/balancer/src/balancer/probes.rs
+++ b/crates/balancer/src/balancer/probes.rs
@@ -1,4 +1,5 @@
-//! Choosing a backend by load probes.
+//! The choice of a backend by load probes: candidates are drawn by share and probed, and the
+//! attempt goes to the best of them.
 
 use super::Balancer;
 use crate::actions::{Action, GiveUpReason};
@@ -10,8 +11,9 @@
 use crate::time::Time;
 
 impl Balancer {
-    /// Draws a few candidates by share and probes those whose load is not known. Returns whether
-    /// there are any; otherwise the request is given up.
+    /// Draws candidates by share and probes those whose load is not known. If no answer has to be
+    /// awaited, the attempt starts at once. Returns whether there are any candidates; otherwise the
+    /// request has been given up.
     pub(super) fn probe_candidates(
         &mut self,
         now: Time,
@@ -38,7 +40,9 @@
         true
     }
 
-    /// `timeout` is the time in seconds for which answers are awaited.
+    /// Draws up to [`CANDIDATES_PER_REQUEST`] candidates for a request and asks for the load probes
+    /// that are needed. `timeout` is the time, in seconds, after which an unanswered probe no
+    /// longer counts as awaited.
     fn draw_candidates(
         &mut self,
         now: Time,
@@ -47,8 +51,8 @@
         actions: &mut Vec<Action>,
     ) {
         for count in 0..CANDIDATES_PER_REQUEST {
-            // Only the first may be warming up: if the best of several were, it would get more than
-            // its share.
+            // Only the first candidate may be warming up. If every one could be, a warming backend
+            // that looks best would be chosen more often than its share allows.
             let warming_backends = if count == 0 {
                 WarmingBackends::Included
             } else {
@@ -70,7 +74,8 @@
         }
     }
 
-    /// Takes in the end of a load probe, for the backend and for the requests that wait for it.
+    /// Records the end of a load probe for its backend, and starts the attempts of those requests
+    /// that waited for this answer alone.
     pub(super) fn on_load_probe_ended(
         &mut self,
         now: Time,
@@ -81,7 +86,7 @@
             backend.probe.sent_at = None;
         }
         let load = self.record_probe_result(now, result);
-        // From the last to the first, since a request that is dispatched leaves the list.
+        // Iterates backwards because `select_candidate` removes a request from the list.
         for position in (0..self.probing.waiting_count()).rev() {
             let Some(id) = self.probing.waiting_request(position) else {
                 continue;
@@ -96,7 +101,7 @@
         }
     }
 
-    /// Learns from the end of a load probe and returns the load that it reports.
+    /// Updates the estimates from the end of a load probe and returns the load that it reports.
     fn record_probe_result(&mut self, now: Time, result: &LoadProbeResult) -> CandidateLoad {
         match result.outcome {
             AttemptOutcome::Success => {
@@ -111,7 +116,8 @@
                 }
                 load
             }
-            // The node's own shortage says nothing of the backend.
+            // The probe was never sent for lack of this node's own resources, which says nothing
+            // about the backend.
             AttemptOutcome::NotSent => CandidateLoad::Unknown,
             outcome => {
                 self.record_failure(now, result.backend, outcome);
@@ -120,7 +126,10 @@
         }
     }
 
-    /// Starts an attempt at the best candidate, by what is known of their loads.
+    /// Ends the wait for load probes and starts an attempt at the candidate with the shortest
+    /// expected wait. If no candidate's load is known, a backend is drawn by share instead. If the
+    /// request's deadline has passed or even the best candidate is too late, the request is given
+    /// up.
     pub(super) fn select_candidate(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the way of requests through the balancer.
+//! Tests of a request's life cycle: attempts and their timeouts, rejections, bodies that are still
+//! being received, and streamed responses.
 
 use super::*;
 use crate::test_common::{
@@ -11,7 +12,8 @@
 };
 use crate::{AttemptOutcome, AttemptResult, BackendId, LoadReporting};
 
-/// The backend and the timeout of the attempt that the first action starts.
+/// Returns the backend and the timeout of the attempt that the first action starts; panics if the
+/// first action is another one.
 fn started_attempt(actions: &[Action]) -> (BackendId, Option<Duration>) {
     let Some(&Action::StartAttempt {
         backend, timeout, ..
@@ -22,10 +24,11 @@
     (backend, timeout)
 }
 
-/// Where a late response earns something, or load is reported, an attempt may take as long as the
-/// client waits.
+/// Without load reports, an attempt that outlasts the latency objective is the only sign that its
+/// backend is overloaded. Where a late response earns something, or load is reported, an attempt
+/// may take as long as the client waits.
 #[test]
-fn attempts_end_with_the_objective_where_no_load_is_reported() {
+fn attempts_time_out_at_the_objective_where_no_load_is_reported() {
     let timeouts = |load_reporting, late_weight| {
         let mut settings = Settings {
             load_reporting,
@@ -34,17 +37,17 @@
         settings.classes[0].late_weight = late_weight;
         let mut balancer = balancer_with(settings, 40);
         let actions = handle(&mut balancer, at(5), request_arrived(1, 0));
-        let (backend, first) = started_attempt(&actions);
+        let (backend, first_timeout) = started_attempt(&actions);
         let outcome = AttemptOutcome::ServerError;
         let actions = end_attempt(&mut balancer, at(105), 1, backend, outcome);
-        let (_, second) = started_attempt(&actions);
-        [first, second]
+        let (_, second_timeout) = started_attempt(&actions);
+        [first_timeout, second_timeout]
     };
     let objective = settings().classes[0].latency_objective;
     assert_eq!(
         timeouts(LoadReporting::Absent, 0.0),
         [Some(objective), objective.checked_sub(ms(100))],
-        "of the whole request, not of each attempt"
+        "the objective of the whole request, not of each attempt"
     );
     let as_long_as_the_client_waits = [Some(ms(1000)), Some(ms(900))];
     assert_eq!(
@@ -57,7 +60,7 @@
     );
 }
 
-/// The Retry-After of the first rejection while this fraction of the arrivals is shed.
+/// Returns the Retry-After of the first rejection while `shed_fraction` of the arrivals is shed.
 fn retry_after(shed_fraction: f64, max_retry_after: Option<Duration>) -> Option<Duration> {
     let settings = Settings {
         max_retry_after,
@@ -72,10 +75,10 @@
             return *retry_after;
         }
     }
-    unreachable!("something is rejected")
+    unreachable!("no request of 100 was rejected")
 }
 
-/// A response to a client that comes back later would no longer count.
+/// If a client came back later than the latency objective, its response would no longer count.
 #[test]
 fn retry_after_lies_within_the_latency_objective() {
     let objective = settings().classes[0].latency_objective;
@@ -88,15 +91,15 @@
     assert_eq!(
         retry_after(0.9, Some(ms(100))),
         Some(ms(100)),
-        "no longer than the site allows"
+        "no longer than the settings allow"
     );
     assert_eq!(retry_after(0.9, None), None);
 }
 
-/// Prices move by the projected step on the reported load, draws follow the solved shares, and
+/// Prices move by the projected dual step on the reported load, draws follow the solved shares, and
 /// shares are solved once per price interval, in a small and in a large fleet.
 #[test]
-fn the_ordinary_path_follows_prices_and_shares() {
+fn draws_follow_prices_and_shares_solved_once_per_interval() {
     for backends in [6u32, 300] {
         let settings = Settings {
             nodes: 1,
@@ -127,16 +130,16 @@
             }
             end_attempt(&mut balancer, now, id, backend, AttemptOutcome::Success);
         }
-        // Ten seconds of price intervals, however many requests and backends.
+        // One solution per price interval of 50 ms over 10 s, however many requests and backends.
         assert!(
             solutions <= 201,
-            "{solutions} solutions for {backends} backends"
+            "{solutions} solutions of the shares for {backends} backends"
         );
         for (backend, (drawn, expected)) in drawn.iter().zip(&expected).enumerate() {
             let noise = 5.0 * expected.sqrt() + 5.0;
             assert!(
                 (drawn - expected).abs() < noise,
-                "backend {backend}: {drawn} for {expected}"
+                "backend {backend}: {drawn} draws, {expected} expected"
             );
         }
         let [idle, busy] = [0, 1].map(|id| state_of(&balancer, BackendId(id)).price);
@@ -144,8 +147,8 @@
     }
 }
 
-/// A client may take seconds to send a large body. Meanwhile nothing is in flight at the backend:
-/// it grows neither expensive nor loaded, and the request's time has not begun.
+/// A client may take seconds to send a large body. Meanwhile nothing counts as in flight at the
+/// backend: neither its price nor its load rises, and the request's time has not begun.
 #[test]
 fn a_request_with_a_pending_body_counts_from_its_last_byte() {
     let mut balancer = balancer_of(4);
@@ -164,7 +167,7 @@
     };
     assert_eq!(handle(&mut balancer, at(5000), body_received), []);
     assert_eq!(state_of(&balancer, id).in_flight, [at(5000)]);
-    // Its first backend rejects it at once: there is all the time for another.
+    // The first backend rejects the request at once, so all of its time is left for a retry.
     let actions = end_attempt(&mut balancer, at(5001), 1, id, AttemptOutcome::Rejected);
     assert!(
         matches!(actions[..], [Action::StartAttempt { .. }]),
@@ -173,9 +176,10 @@
     assert!(state_of(&balancer, id).in_flight.is_empty());
 }
 
-/// How long a large response takes to stream is up to the client.
+/// How long a large response takes to stream depends on the client, so only the time to its first
+/// bytes may move the shed fraction.
 #[test]
-fn a_streamed_response_counts_by_its_first_bytes() {
+fn a_streamed_response_counts_with_its_time_to_first_bytes() {
     let mut balancer = balancer_with(unknown_capacity_settings(), 4);
     let backend = send_request(&mut balancer, at(0), 1).expect("a backend");
     let response_started = Event::ResponseStarted {
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The backends with their prices and speeds, and the updates of these from responses, load reports
-//! and failures.
+//! The fleet of backends as one node sees it: their prices and speeds, how responses, load reports
+//! and failures update these, and the inputs that they give to the share allocation.
 
 use crate::backend::Backend;
 use crate::backend_table::BackendTable;
@@ -17,55 +17,58 @@
 use crate::time::Time;
 use std::sync::Arc;
 
-/// Fraction of its measured capacity up to which a backend is used; reports miss the rest.
+/// Fraction of a backend's measured capacity that may be used; the rest covers what the reports
+/// leave out.
 pub const USABLE_CAPACITY_FRACTION: f64 = 0.72;
-/// Price of this node's own attempts in flight at a backend, per multiple of those usual there.
+/// Price added per multiple by which this node's own attempts in flight at a backend exceed those
+/// expected there, where capacity is unknown.
 const OWN_IN_FLIGHT_PRICE: f64 = 0.5;
-/// Time constant, in seconds, with which the fraction of failed new connections decays.
+/// Time constant, in seconds, with which the fraction of new connections that fail decays.
 const CONNECT_RECOVERY_TIME: f64 = 24.0;
-/// Weight of a new connection in the fraction that fails.
+/// Weight of one new connection in the exponential mean of those that fail.
 const CONNECT_FAILURE_GAIN: f64 = 1.0 / 8.0;
-/// Weight of a request in the mean work.
+/// Weight of one request in the exponential mean of the work of requests.
 const MEAN_WORK_GAIN: f64 = 1.0 / 32.0;
-/// Lowest relative speed that a backend counts with.
+/// Lower bound of a backend's speed, relative to the mean, in the share allocation.
 const MIN_RELATIVE_SPEED: f64 = 0.01;
-/// Sum of trust in load reports below which the fleet counts as idle.
-const MIN_REPORT_TRUST: f64 = 0.01;
-/// Initial value of the sum of recent shares, against a division by zero.
-const MIN_SUM_OF_SHARES: f64 = 1e-9;
-/// Lower bound of the initial typical latency, in seconds.
+/// Total weight of load reports, which decays with their age, below which the fleet counts as idle.
+const MIN_REPORT_WEIGHTS: f64 = 0.01;
+/// Start value of the sum of recent shares; prevents a division by zero.
+const MIN_RECENT_SHARE_SUM: f64 = 1e-9;
+/// Lower bound of the typical latency that is assumed before the first response, in seconds.
 const MIN_INITIAL_LATENCY: f64 = 1e-3;
 
-/// This node's part of the traffic of all nodes.
+/// This node's part of the traffic of all nodes, from which the bounds of its shares follow.
 #[derive(Clone, Copy)]
 pub struct NodeTraffic {
-    /// Fraction of all requests that this node sends.
+    /// Fraction of all nodes' requests that this node sends.
     pub fraction: f64,
-    /// Requests that arrive here per second.
+    /// Requests of all classes that arrive at this node per second.
     pub arrivals_per_second: f64,
 }
 
-/// The backends, their prices and speeds.
+/// All backends with their prices and speeds, and the estimates that span the whole fleet.
 pub struct Fleet {
     settings: Arc<Settings>,
-    /// The backends.
+    /// The backends' states, by id and in this node's order.
     pub backends: BackendTable,
-    /// Their prices.
+    /// The rules that move prices, and the fleet's means of price and load.
     pub pricing: Pricing,
-    /// Their speeds.
+    /// Estimates of the backends' speeds relative to the mean.
     pub speeds: SpeedEstimates,
-    /// The typical latency of a response.
+    /// The typical latency of a successful response, over all backends.
     pub typical_latency: LatencyQuantile,
-    /// The mean work of a request.
+    /// The mean work of a request, over all classes; 0 seconds while unknown.
     pub mean_work: MeanWork,
-    /// Fraction of the latest new connections that failed.
+    /// Fraction of this node's latest new connections that failed, from 0 to 1.
     pub connect_failures: ExponentialMean,
-    /// The limit for backends that are probably warm.
+    /// Limits attempts at backends that are probably warm but not certainly so.
     call_budget: CallBudget,
 }
 
 impl Fleet {
-    /// No backends yet. `rank_seed` differs from node to node.
+    /// Creates a fleet without backends. `rank_seed` sets this node's order of backends; it differs
+    /// from node to node.
     pub fn new(settings: Arc<Settings>, rank_seed: u64) -> Self {
         let objective = settings.shortest_latency_objective();
         let initial_latency = (objective / 2.0).max(MIN_INITIAL_LATENCY);
@@ -81,13 +84,13 @@
         }
     }
 
-    /// Takes in an endpoint list or changes to it; new backends start at the mean price.
+    /// Applies an endpoint list or a delta; new and restarted backends start at the mean price.
     pub fn apply_endpoint_list(&mut self, now: Time, update: ListUpdate, endpoints: &[Endpoint]) {
         let initial_price = self.pricing.mean_price;
         self.backends.apply(now, update, endpoints, initial_price);
     }
 
-    /// Takes in a backend's load report.
+    /// Records a backend's load report; ignored if the backend is not known.
     pub fn record_load_report(&mut self, now: Time, id: BackendId, report: &LoadReport) {
         let typical_latency = self.typical_latency.seconds();
         if let Some(backend) = self.backends.get_mut(id) {
@@ -96,8 +99,8 @@
         }
     }
 
-    /// Takes in a response that succeeded, with its latency in seconds and the work in seconds of
-    /// its request, where known.
+    /// Records a successful response. `latency` is in seconds; `work` is the work of its request in
+    /// seconds, or `None` if it is not known, in which case the mean work stands in for it.
     pub fn record_response(&mut self, now: Time, id: BackendId, latency: f64, work: Option<f64>) {
         self.typical_latency.record(latency);
         let Some(backend) = self.backends.get_mut(id) else {
@@ -109,13 +112,14 @@
         }
         if !self.settings.throughput_reported {
             let mean_work = self.mean_work.seconds();
-            // Where no work is known at all, any constant gives the same relative speeds.
+            // If no request's work is known, any constant yields the same relative speeds.
             let work = work.unwrap_or(if mean_work > 0.0 { mean_work } else { 1.0 });
             self.speeds.record_response(now, backend, work, latency);
         }
     }
 
-    /// Counts an attempt that starts at a backend.
+    /// Counts an attempt that starts at a backend against the limit for probably warm backends, if
+    /// it is one of these.
     pub fn record_attempt(&mut self, now: Time, id: BackendId) {
         let limits = &self.settings.protocol_limits;
         let backend = self.backends.get(id);
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Takes in a failed attempt or load probe.
+    /// Records a failed attempt or load probe of a backend and returns what that did to its price.
     pub fn record_failure(
         &mut self,
         now: Time,
@@ -139,8 +143,9 @@
             .record_failure(now, backend, outcome, typical_latency)
     }
 
-    /// Records, at the end of an attempt, whether the backend has an open connection, and how often
-    /// new connections fail.
+    /// Records, at the end of an attempt, whether this node has an open connection to the backend,
+    /// and whether a new connection (`is_new`) failed. An attempt that was never sent tells
+    /// neither.
     pub fn record_connection(
         &mut self,
         now: Time,
@@ -165,60 +170,65 @@
         }
     }
 
-    /// Removes an attempt from those in flight at a backend: it is answered or has ended.
+    /// Removes the attempt that started at `started_at` from those in flight at a backend, because
+    /// its response has started or it has ended.
     pub fn release_in_flight(&mut self, id: BackendId, started_at: Time) {
         if let Some(backend) = self.backends.get_mut(id) {
             backend.release_in_flight(started_at);
         }
     }
 
-    /// Load of a backend in units of its capacity, where known.
+    /// Returns the load of a backend in units of its capacity, or `None` if it is not known.
     pub fn load_of(&self, id: BackendId) -> Option<f64> {
         self.backends.get(id)?.reported.load
     }
 
-    /// Updates all prices and the means of price, load and speed. `elapsed` is in seconds since the
-    /// last refresh.
+    /// Updates the prices of all active backends and the fleet's means of price, load, speed and
+    /// work rate. `elapsed` is the time since the last refresh, in seconds.
     pub fn refresh(&mut self, now: Time, elapsed: f64) {
         let recovery = (elapsed / CONNECT_RECOVERY_TIME).min(1.0);
         self.connect_failures.scale(1.0 - recovery);
         let count = self.backends.active_count() as f64;
         let typical_latency = self.typical_latency.seconds();
-        let [mut price, mut load, mut trusts, mut speed, mut samples] = [0.0; 5];
+        let [mut mean_price, mut weighted_load, mut report_weights, mut weighted_speed, mut samples] =
+            [0.0; 5];
         for position in 0..self.backends.active_count() {
             let backend = self.backends.nth_active_mut(position);
             self.pricing.update_price(now, backend, typical_latency);
-            price += backend.price / count;
-            // Old reports fade out of the mean load: a fleet that sheds much receives few reports.
+            mean_price += backend.price / count;
+            // Past their lifetime, reports lose weight in the mean load exponentially rather than
+            // at once: a fleet that sheds much load receives few reports.
             if let Some(reported_load) = backend.reported.load {
                 let age = (now - backend.reported.reported_at).as_secs_f64();
-                let trust = (self.pricing.report_lifetime() - age).min(0.0).exp();
-                load += reported_load * trust;
-                trusts += trust;
+                let report_weight = (self.pricing.report_lifetime() - age).min(0.0).exp();
+                weighted_load += reported_load * report_weight;
+                report_weights += report_weight;
             }
-            fade_old_samples(now, backend, elapsed);
-            speed += backend.speed.requests_per_second * backend.speed.sample_weight;
+            decay_old_samples(now, backend, elapsed);
+            weighted_speed += backend.speed.requests_per_second * backend.speed.sample_weight;
             samples += backend.speed.sample_weight;
         }
-        self.pricing.mean_price = price;
-        self.pricing.mean_load = if trusts > MIN_REPORT_TRUST {
-            load / trusts
+        self.pricing.mean_price = mean_price;
+        self.pricing.mean_load = if report_weights > MIN_REPORT_WEIGHTS {
+            weighted_load / report_weights
         } else {
             0.0
         };
         self.speeds
-            .set_mean_speed((samples > 0.0).then_some(speed / samples));
-        let work_rates: f64 = self
+            .set_mean_speed((samples > 0.0).then_some(weighted_speed / samples));
+        let total_work_rate: f64 = self
             .backends
             .active()
             .map(|backend| self.speeds.expected_work_rate(backend))
             .sum();
-        self.speeds.set_mean_work_rate(work_rates / count);
+        self.speeds.set_mean_work_rate(total_work_rate / count);
     }
 
-    /// Decides which backends count as warm that are probably so. They do where less than half of
-    /// the backends open to a class are certainly warm: the others would be overloaded, or load
-    /// would be shed. What they get is limited by counted attempts instead.
+    /// Decides which of the probably warm backends are used like warm ones.
+    ///
+    /// They are where less than half of the backends allowed for a class are certainly warm:
+    /// otherwise these few would be overloaded, or load would be shed. Their attempts are limited
+    /// by the call budget instead of by slow start; if it has no room, none of them counts as warm.
     pub fn update_probably_warm(&mut self, now: Time) {
         let limits = &self.settings.protocol_limits;
         let active = self.backends.active().enumerate();
@@ -232,7 +242,7 @@
         let mut is_needed = vec![false; self.backends.active_count()];
         if self.call_budget.has_room(now, probably_warm.len()) {
             for class in &self.settings.classes {
-                self.mark_where_few_are_warm(now, class, &mut is_needed);
+                self.mark_if_few_are_warm(now, class, &mut is_needed);
             }
         }
         for position in probably_warm {
@@ -240,8 +250,9 @@
         }
     }
 
-    /// Marks the positions open to a class if less than half of these backends are certainly warm.
-    fn mark_where_few_are_warm(&self, now: Time, class: &RequestClass, marks: &mut [bool]) {
+    /// Marks the positions of all active backends allowed for a class, if less than half of these
+    /// backends are certainly warm.
+    fn mark_if_few_are_warm(&self, now: Time, class: &RequestClass, marks: &mut [bool]) {
         let limits = &self.settings.protocol_limits;
         let positions = self.backends.positions_allowed_for(class);
         let certainly_warm = positions
@@ -260,10 +271,11 @@
         }
     }
 
-    /// What the share allocation needs of each active backend, in the node's order.
+    /// Returns the price, speed and upper bound of the share of each active backend for the share
+    /// allocation, in this node's order.
     pub fn share_inputs(&self, now: Time, traffic: NodeTraffic) -> Vec<ShareInput> {
         let count = self.backends.active_count() as f64;
-        let [mut mean_weight, mut in_flight, mut recent_shares] = [0.0, 0.0, MIN_SUM_OF_SHARES];
+        let [mut mean_weight, mut in_flight, mut recent_shares] = [0.0, 0.0, MIN_RECENT_SHARE_SUM];
         for backend in self.backends.active() {
             mean_weight += backend.weight / count;
             in_flight += backend.in_flight.len() as f64;
@@ -272,10 +284,10 @@
         self.backends
             .active()
             .map(|backend| {
-                let usual_in_flight = in_flight * backend.recent_share / recent_shares;
+                let expected_in_flight = in_flight * backend.recent_share / recent_shares;
                 let speed = self.speeds.relative_speed(backend, mean_weight);
                 ShareInput {
-                    price: self.present_price(now, backend, usual_in_flight),
+                    price: self.corrected_price(now, backend, expected_in_flight),
                     speed: speed.max(MIN_RELATIVE_SPEED),
                     max_share: self.max_share(now, backend, speed, traffic),
                 }
@@ -283,16 +295,17 @@
             .collect()
     }
 
-    /// A backend's price, corrected by what this node knows before a report can: its own attempts in
-    /// flight beyond the usual, and failing connections.
-    fn present_price(&self, now: Time, backend: &Backend, usual_in_flight: f64) -> f64 {
-        let own_price = if self.settings.is_capacity_unknown() {
+    /// Returns a backend's price, corrected by what this node knows before any load report tells
+    /// it: its own attempts in flight beyond those expected, where capacity is unknown, and the
+    /// fraction of new connections that fail, where no connection is open and no capacity is known.
+    fn corrected_price(&self, now: Time, backend: &Backend, expected_in_flight: f64) -> f64 {
+        let own_in_flight_price = if self.settings.is_capacity_unknown() {
             OWN_IN_FLIGHT_PRICE
         } else {
             0.0
         };
-        let excess = backend.in_flight.len() as f64 - usual_in_flight;
-        let price = backend.price + own_price * excess / (usual_in_flight + 1.0);
+        let excess = backend.in_flight.len() as f64 - expected_in_flight;
+        let price = backend.price + own_in_flight_price * excess / (expected_in_flight + 1.0);
         let is_reachable = self.speeds.is_capacity_known()
             || backend.is_connected(now, self.settings.idle_timeout);
         let connect_price = if is_reachable {
@@ -303,8 +316,9 @@
         price + connect_price
     }
 
-    /// Largest share of a backend: this node's part of its usable capacity (the paper's local
-    /// constraint, eq. 10), and what slow start allows.
+    /// Returns the upper bound of a backend's share: the lower of this node's part of its usable
+    /// capacity (the paper's local constraint, eq. 10), where capacity is known, and of what slow
+    /// start allows. Infinite where neither applies.
     fn max_share(&self, now: Time, backend: &Backend, speed: f64, traffic: NodeTraffic) -> f64 {
         let count = self.backends.active_count() as f64;
         let mut max_share = f64::INFINITY;
@@ -322,7 +336,8 @@
         max_share
     }
 
-    /// Extra wait, in seconds, to be expected at a backend without an open connection.
+    /// Returns the expected delay of opening a connection to a backend, in seconds: the connect
+    /// timeout times the fraction of new connections that fail; 0 if a connection is open.
     pub fn expected_connect_wait(&self, now: Time, backend: &Backend) -> f64 {
         if backend.is_connected(now, self.settings.idle_timeout) {
             0.0
@@ -331,18 +346,25 @@
         }
     }
 
-    /// Requests per second that the active backends serve, by their reports; for those that report
-    /// none, by the fleet's mean speed and load.
+    /// Returns the requests per second that all active backends serve together. For a backend that
+    /// reports no throughput, the fleet's mean speed and load stand in for it.
     pub fn served_per_second(&self) -> f64 {
-        let usual = self.speeds.mean_speed() * self.pricing.mean_load.min(1.0);
+        let typical = self.speeds.mean_speed() * self.pricing.mean_load.min(1.0);
         self.backends
             .active()
             .map(|backend| backend.reported.throughput)
-            .map(|throughput| if throughput > 0.0 { throughput } else { usual })
+            .map(|throughput| {
+                if throughput > 0.0 {
+                    throughput
+                } else {
+                    typical
+                }
+            })
             .sum()
     }
 
-    /// What the node logs of its active backends, given their shares in the node's order.
+    /// Returns the state of the active backends for the node's log. `shares` are theirs, in this
+    /// node's order; a missing one counts as 0.
     pub fn snapshot(&self, now: Time, shares: &[f64]) -> Vec<BackendSnapshot> {
         let limits = &self.settings.protocol_limits;
         self.backends
@@ -363,11 +385,12 @@
     }
 }
 
-/// Reduces the weight of the samples of a backend that has not responded recently.
-fn fade_old_samples(now: Time, backend: &mut Backend, elapsed: f64) {
+/// Reduces the weight of a backend's speed samples if the last one is older than half of
+/// [`DRIFT_TIME`]. `elapsed` is the time since the last refresh, in seconds.
+fn decay_old_samples(now: Time, backend: &mut Backend, elapsed: f64) {
     if (now - backend.sampled_at).as_secs_f64() > DRIFT_TIME / 2.0 {
-        let kept = 1.0 - (elapsed / DRIFT_TIME).min(1.0);
-        backend.speed.sample_weight *= kept;
-        backend.work_rate.sample_weight *= kept;
+        let kept_fraction = 1.0 - (elapsed / DRIFT_TIME).min(1.0);
+        backend.speed.sample_weight *= kept_fraction;
+        backend.work_rate.sample_weight *= kept_fraction;
     }
 }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,64 +1,66 @@
-//! A client's request and its attempts.
+//! The state of one client request: its timing, what the client is owed, its attempts, and the
+//! candidates that are probed for the next one.
 
 use crate::events::RequestArrival;
 use crate::ids::{BackendId, CellId, ClassId, ZoneId};
 use crate::time::Time;
 
-/// One attempt of a request at a backend.
+/// One attempt to have a request served by a backend.
 pub struct Attempt {
-    /// The backend.
+    /// Where the attempt was sent.
     pub backend: BackendId,
-    /// The backend's zone.
+    /// The backend's zone when the attempt started.
     pub zone: ZoneId,
-    /// The backend's cell.
+    /// The backend's cell when the attempt started.
     pub cell: CellId,
-    /// When it was sent, or when the last byte of the request's body was.
+    /// When the attempt started, or when the last byte of the request's body was sent, if that is
+    /// later.
     pub started_at: Time,
-    /// It needed a new connection.
+    /// Whether the node had no connection to the backend that was certain to be open.
     pub new_connection: bool,
-    /// How far it has come.
+    /// Whether it has ended, and whether the backend may have executed it.
     pub status: AttemptStatus,
 }
 
-/// How far an attempt has come.
+/// Whether an attempt has ended, and whether the backend may have executed it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// No result yet.
+    /// It has not ended; the backend may execute it.
     InFlight,
-    /// It has ended, and the backend has not executed it.
+    /// It has ended, and the backend certainly has not executed it.
     NotExecuted,
     /// It has ended, and the backend may have executed it.
     MayHaveExecuted,
 }
 
 impl Attempt {
-    /// Whether no result is known yet.
+    /// Whether the attempt has not ended.
     pub fn is_in_flight(&self) -> bool {
         self.status == AttemptStatus::InFlight
     }
 
-    /// Whether the backend may have executed it, or may do so yet.
+    /// Whether the backend may have executed it or may still do so.
     pub fn may_have_executed(&self) -> bool {
         self.status != AttemptStatus::NotExecuted
     }
 }
 
-/// How far the response to the client has come.
+/// How far the response to the client has progressed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ResponseState {
-    /// The client waits for it.
+    /// The client is owed a response, and none has started.
     Pending,
-    /// It is being streamed to the client.
+    /// A response is being streamed to the client.
     Streaming,
-    /// Nothing is owed to the client any more.
+    /// The client is no longer owed anything.
     Closed {
-        /// A streamed response had begun.
+        /// Whether a streamed response had started.
         was_streaming: bool,
     },
 }
 
 impl ResponseState {
-    /// Whether a streamed response has begun.
+    /// Whether a streamed response has started, even if it is closed by now.
     pub fn has_started(self) -> bool {
         matches!(
             self,
@@ -69,7 +71,7 @@
         )
     }
 
-    /// The state once a streamed response has begun.
+    /// Returns the state after a streamed response has started; a closed one stays closed.
     pub fn started(self) -> Self {
         match self {
             ResponseState::Pending | ResponseState::Streaming => ResponseState::Streaming,
@@ -79,7 +81,8 @@
         }
     }
 
-    /// The state once nothing is owed to the client.
+    /// Returns the state once the client is owed nothing; keeps whether a streamed response had
+    /// started.
     pub fn closed(self) -> Self {
         ResponseState::Closed {
             was_streaming: self.has_started(),
@@ -87,47 +90,49 @@
     }
 }
 
-/// The load of a candidate, by the answer to a load probe.
+/// The load of a candidate according to its answer to a load probe.
 #[derive(Clone, Copy, PartialEq)]
 pub enum CandidateLoad {
-    /// No answer yet.
+    /// The answer is still awaited.
     Pending,
-    /// Requests that it has in flight.
+    /// The answer gave this number of requests in flight, or a utilization in place of it.
     InFlight(f64),
     /// The probe failed, or its answer gave no load.
     Unknown,
 }
 
-/// A backend that is probed for its load before an attempt starts there.
+/// A backend that is considered for a request's next attempt and whose load decides on it.
 pub struct Candidate {
-    /// The backend.
+    /// The backend that may receive the attempt.
     pub backend: BackendId,
-    /// Its load.
+    /// Its load, as far as it is known.
     pub load: CandidateLoad,
 }
 
-/// A request from its arrival until it is answered and has no attempt in flight.
+/// A client request, kept from its arrival until the client is owed nothing and no attempt is in
+/// flight.
 pub struct Request {
-    /// Its class.
+    /// Its class, which is among those of the settings.
     pub class: ClassId,
-    /// When it arrived, or when the last byte of its body did.
+    /// When it arrived, or when the last byte of its body did, if that is later.
     pub arrived_at: Time,
-    /// When the client stops waiting.
+    /// When the client stops waiting; moves along when the body is complete.
     pub deadline: Time,
-    /// Expected work in seconds on a standard core, if known.
+    /// Expected work in seconds on a standard core, or `None` if it is not known.
     pub work: Option<f64>,
-    /// More of its body is to come.
+    /// Whether part of its body has not been received yet.
     pub body_pending: bool,
-    /// What the client is owed.
+    /// How far the response has progressed, and whether the client is still owed one.
     pub response: ResponseState,
     /// Its attempts, in the order in which they started.
     pub attempts: Vec<Attempt>,
-    /// Backends that are probed for their load before the next attempt.
+    /// Candidates for the next attempt; empty except while one of them is being chosen by load.
     pub candidates: Vec<Candidate>,
 }
 
 impl Request {
-    /// A request that has just arrived.
+    /// Creates the state of a request that arrived at `now`, with a class that the settings
+    /// contain.
     pub fn new(now: Time, class: ClassId, arrival: &RequestArrival) -> Self {
         Request {
             class,
@@ -141,45 +146,45 @@
         }
     }
 
-    /// Whether no attempt is in flight.
+    /// Whether none of its attempts is in flight.
     pub fn is_idle(&self) -> bool {
         !self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether nothing is owed to the client any more.
+    /// Whether the client is no longer owed anything.
     pub fn is_closed(&self) -> bool {
         matches!(self.response, ResponseState::Closed { .. })
     }
 
-    /// The earliest attempt that may have been executed.
+    /// Returns the earliest attempt that the backend may have executed or may still execute.
     pub fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.may_have_executed())
     }
 
-    /// Whether there was an attempt at this backend.
+    /// Whether an attempt has been started at this backend.
     pub fn has_tried(&self, backend: BackendId) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.backend == backend)
     }
 
-    /// Whether this backend is among those probed for their load.
+    /// Whether this backend is a candidate for the next attempt.
     pub fn is_candidate(&self, backend: BackendId) -> bool {
         self.candidates
             .iter()
             .any(|candidate| candidate.backend == backend)
     }
 
-    /// Whether the load of a candidate is awaited.
+    /// Whether the load of any candidate is still awaited.
     pub fn awaits_candidates(&self) -> bool {
         self.candidates
             .iter()
             .any(|candidate| candidate.load == CandidateLoad::Pending)
     }
 
-    /// Takes in the load of a candidate. Returns whether it was awaited.
+    /// Sets the load of a candidate whose answer is awaited. Returns whether there was one.
     pub fn resolve_candidate(&mut self, backend: BackendId, load: CandidateLoad) -> bool {
         let awaited = self.candidates.iter_mut().find(|candidate| {
             candidate.backend == backend && candidate.load == CandidateLoad::Pending
@@ -191,8 +196,8 @@
         true
     }
 
-    /// Records that the body has been received: the deadline, and the times of the attempts in
-    /// flight, count from now on.
+    /// Records that the whole body has been received: the arrival, the deadline and the start of
+    /// the attempts in flight count from `now` instead.
     pub fn body_received(&mut self, now: Time) {
         self.body_pending = false;
         self.deadline = now + (self.deadline - self.arrived_at);
