--- a/crates/balancer/src/actions.rs
+++ b/crates/balancer/src/actions.rs
@@ -1,77 +1,82 @@
-//! What the balancer asks the embedding process to do.
+//! The actions that the balancer asks the embedding process to carry out.
 
 use crate::ids::{BackendId, RequestId, TimerId};
 use crate::time::Time;
 use std::time::Duration;
 
-/// Why a request is given up.
+/// Why a request is given up, that is, ended without a backend's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GiveUpReason {
-    /// Its work alone takes longer than its latency objective.
+    /// Its work alone exceeds its latency objective.
     ObjectiveUnreachable,
     /// Its deadline had passed when it arrived.
     DeadlineExceeded,
-    /// Rejected on arrival because of the backends' load.
+    /// It was rejected on arrival to limit the load of the backends.
     LoadShed,
-    /// No backend is eligible for it.
+    /// No eligible backend was found for its next attempt, or none that could answer in time.
     NoEligibleBackend,
     /// Too little time is left for another attempt.
     InsufficientTime,
-    /// It has had all its attempts.
+    /// It has used up the attempts that a request may have.
     AttemptsExhausted,
-    /// The retry budget is spent.
+    /// The node's retry budget is exhausted.
     RetryBudgetExhausted,
 }
 
-/// What the balancer wants done, in this order.
+/// An action that the embedding process has to carry out. Actions are carried out in the order in
+/// which the balancer returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Start an attempt: forward the request to a backend. A request's attempts are numbered from 0
+    /// in the order of these actions.
     StartAttempt {
-        /// The request.
+        /// The request to be forwarded.
         request: RequestId,
-        /// Where to.
+        /// The backend that receives it.
         backend: BackendId,
-        /// How long it may take; `None`: until the client stops waiting.
+        /// How long the attempt may take; `None` means until the client stops waiting.
         timeout: Option<Duration>,
     },
-    /// Final response: rejected. The request was not executed, or may be repeated harmlessly.
+    /// Send a rejection as the final response. It tells the client that the request was not
+    /// executed or may be repeated harmlessly.
     Reject {
-        /// The request.
+        /// The request to be rejected.
         request: RequestId,
-        /// When the client should come back.
+        /// After which time the client should retry; `None` if it is not to be told.
         retry_after: Option<Duration>,
-        /// Why.
+        /// Why the request is given up.
         reason: GiveUpReason,
     },
-    /// Final response: failed. The request may have been executed.
+    /// Send a failure as the final response. It tells the client that the request may have been
+    /// executed.
     Fail {
-        /// The request.
+        /// The request that failed.
         request: RequestId,
-        /// Why.
+        /// Why the request is given up.
         reason: GiveUpReason,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: stop waiting for its response.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt serves.
         request: RequestId,
-        /// The attempt, counted from 0.
+        /// Number of the attempt within the request, counted from 0.
         attempt: u32,
     },
     /// Send [`Event::TimerFired`](crate::Event::TimerFired) at a later time.
     SetTimer {
-        /// When.
+        /// When the timer fires.
         at: Time,
-        /// Its id.
+        /// The id to be sent with the event.
         timer: TimerId,
     },
-    /// Ask a backend for its load.
+    /// Send a load probe, which asks a backend for its load.
     SendLoadProbe {
-        /// Which.
+        /// The backend to be asked.
         backend: BackendId,
     },
-    /// Ask discovery for the changes of the endpoint list from now on.
+    /// Ask discovery for the changes of the endpoint list from now on; the answer or its failure is
+    /// reported by [`Event::EndpointList`](crate::Event::EndpointList).
     RefreshEndpointList,
-    /// A line for the node's log.
+    /// Write a line to the node's log.
     Log(String),
 }
--- a/crates/balancer/src/backend.rs
+++ b/crates/balancer/src/backend.rs
@@ -130,7 +130,7 @@
         let has_weight = endpoint.weight.is_finite() && endpoint.weight > 0.0;
         Backend {
             id: endpoint.backend,
-            rank: Random::new(rank_seed ^ u64::from(endpoint.backend.0)).bits(),
+            rank: Random::new(rank_seed ^ u64::from(endpoint.backend.0)).next_u64(),
             zone: endpoint.zone,
             machine_type: endpoint.machine_type,
             cell: endpoint.cell,
--- a/crates/balancer/src/balancer/probes.rs
+++ b/crates/balancer/src/balancer/probes.rs
@@ -108,7 +108,7 @@
                 self.probing.record_latency(result.latency);
                 let report = result.load_report.unwrap_or_default();
                 self.fleet.record_load_report(now, result.backend, &report);
-                let load = load_probing::load_of(result);
+                let load = load_probing::reported_load(result);
                 let backend = self.fleet.backends.get_mut(result.backend);
                 if let (Some(backend), CandidateLoad::InFlight(in_flight)) = (backend, load) {
                     backend.probe.in_flight = Some(in_flight);
@@ -142,7 +142,7 @@
         let backend = match selection {
             Selection::Backend(backend) => Some(backend),
             Selection::TooLate => None,
-            Selection::NoneKnown => self.pick_backend(now, id, WarmingBackends::Included),
+            Selection::NoKnownLoad => self.pick_backend(now, id, WarmingBackends::Included),
         };
         let backend = backend.filter(|_| !is_too_late);
         self.start_attempt(now, id, backend, actions);
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! When discovery is polled for the endpoint list, where changes come only on request.
+//! The times at which discovery is asked for the endpoint list, where changes arrive only on
+//! request.
 
 use crate::actions::Action;
 use crate::events::{Endpoint, EndpointState, ListUpdate};
@@ -9,35 +10,39 @@
 use crate::timers::Timers;
 use std::sync::Arc;
 
-/// Longest wait, in seconds, after a first failed call. Each further failure doubles it.
+/// Longest wait, in seconds, after the first failed call. Each consecutive failure doubles it.
 const MIN_BACKOFF: f64 = 0.25;
-/// Upper bound of the doubled wait, in seconds: two further calls have to fit into the time after
-/// which a change counts as notified.
+/// Upper bound of the doubled wait, in seconds. It is low enough for two further calls within the
+/// time after which a change counts as notified to this node.
 const MAX_BACKOFF: f64 = 2.0;
-/// Longest poll interval, in seconds, of a node that knows active backends.
+/// Upper bound of the poll interval, in seconds, of a node that knows active backends.
 const MAX_POLL_INTERVAL: f64 = 30.0;
-/// Longest poll interval, in seconds, of a node that knows none and so cannot serve.
+/// Upper bound of the poll interval, in seconds, of a node that knows no active backend and so
+/// cannot serve; its longest wait is that of the backoff.
 const MAX_POLL_INTERVAL_WITHOUT_BACKENDS: f64 = POLLS_PER_INTERVAL * MAX_BACKOFF;
-/// Shortest poll interval in seconds.
+/// Lower bound of the poll interval, in seconds.
 const MIN_POLL_INTERVAL: f64 = 1.0;
-/// Calls that fit into one poll interval; the first one after a cached list comes within one part.
+/// Number of calls that fit into one poll interval. The first call after a cached list begins
+/// within one such part of it.
 const POLLS_PER_INTERVAL: f64 = 5.0;
-/// Failures from which the backoff is no longer doubled; keeps its shift in range.
+/// Number of consecutive failures after which the backoff is no longer doubled; keeps the shift
+/// that computes it in range.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Polls discovery after a cached list or a failed call, at random times: all nodes may have
-/// started together.
+/// Schedules calls to discovery after a cached list or a failed call. Their times are random
+/// because all nodes may have started together.
 pub struct EndpointListPoller {
     settings: Arc<Settings>,
+    /// The timer of the next call; `None` if none is scheduled.
     timer: Option<TimerId>,
-    /// When the latest call began.
+    /// When the latest scheduled call began; before the first, when the poller was created.
     called_at: Time,
-    /// Calls that have failed since a list last came.
+    /// Number of calls that have failed since a snapshot or delta last arrived.
     consecutive_failures: u32,
 }
 
 impl EndpointListPoller {
-    /// A poller that has made no call.
+    /// Creates a poller that has made no call and has none scheduled.
     pub fn new(settings: Arc<Settings>, now: Time) -> Self {
         EndpointListPoller {
             settings,
@@ -47,7 +52,8 @@
         }
     }
 
-    /// Sets the time of the next call after an update, if one is needed.
+    /// Schedules the next call after an update if one is needed: after a cached list or a failed
+    /// call, where discovery is polled. Draws one random number if so, and none otherwise.
     pub fn on_update(
         &mut self,
         now: Time,
@@ -74,7 +80,7 @@
         self.timer = Some(timers.start(now, wait, actions));
     }
 
-    /// Calls discovery if this is the poller's timer. Returns whether it is.
+    /// Asks discovery for the endpoint list if this is the poller's timer. Returns whether it is.
     pub fn on_timer(&mut self, now: Time, timer: TimerId, actions: &mut Vec<Action>) -> bool {
         if self.timer != Some(timer) {
             return false;
@@ -85,7 +91,8 @@
         true
     }
 
-    /// Longest wait in seconds for a regular call.
+    /// Returns the longest wait, in seconds, until a regular call. It is shorter if none of
+    /// `endpoints` is active.
     fn max_poll_wait(&self, endpoints: &[Endpoint]) -> f64 {
         let has_active = endpoints
             .iter()
@@ -99,13 +106,14 @@
         limit.as_secs_f64().clamp(MIN_POLL_INTERVAL, max_interval) / POLLS_PER_INTERVAL
     }
 
-    /// Longest wait in seconds after a failed call. Consecutive failures double it, less the time
-    /// that the latest call took: one that was given up as unanswered has been a pause already.
+    /// Returns the longest wait, in seconds, after a failed call. Consecutive failures double it.
+    /// The time that the latest call took is subtracted, down to the shortest backoff: a call that
+    /// was given up as unanswered has already been a pause.
     fn backoff(&self, now: Time) -> f64 {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let max_wait = (MIN_BACKOFF * f64::from(1u32 << doublings)).min(MAX_BACKOFF);
         if self.consecutive_failures == 0 {
-            // A watch that broke after a long time, perhaps: its duration was no pause.
+            // This may be a watch that broke after a long time; its duration was no pause.
             return max_wait;
         }
         (max_wait - (now - self.called_at).as_secs_f64()).max(MIN_BACKOFF)
--- a/crates/balancer/src/endpoint_list_tests.rs
+++ b/crates/balancer/src/endpoint_list_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of when the endpoint list is asked for again.
+//! Tests of the times at which discovery is asked for the endpoint list.
 
 use super::*;
 use crate::test_common::{
@@ -8,6 +8,7 @@
 use crate::{Balancer, Event};
 use std::time::Duration;
 
+/// Settings of a node that polls discovery, with this limit of the poll interval.
 fn polling_settings(poll_interval_limit: Duration) -> Settings {
     let mut settings = settings();
     settings.polled_discovery = true;
@@ -15,7 +16,8 @@
     settings
 }
 
-/// The timer that follows an update, and when it fires.
+/// Handles an update that sets one timer and does nothing else; returns the timer and when it
+/// fires.
 fn timer_after(balancer: &mut Balancer, now: Time, update: Event) -> (TimerId, Time) {
     let actions = handle(balancer, now, update);
     let [Action::SetTimer { at, timer }] = actions[..] else {
@@ -24,7 +26,7 @@
     (timer, at)
 }
 
-/// A call fails; returns when the next one begins.
+/// Handles a failed call and the timer of the next call; returns when that call begins.
 fn fail_call(balancer: &mut Balancer, now: Time) -> Time {
     let (timer, next) = timer_after(balancer, now, endpoint_list(ListUpdate::Failed, vec![]));
     let actions = handle(balancer, next, Event::TimerFired { timer });
@@ -41,10 +43,10 @@
     assert!(send_request(&mut balancer, at(100), 2).is_some());
 }
 
-/// What a broken watch misses counts as notified within seconds, however long the poll interval is.
-/// Only calls that fail consecutively are spread ever wider.
+/// Changes that a broken watch misses count as notified within seconds, however long the poll
+/// interval is, so the watch has to be reopened soon. Only consecutive failures lengthen the wait.
 #[test]
-fn a_watch_that_breaks_is_reopened_at_once() {
+fn a_broken_watch_is_reopened_within_the_first_backoff() {
     for seed in 0..50 {
         let settings = polling_settings(Duration::from_secs(30));
         let mut balancer = Balancer::new(settings, seed, at(0)).expect("valid settings");
@@ -62,22 +64,23 @@
     }
 }
 
-/// What failing calls have missed counts as notified 6 s after discovery had it and could be
-/// reached. A call that was given up as unanswered may have begun just before that, the next may
-/// fail as well, and the one after it has to bring the list: whatever failed before, however long
-/// the poll interval is, and at the first start too.
+/// Changes missed by failing calls count as notified 6 s after discovery had them and could be
+/// reached. At that moment a call may be in flight that will be given up as unanswered, the next
+/// may fail as well, and the one after that has to bring the list. This holds whatever failed
+/// before, however long the poll interval is, and also at the first start.
 #[test]
 fn two_more_calls_fit_in_before_a_change_counts_as_notified() {
-    /// After which the node gives up a call that is not answered.
-    const UNANSWERED: Duration = ms(2500);
-    /// Left for the call that brings the list.
-    const ANSWER: Duration = ms(500);
-    const AT_ONCE: Duration = Duration::ZERO;
+    /// Time after which the node gives up a call that is not answered.
+    const CALL_TIMEOUT: Duration = ms(2500);
+    /// Time that is left for the call that brings the list.
+    const SUCCESSFUL_CALL: Duration = ms(500);
+    /// Duration of a call that fails at once.
+    const NO_TIME: Duration = Duration::ZERO;
     let durations_of_failing_calls = [
-        [AT_ONCE, AT_ONCE],
-        [AT_ONCE, UNANSWERED],
-        [UNANSWERED, AT_ONCE],
-        [UNANSWERED, UNANSWERED],
+        [NO_TIME, NO_TIME],
+        [NO_TIME, CALL_TIMEOUT],
+        [CALL_TIMEOUT, NO_TIME],
+        [CALL_TIMEOUT, CALL_TIMEOUT],
     ];
     for seed in 0..200 {
         for poll_interval in [1, 10, 30, 600].map(Duration::from_secs) {
@@ -93,11 +96,11 @@
                     let reachable_from = now;
                     now = fail_call(&mut balancer, now + first);
                     now = fail_call(&mut balancer, now + second);
-                    let took = now + ANSWER - reachable_from;
+                    let elapsed = now + SUCCESSFUL_CALL - reachable_from;
                     assert!(
-                        took <= ms(6000),
+                        elapsed <= ms(6000),
                         "seed {seed}, {failed_before} failed before, {first:?} and {second:?}: \
-                         {took:?}"
+                         {elapsed:?}"
                     );
                 }
             }
@@ -105,8 +108,8 @@
     }
 }
 
-/// A node that knows no backend cannot serve before its first list. One that knows some keeps to
-/// the poll interval, and its call stays spread out.
+/// A node that knows no active backend cannot serve until it receives a list. A node that knows
+/// some keeps to the poll interval, so that the calls of many nodes stay spread out.
 #[test]
 fn a_node_that_knows_no_active_backend_polls_soon() {
     let longest_wait = |endpoints: &[Endpoint]| {
@@ -131,14 +134,14 @@
 fn calls_of_a_fleet_to_an_unavailable_discovery_are_bounded_and_spread_out() {
     const NODES: u32 = 350;
     const SLOT: Duration = ms(50);
-    /// Slots until the nodes are out of step.
+    /// Slots that pass until the nodes' calls no longer coincide.
     const SETTLING_SLOTS: usize = 100;
     let settings = Settings {
         polled_discovery: true,
         nodes: NODES,
         ..settings()
     };
-    // Within 30 s, with every call refused at once.
+    // 600 slots are 30 s, during which every call fails at once.
     let mut calls_per_slot = [0u32; 600];
     for seed in 0..u64::from(NODES) {
         let mut balancer = Balancer::new(settings.clone(), seed, at(0)).expect("valid settings");
@@ -156,6 +159,9 @@
     let settled = &calls_per_slot[SETTLING_SLOTS..];
     let total: u32 = settled.iter().sum();
     assert!(total <= NODES * 25 * 6 / 5, "{total} calls in 25 s");
-    let most = settled.iter().max().expect("slots");
-    assert!(*most < NODES / 8, "{most} of {NODES} within 50 ms");
+    let max_calls = settled.iter().max().expect("slots");
+    assert!(
+        *max_calls < NODES / 8,
+        "{max_calls} of {NODES} within 50 ms"
+    );
 }
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -17,20 +17,21 @@
 }
 
 ids! {
-    /// One client request at this node; never reused.
+    /// Identifies a client request at this node; never reused.
     RequestId(u64);
-    /// One backend, the same at every restart of its process.
+    /// Identifies a backend; stays the same when its process restarts.
     BackendId(u32);
-    /// Position in [`Settings::classes`](crate::Settings::classes).
+    /// Identifies a request class by its position in
+    /// [`Settings::classes`](crate::Settings::classes).
     ClassId(u8);
-    /// Position in [`Settings::tenants`](crate::Settings::tenants).
+    /// Identifies a tenant by its position in [`Settings::tenants`](crate::Settings::tenants).
     TenantId(u16);
-    /// Position in the deployment's list of zones.
+    /// Identifies a zone by its position in the deployment's list of zones.
     ZoneId(u8);
-    /// Position in the deployment's list of machine types.
+    /// Identifies a machine type by its position in the deployment's list of machine types.
     MachineTypeId(u8);
-    /// A small group of backends that share the idempotency keys they have seen.
+    /// Identifies a cell: a small group of backends that share the idempotency keys they have seen.
     CellId(u16);
-    /// A timer set by the balancer.
+    /// Identifies a timer that the balancer has asked for.
     TimerId(u32);
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,14 +1,15 @@
-//! The balancer makes the decisions of a reverse proxy that spreads requests over backends.
+//! The decisions of a reverse proxy that distributes requests over backends: admission, choice of
+//! backends, retries, load probes and polls of the endpoint list.
 //!
-//! Each node keeps a price per backend, moved by a projected dual step on reported load, and draws
-//! backends from the shares that maximise concave, speed-valued utility minus price. Prices, shares
-//! and speeds are relative to the number n of active backends: with the paper's symbols, price =
-//! φ/n, lambda = λ/n, speed = ζ/n (mean 1) and share = η·n (sum n), so that no constant depends on
-//! the size of the fleet.
+//! Each node keeps a price per backend, moved by a projected dual step on the reported load. It
+//! draws backends at random by their shares, which maximise a concave utility that depends on the
+//! backends' speeds, minus the price. Prices, shares and speeds are relative to the number n of
+//! active backends: with the paper's symbols, price = φ/n, lambda = λ/n, speed = ζ/n (mean 1) and
+//! share = η·n (sum n), so that no constant depends on the size of the fleet.
 //!
-//! The crate does no I/O, reads no clock, starts no threads and keeps no globals: the node feeds
-//! [`Event`]s with its own time and carries out the [`Action`]s. The same settings, seed and events
-//! give the same actions.
+//! The crate does no I/O, reads no clock, starts no threads and has no global state: the node
+//! passes [`Event`]s with its own time to [`Balancer::handle`] and carries out the [`Action`]s that
+//! it returns. The same settings, seed and events give the same actions.
 //!
 //! ```
 //! use balancer::*;
--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -1,4 +1,5 @@
-//! Load probes: where load is reported only to them, a few backends are probed before an attempt.
+//! Load probing: where backends report their load only in answers to load probes, a few candidates
+//! are probed before an attempt, and the attempt goes to the one with the shortest expected wait.
 
 use crate::backend::Backend;
 use crate::estimators::ExponentialMean;
@@ -11,54 +12,60 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Backends that are probed for one request.
+/// Most candidates that are drawn, and probed if necessary, for one attempt.
 pub const CANDIDATES_PER_REQUEST: usize = 5;
 
-/// Ratio of the estimated wait to the longest actual one; corrects estimates that are too short.
+/// Ratio of the estimated wait at a backend to the longest actual one. Estimates are divided by it
+/// because the actual wait can be longer.
 const WAIT_ESTIMATE_RATIO: f64 = 0.85;
-/// Age, in typical latencies, below which the answer to a load probe, corrected by this node's own
-/// attempts since, is used without another probe.
-const RECENT_ANSWER_LATENCIES: f64 = 0.3;
-/// Time for which an answer is awaited, in typical latencies of load probes.
-const TIMEOUT_PROBE_LATENCIES: f64 = 4.0;
-/// Latency of a load probe to begin with, in seconds.
+/// Age, in typical latencies of responses, below which the answer to a load probe, corrected by
+/// this node's own attempts since, is used instead of another probe.
+const MAX_ANSWER_AGE_LATENCIES: f64 = 0.3;
+/// Time for which the answer to a load probe is awaited, in typical latencies of load probes.
+const PROBE_TIMEOUT_LATENCIES: f64 = 4.0;
+/// Typical latency of load probes that is assumed before the first answer, in seconds.
 const INITIAL_PROBE_LATENCY: f64 = 0.003;
-/// Weight of a load probe in their typical latency.
+/// Weight of one load probe in the exponential mean of their latencies.
 const PROBE_LATENCY_GAIN: f64 = 1.0 / 32.0;
 
-/// A request that waits for the answers of its candidates.
+/// A request that waits for its candidates' answers to load probes.
 struct PendingSelection {
+    /// The request that waits.
     request: RequestId,
-    /// Ends the wait.
+    /// The timer that ends the wait with whatever answers have arrived by then.
     timer: TimerId,
 }
 
-/// What a candidate's load says of the request's chances.
+/// The outcome of choosing a backend among a request's candidates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selection {
-    /// The best candidate.
+    /// The candidate with the shortest expected wait, where the request can be in time.
     Backend(BackendId),
-    /// Even the best would answer too late, and take capacity from requests that can be in time.
+    /// Even at the best candidate the response would be too late, and the request would take
+    /// capacity from others that can be in time.
     TooLate,
-    /// No candidate has reported its load.
-    NoneKnown,
+    /// The load of no active candidate is known.
+    NoKnownLoad,
 }
 
-/// How long a request would wait at a candidate.
+/// How long a request is expected to wait at a candidate before it is served.
 struct ExpectedWait {
+    /// The candidate.
     backend: BackendId,
+    /// The expected wait in seconds, the connection included, the request's own work not.
     seconds: f64,
 }
 
-/// Load probes in flight, and the requests that wait for them.
+/// The typical latency of load probes, and the requests that wait for their answers.
 pub struct LoadProbing {
     /// Typical latency of a load probe, in seconds.
     probe_latency: ExponentialMean,
+    /// The requests that wait for answers, the earliest first.
     pending: Vec<PendingSelection>,
 }
 
 impl LoadProbing {
-    /// No probes yet.
+    /// Creates the state before the first load probe; no request waits.
     pub fn new() -> Self {
         LoadProbing {
             probe_latency: ExponentialMean::new(INITIAL_PROBE_LATENCY, PROBE_LATENCY_GAIN),
@@ -66,22 +73,22 @@
         }
     }
 
-    /// Seconds for which an answer is awaited.
+    /// Returns how long the answer to a load probe is awaited, in seconds.
     pub fn timeout(&self) -> f64 {
-        TIMEOUT_PROBE_LATENCIES * self.probe_latency.value()
+        PROBE_TIMEOUT_LATENCIES * self.probe_latency.value()
     }
 
-    /// Takes in how long a load probe took.
+    /// Records how long a successful load probe took.
     pub fn record_latency(&mut self, latency: Duration) {
         self.probe_latency.record(latency.as_secs_f64());
     }
 
-    /// The request waits for its candidates until the timer fires.
+    /// Adds a request that waits for its candidates' answers until `timer` fires.
     pub fn await_candidates(&mut self, request: RequestId, timer: TimerId) {
         self.pending.push(PendingSelection { request, timer });
     }
 
-    /// The request whose wait this timer ends.
+    /// Returns the request whose wait this timer ends, or `None` if no waiting request has it.
     pub fn request_of_timer(&self, timer: TimerId) -> Option<RequestId> {
         self.pending
             .iter()
@@ -89,33 +96,35 @@
             .map(|selection| selection.request)
     }
 
-    /// Number of requests that wait.
+    /// Returns the number of requests that wait for answers.
     pub fn waiting_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// The request at this position among those that wait, the earliest first.
+    /// Returns the request at a position, counted from 0, among those that wait, the earliest
+    /// first; `None` beyond the last.
     pub fn waiting_request(&self, position: usize) -> Option<RequestId> {
         self.pending
             .get(position)
             .map(|selection| selection.request)
     }
 
-    /// The request waits no longer.
+    /// Removes a request from those that wait, if it is one of them.
     pub fn remove(&mut self, request: RequestId) {
         self.pending
             .retain(|selection| selection.request != request);
     }
 }
 
-/// Whether backends are probed before an attempt.
+/// Whether candidates are probed before an attempt: load is reported only in answers to load
+/// probes, and these are allowed.
 pub fn is_enabled(settings: &Settings) -> bool {
     settings.load_reporting == LoadReporting::OnProbe && settings.load_probes_allowed
 }
 
-/// Makes a backend a candidate of a request. Returns whether a load probe is to be sent: not where
-/// the load was reported a moment ago or a probe is in flight already. `timeout` and `typical_latency`
-/// are in seconds.
+/// Makes a backend a candidate of a request and returns whether a load probe has to be sent to it:
+/// not if it answered one a moment ago or one is already in flight. `timeout`, after which a probe
+/// no longer counts as in flight, and `typical_latency`, that of a response, are in seconds.
 pub fn add_candidate(
     now: Time,
     request: &mut Request,
@@ -123,27 +132,29 @@
     timeout: f64,
     typical_latency: f64,
 ) -> bool {
-    let max_age = RECENT_ANSWER_LATENCIES * typical_latency;
-    let known = backend.probe.recent_in_flight(now, max_age);
+    let max_age = MAX_ANSWER_AGE_LATENCIES * typical_latency;
+    let recent_in_flight = backend.probe.recent_in_flight(now, max_age);
     request.candidates.push(Candidate {
         backend: backend.id,
-        load: known.map_or(CandidateLoad::Pending, CandidateLoad::InFlight),
+        load: recent_in_flight.map_or(CandidateLoad::Pending, CandidateLoad::InFlight),
     });
-    let needs_probe = known.is_none() && !backend.probe.is_awaited(now, timeout);
+    let needs_probe = recent_in_flight.is_none() && !backend.probe.is_awaited(now, timeout);
     if needs_probe {
         backend.probe.sent_at = Some(now);
     }
     needs_probe
 }
 
-/// The load reported in the answer to a load probe.
-pub fn load_of(result: &LoadProbeResult) -> CandidateLoad {
+/// Returns the load that the answer to a load probe reports: the requests in flight or, without
+/// these, the utilization. `Unknown` if neither is reported or the value is not usable.
+pub fn reported_load(result: &LoadProbeResult) -> CandidateLoad {
     let report = result.load_report.unwrap_or_default();
     usable(report.in_flight.or(report.utilization))
         .map_or(CandidateLoad::Unknown, CandidateLoad::InFlight)
 }
 
-/// The best of the candidates whose load is known: the one with the shortest expected wait.
+/// Selects, among the active candidates whose load is known, the one with the shortest expected
+/// wait, and checks that the request can be in time there.
 pub fn select(
     now: Time,
     settings: &Settings,
@@ -153,15 +164,15 @@
 ) -> Selection {
     let mean_work = fleet.mean_work.seconds();
     let expected_wait = |candidate: &Candidate| {
-        let CandidateLoad::InFlight(reported) = candidate.load else {
+        let CandidateLoad::InFlight(answered_in_flight) = candidate.load else {
             return None;
         };
         let backend = fleet.backends.get(candidate.backend)?;
         if !backend.is_active() {
             return None;
         }
-        // Other requests of this node may have gone there since.
-        let in_flight = backend.probe.in_flight.unwrap_or(reported);
+        // This node may have sent other requests there since the answer.
+        let in_flight = backend.probe.in_flight.unwrap_or(answered_in_flight);
         Some(ExpectedWait {
             backend: backend.id,
             seconds: in_flight * mean_work + fleet.expected_connect_wait(now, backend),
@@ -172,7 +183,7 @@
         .filter_map(expected_wait)
         .min_by(|one, other| one.seconds.total_cmp(&other.seconds));
     let Some(best) = best else {
-        return Selection::NoneKnown;
+        return Selection::NoKnownLoad;
     };
     let work = request.work.unwrap_or(mean_work);
     let objective = settings.class(request.class).objective_seconds(Some(work));
--- a/crates/balancer/src/load_probing_tests.rs
+++ b/crates/balancer/src/load_probing_tests.rs
@@ -1,14 +1,16 @@
-//! Tests of the choice of a backend by load probes.
+//! Tests of load probing: which backends are probed, and which candidate receives the attempt.
 
 use super::*;
 use crate::test_common::{at, endpoint_snapshot, handle, load_report, ms, request, settings};
 use crate::test_support::{attempted_backend, is_rejection};
 use crate::{Action, AttemptOutcome, Balancer, Event, LoadReport, RequestArrival, Time};
 
-/// A class whose requests are not idempotent.
+/// Position of the class whose requests are not idempotent.
 const CLASS: u8 = 1;
+/// Work of a request that can be in time at a backend with little load.
 const WORK: Duration = ms(100);
 
+/// A balancer with this many active backends, which report load only to load probes.
 fn probing_balancer(backends: u32) -> Balancer {
     let settings = Settings {
         load_reporting: LoadReporting::OnProbe,
@@ -21,6 +23,7 @@
     balancer
 }
 
+/// Handles the arrival of a request with this work, whose client waits for 900 ms.
 fn arrive(balancer: &mut Balancer, now: Time, id: u64, work: Duration) -> Vec<Action> {
     let arrival = RequestArrival {
         remaining: ms(900),
@@ -30,6 +33,7 @@
     handle(balancer, now, Event::RequestArrived(arrival))
 }
 
+/// Returns the backends to which load probes are sent.
 fn probed_backends(actions: &[Action]) -> Vec<BackendId> {
     let probed = actions.iter().filter_map(|action| match action {
         Action::SendLoadProbe { backend } => Some(*backend),
@@ -38,6 +42,7 @@
     probed.collect()
 }
 
+/// A load report of utilization and requests in flight.
 fn report_with(utilization: f64, in_flight: f64) -> LoadReport {
     LoadReport {
         in_flight: Some(in_flight),
@@ -45,6 +50,7 @@
     }
 }
 
+/// Handles a successful answer to a load probe, at 2 ms.
 fn answer_probe(balancer: &mut Balancer, backend: BackendId, report: LoadReport) -> Vec<Action> {
     let result = LoadProbeResult {
         backend,
@@ -55,7 +61,8 @@
     handle(balancer, at(2), Event::LoadProbeEnded(result))
 }
 
-/// Sends one request, answers its load probes, and returns the backends probed and what follows.
+/// Sends one request, answers each of its load probes with the requests in flight that `in_flight`
+/// gives for its position, and returns the probed backends and the actions that follow.
 fn probe_all(in_flight: impl Fn(usize) -> f64) -> (Vec<BackendId>, Vec<Action>) {
     let mut balancer = probing_balancer(8);
     let probed = probed_backends(&arrive(&mut balancer, at(1), 1, WORK));
@@ -69,7 +76,7 @@
 }
 
 #[test]
-fn the_idlest_candidate_is_chosen_and_hopeless_requests_are_rejected() {
+fn the_least_loaded_candidate_is_chosen_and_late_requests_are_rejected() {
     let (probed, actions) = probe_all(|position| if position == 3 { 0.0 } else { 2.0 });
     assert!(
         matches!(actions[..], [Action::StartAttempt { backend, .. }] if backend == probed[3]),
@@ -79,10 +86,11 @@
     assert!(is_rejection(&actions), "{actions:?}");
 }
 
-/// An estimated wait is an average, and a response that is late by a little is worth nothing. A
-/// request's own work is no such estimate: at an idle backend a heavy one can be in time.
+/// An estimated wait is an average: the actual one may be longer, and a response that is only a
+/// little late earns nothing, so the estimate is extended. A request's own work is not an estimate:
+/// at an idle backend a heavy request can be in time.
 #[test]
-fn estimated_waits_count_for_more_than_own_work() {
+fn estimated_waits_are_extended_but_own_work_is_not() {
     let objective = settings().classes[usize::from(CLASS)].latency_objective;
     let is_sent = |work: Duration, in_flight: f64| {
         let mut balancer = probing_balancer(3);
@@ -104,15 +112,19 @@
     assert!(!is_sent(objective / 10, 8.5));
 }
 
-/// What the node itself has sent since an answer is not in it and must be counted in, or all
-/// requests of a moment would go to one backend.
+/// An answer does not include the attempts that this node has started since. Unless they are added
+/// to it, all requests of the same moment go to one backend.
 #[test]
 fn backends_that_answered_recently_are_not_probed_again() {
     let mut balancer = probing_balancer(3);
     let first = arrive(&mut balancer, at(1), 1, WORK);
     assert_eq!(probed_backends(&first).len(), 3);
     let second = arrive(&mut balancer, at(1), 2, WORK);
-    assert_eq!(probed_backends(&second).len(), 0, "probed already");
+    assert_eq!(
+        probed_backends(&second).len(),
+        0,
+        "probes are in flight already"
+    );
     let mut actions = vec![];
     for backend in 0..3 {
         let report = report_with(0.1, 0.0);
@@ -123,5 +135,5 @@
     used.sort();
     assert_eq!(used, [0, 1, 2].map(BackendId), "{actions:?}");
     let late = arrive(&mut balancer, at(3000), 4, WORK);
-    assert_eq!(probed_backends(&late).len(), 3, "answered too long ago");
+    assert_eq!(probed_backends(&late).len(), 3, "the answers are too old");
 }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,44 +1,45 @@
-//! What a balancer is configured with, and the check of it.
+//! The settings of a balancer: request classes, tenants, properties of the deployment, and limits
+//! of the protocol. [`Settings::check`] validates them.
 
 use crate::ids::{ClassId, MachineTypeId, ZoneId};
 use std::time::Duration;
 
-/// Smallest latency objective and deadline, in seconds.
-const SHORTEST_DURATION: f64 = 1e-9;
-/// Classes that [`ClassId`] can name.
+/// Lower bound of latency objectives and deadlines, in seconds.
+const MIN_DURATION: f64 = 1e-9;
+/// Largest number of classes that [`ClassId`] can identify.
 const MAX_CLASSES: usize = 256;
 
-/// Which backends deduplicate requests with the same idempotency key.
+/// The set of backends among which requests with the same idempotency key are deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every backend.
+    /// All backends together.
     All,
-    /// The backends of one zone.
+    /// The backends of the same zone.
     Zone,
-    /// The backends of one cell.
+    /// The backends of the same cell.
     Cell,
 }
 
-/// How far the requests of a class may be repeated.
+/// Whether the requests of a class may be executed more than once, and under which conditions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// A request may be executed any number of times.
     Idempotent,
-    /// With an idempotency key: within the scope, for `window` after the first attempt that may
-    /// have been executed.
+    /// Requests carry an idempotency key. A request may be repeated at the backends in `scope` for
+    /// `window` after the start of the first attempt that may have been executed.
     Keyed {
-        /// Where repeats are deduplicated.
+        /// The backends among which repeats are deduplicated, seen from the first such attempt.
         scope: KeyScope,
-        /// For how long a key is remembered.
+        /// How long a key is remembered.
         window: Duration,
     },
-    /// Only once every earlier attempt is known not to have been executed.
+    /// A request may be repeated only if every earlier attempt is known not to have been executed.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// How long after the first attempt that may have been executed a request may be repeated,
-    /// where that is limited.
+    /// Returns how long after the first attempt that may have been executed a request may be
+    /// repeated, or `None` if no such time limit applies.
     pub fn window(self) -> Option<Duration> {
         match self {
             Idempotency::Keyed { window, .. } => Some(window),
@@ -47,135 +48,142 @@
     }
 }
 
-/// One class of requests.
+/// A class of requests with common objectives, weights and placement.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// How far its requests may be repeated.
+    /// Whether and where its requests may be repeated.
     pub idempotency: Idempotency,
-    /// A response within this time earns the full priority weight.
+    /// A response within this time, counted from the arrival of the whole request, earns the full
+    /// priority weight.
     pub latency_objective: Duration,
-    /// The objective grows by this many times the request's own work.
+    /// The objective is extended by this multiple of the request's own work; at least 0.
     pub objective_work_factor: f64,
-    /// How long clients wait in all.
+    /// How long clients of this class wait for a response in all.
     pub deadline: Duration,
-    /// Value of a response within the objective.
+    /// Value of a response within the objective, relative to other classes; at least 0.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that a response after the objective earns.
+    /// Fraction of the priority weight that a response after the objective earns; at least 0.
     pub late_weight: f64,
-    /// Responses are streamed.
+    /// Whether responses are streamed, so that work does not predict when a response starts.
     pub streaming: bool,
-    /// The only zones whose backends may serve it; `None`: any. An empty list allows none.
+    /// The zones whose backends may serve this class; `None` allows all, an empty list none.
     pub allowed_zones: Option<Vec<ZoneId>>,
-    /// The only machine types that may serve it; `None`: any. An empty list allows none.
+    /// The machine types that may serve this class; `None` allows all, an empty list none.
     pub allowed_machine_types: Option<Vec<MachineTypeId>>,
 }
 
-/// One customer whose traffic is held against a quota.
+/// A customer whose traffic is measured against a quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second over all nodes that count with their full weight.
+    /// Requests per second, over all nodes, that count with their full priority weight; at least 0.
     pub quota_per_second: f64,
 }
 
-/// How load reports reach the node.
+/// How backends' load reports reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReporting {
-    /// With every response.
+    /// They come with every response.
     WithResponses,
-    /// Only in answers to load probes.
+    /// They come only in answers to load probes.
     OnProbe,
-    /// Never.
+    /// Backends never report their load.
     Absent,
 }
 
-/// Limits of the protocol that the balancer must respect.
+/// Limits that the protocol between nodes, backends and discovery sets for the balancer.
 #[derive(Clone, Debug)]
 pub struct ProtocolLimits {
-    /// No attempt starts at a backend later than this after the node was notified of its drain.
+    /// Time after which no attempt may start at a backend, counted from the moment at which the
+    /// node was notified of the backend's drain.
     pub drain_grace: Duration,
-    /// Fraction of its capacity that a backend has when it starts, or more.
+    /// Fraction of its full capacity, from 0 to 1, that a backend has at least when it starts.
     pub slow_start_initial_capacity: f64,
-    /// A backend has its full capacity this long after its start, at the latest.
+    /// Longest time from a backend's start until it has its full capacity.
     pub slow_start_duration: Duration,
-    /// Multiple of its present capacity above which a warming backend is overloaded.
+    /// Multiple of its current capacity above which a backend that is warming up is overloaded.
     pub overload_multiple: f64,
-    /// A warming backend that is overloaded for this long fails.
+    /// A backend that is warming up fails when it is overloaded for this long; zero if there is no
+    /// such limit.
     pub overload_duration: Duration,
-    /// A node without an open watch counts as notified this long after a change was listed.
+    /// Time after which a change of the endpoint list counts as notified to a node without an open
+    /// watch.
     pub poll_interval_limit: Duration,
 }
 
-/// All that a balancer is configured with.
+/// The complete configuration of a balancer.
 #[derive(Clone, Debug)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "each is an independent property of the deployment"
 )]
 pub struct Settings {
-    /// Nodes of the fleet, this one included.
+    /// Number of nodes that share the traffic, including this one; at least 1.
     pub nodes: u32,
-    /// This node's zone.
+    /// The zone that this node runs in; below `zones`.
     pub zone: ZoneId,
-    /// Number of zones.
+    /// Number of zones of the deployment.
     pub zones: u8,
-    /// Request classes.
+    /// The request classes, from 1 to 256, in the order of their ids.
     pub classes: Vec<RequestClass>,
-    /// Tenants; may be empty.
+    /// The tenants, in the order of their ids; empty if no quotas apply.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request beyond its tenant's quota, as a fraction of its priority weight.
+    /// Weight of a request beyond its tenant's quota, as a fraction of its priority weight; at
+    /// least 0.
     pub over_quota_weight: f64,
-    /// Priority weights count per unit of work rather than per request.
+    /// Whether priority weights count per unit of work rather than per request.
     pub weight_per_work: bool,
-    /// The endpoint list gives weights that mean something.
+    /// Whether the weights in the endpoint list give the backends' relative sizes. Otherwise they
+    /// are not used.
     pub endpoint_weights_given: bool,
-    /// How load reports arrive.
+    /// How backends' load reports reach the node, if at all.
     pub load_reporting: LoadReporting,
-    /// Load reports carry both utilization and throughput, which together tell capacity.
+    /// Whether load reports contain both utilization and throughput, from which a backend's
+    /// capacity follows.
     pub throughput_reported: bool,
-    /// Changes of the endpoint list come only when polled.
+    /// Whether changes of the endpoint list arrive only when discovery is polled.
     pub polled_discovery: bool,
-    /// Attempts allowed per request.
+    /// Largest number of attempts per request, the first included; at least 1.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
-    /// Load probes may be sent.
+    /// Whether load probes may be sent.
     pub load_probes_allowed: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// A connection is closed after this time without a request.
+    /// Time without a request after which a connection to a backend is closed.
     pub idle_timeout: Duration,
-    /// A connection that is not established by then counts as
+    /// Time after which a connection that is not established counts as
     /// [`AttemptOutcome::ConnectFailed`](crate::AttemptOutcome::ConnectFailed).
     pub connect_timeout: Duration,
-    /// Longest Retry-After that rejected clients follow; `None` where it is not passed on.
+    /// Longest Retry-After that rejected clients comply with; `None` if clients are sent none.
     pub max_retry_after: Option<Duration>,
-    /// Limits of the protocol.
+    /// Limits that the protocol sets for the balancer.
     pub protocol_limits: ProtocolLimits,
 }
 
-/// Why settings were rejected.
+/// An error that makes settings unusable.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// No classes, or more than ids can name.
-    #[error("classes: between 1 and 256 are needed, {count} given")]
+    /// There are no classes, or more than ids can identify.
+    #[error("classes: {count} given, between 1 and 256 allowed")]
     ClassCount {
-        /// Number of classes given.
+        /// Number of classes in the settings.
         count: usize,
     },
-    /// A number that is not finite or out of its range.
+    /// A number is not finite or is out of its range.
     #[error("{setting}: {value} is not usable here")]
     OutOfRange {
-        /// Name of the setting.
+        /// Path of the field in [`Settings`], without the positions of list entries.
         setting: &'static str,
-        /// The value given.
+        /// The rejected value, durations in seconds.
         value: f64,
     },
-    /// The node's zone is not among the zones.
+    /// The node's zone is not below the number of zones.
     #[error("zone: {zone} is not among the {zones} zones")]
     UnknownZone {
-        /// The node's zone.
+        /// The rejected position of the node's zone.
         zone: u8,
-        /// Number of zones.
+        /// Number of zones of the deployment.
         zones: u8,
     },
 }
@@ -185,7 +193,8 @@
     ///
     /// # Errors
     ///
-    /// Names the first setting that is out of its range.
+    /// Returns the error of the first setting that fails its check: a wrong number of classes, a
+    /// number out of its range, or an unknown zone.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() || self.classes.len() > MAX_CLASSES {
             return Err(SettingsError::ClassCount {
@@ -228,17 +237,22 @@
         Ok(())
     }
 
-    /// A class by its id.
+    /// Returns the class with this id.
+    ///
+    /// # Panics
+    ///
+    /// If the id is not below the number of classes.
     pub(crate) fn class(&self, class: ClassId) -> &RequestClass {
         &self.classes[usize::from(class.0)]
     }
 
-    /// Whether neither load probes nor measured capacity tell how much more the backends can take.
+    /// Whether neither load probes nor measured capacity show how much more load the backends can
+    /// take.
     pub(crate) fn is_capacity_unknown(&self) -> bool {
         !self.throughput_reported && self.load_reporting != LoadReporting::OnProbe
     }
 
-    /// The shortest latency objective of any class, in seconds.
+    /// Returns the shortest latency objective of all classes, in seconds.
     pub(crate) fn shortest_latency_objective(&self) -> f64 {
         self.classes
             .iter()
@@ -248,22 +262,24 @@
 }
 
 impl RequestClass {
-    /// Seconds in which a response earns the full priority weight, given the request's own work in
-    /// seconds.
+    /// Returns the latency objective in seconds, including the extension by the request's own
+    /// `work` in seconds; `None` extends it by nothing.
     pub(crate) fn objective_seconds(&self, work: Option<f64>) -> f64 {
         self.latency_objective.as_secs_f64() + self.objective_work_factor * work.unwrap_or(0.0)
     }
 
+    /// Checks the class's objective, deadline and weights; returns the error of the first that is
+    /// out of its range.
     fn check(&self) -> Result<(), SettingsError> {
         let objective = self.latency_objective.as_secs_f64();
         check_range(
             "classes.latency_objective",
             objective,
-            SHORTEST_DURATION,
+            MIN_DURATION,
             f64::MAX,
         )?;
         let deadline = self.deadline.as_secs_f64();
-        check_range("classes.deadline", deadline, SHORTEST_DURATION, f64::MAX)?;
+        check_range("classes.deadline", deadline, MIN_DURATION, f64::MAX)?;
         check_range(
             "classes.priority_weight",
             self.priority_weight,
@@ -280,13 +296,10 @@
     }
 }
 
-fn check_range(
-    setting: &'static str,
-    value: f64,
-    least: f64,
-    most: f64,
-) -> Result<(), SettingsError> {
-    if value.is_finite() && value >= least && value <= most {
+/// Checks that a value is finite and within `min` and `max`, both inclusive; otherwise returns an
+/// error with the name of the setting.
+fn check_range(setting: &'static str, value: f64, min: f64, max: f64) -> Result<(), SettingsError> {
+    if value.is_finite() && value >= min && value <= max {
         Ok(())
     } else {
         Err(SettingsError::OutOfRange { setting, value })
--- a/crates/balancer/src/settings_tests.rs
+++ b/crates/balancer/src/settings_tests.rs
@@ -1,9 +1,10 @@
-//! Tests of the check of settings.
+//! Tests that settings are checked and that errors name the rejected setting.
 
 use super::*;
 use crate::test_common::{at, settings};
 use crate::Balancer;
 
+/// Returns the text of the error for settings with this change; empty if they are accepted.
 fn error_after(change: fn(&mut Settings)) -> String {
     let mut settings = settings();
     change(&mut settings);
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn invalid_settings_are_named() {
+fn errors_name_the_rejected_setting() {
     assert!(error_after(|settings| settings.classes.clear()).contains("classes"));
     assert!(error_after(|settings| settings.zone = ZoneId(9)).contains("zone"));
     assert!(
--- a/crates/balancer/src/test_support.rs
+++ b/crates/balancer/src/test_support.rs
@@ -1,4 +1,4 @@
-//! Balancers for unit tests, and access to their state.
+//! Helpers for unit tests: balancers with given settings, and access to their internal state.
 
 use crate::backend::Backend;
 use crate::estimators::LatencyQuantile;
@@ -12,22 +12,23 @@
 };
 use std::time::Duration;
 
+/// Seed of all balancers that these helpers create.
 const SEED: u64 = 7;
 
-/// A balancer of these settings with as many active backends.
+/// Creates a balancer with these settings and this many active backends, numbered from 0.
 pub fn balancer_with(settings: Settings, backends: u32) -> Balancer {
     let mut balancer = Balancer::new(settings, SEED, at(0)).expect("valid settings");
     handle(&mut balancer, at(0), endpoint_snapshot(backends));
     balancer
 }
 
-/// A balancer with as many active backends.
+/// Creates a balancer with the default test settings and this many active backends.
 pub fn balancer_of(backends: u32) -> Balancer {
     balancer_with(settings(), backends)
 }
 
-/// Load reports of utilization and requests in flight, but of no throughput: the node cannot
-/// measure capacity.
+/// Settings under which load reports contain utilization and requests in flight but no throughput,
+/// so that the node cannot measure capacity.
 pub fn unknown_capacity_settings() -> Settings {
     Settings {
         throughput_reported: false,
@@ -35,7 +36,7 @@
     }
 }
 
-/// No load reports at all.
+/// Settings under which backends never report their load.
 pub fn unreported_load_settings() -> Settings {
     Settings {
         load_reporting: LoadReporting::Absent,
@@ -43,17 +44,17 @@
     }
 }
 
-/// A balancer that cannot measure capacity, with 40 active backends.
+/// Creates a balancer that cannot measure capacity, with 40 active backends.
 pub fn balancer_of_unknown_capacity() -> Balancer {
     balancer_with(unknown_capacity_settings(), 40)
 }
 
-/// A backend's state.
+/// Returns the state of a backend, which must be known.
 pub fn state_of(balancer: &Balancer, id: BackendId) -> &Backend {
     balancer.fleet.backends.get(id).expect("a known backend")
 }
 
-/// A backend's state, to be changed.
+/// Returns the state of a backend, which must be known, for modification.
 pub fn state_of_mut(balancer: &mut Balancer, id: BackendId) -> &mut Backend {
     balancer
         .fleet
@@ -62,7 +63,7 @@
         .expect("a known backend")
 }
 
-/// The active backends in the node's order.
+/// Returns the ids of the active backends in this node's order.
 pub fn active_backends(balancer: &Balancer) -> Vec<BackendId> {
     balancer
         .fleet
@@ -72,12 +73,12 @@
         .collect()
 }
 
-/// The shares of a class in the node's order.
+/// Returns the shares of the active backends in a class, in this node's order.
 pub fn shares(balancer: &Balancer, class: usize) -> &[f64] {
     &balancer.allocation.classes[class].shares
 }
 
-/// The share of a backend in a class.
+/// Returns the share of an active backend in a class.
 pub fn share(balancer: &Balancer, class: usize, backend: BackendId) -> f64 {
     let position = active_backends(balancer)
         .iter()
@@ -86,7 +87,7 @@
     shares(balancer, class)[position]
 }
 
-/// The fraction of the first class's arrivals that is shed.
+/// Returns the fraction of the first class's arrivals that is shed.
 pub fn shed_fraction(balancer: &Balancer) -> f64 {
     balancer.admission.group(ClassId(0)).shed_fraction
 }
@@ -96,12 +97,12 @@
     balancer.admission.group_mut(ClassId(0)).shed_fraction = shed_fraction;
 }
 
-/// Sets the typical latency of a response.
+/// Sets the typical latency of a response, over all backends.
 pub fn set_typical_latency(balancer: &mut Balancer, latency: Duration) {
     balancer.fleet.typical_latency = LatencyQuantile::new(latency.as_secs_f64());
 }
 
-/// Updates the price of a backend.
+/// Applies to a backend's price the steps that are due at `now`.
 pub fn update_price(balancer: &mut Balancer, id: BackendId, now: Time) {
     let fleet = &mut balancer.fleet;
     let typical_latency = fleet.typical_latency.seconds();
@@ -109,18 +110,19 @@
     fleet.pricing.update_price(now, backend, typical_latency);
 }
 
-/// Solves the shares anew.
+/// Solves the shares again at `now`, whether or not that is due.
 pub fn refresh_now(balancer: &mut Balancer, now: Time) {
     balancer.allocation.invalidate();
     balancer.refresh_allocation(now);
 }
 
-/// A backend reports its load.
+/// Records a load report of a backend.
 pub fn record_load_report(balancer: &mut Balancer, now: Time, id: BackendId, report: &LoadReport) {
     balancer.fleet.record_load_report(now, id, report);
 }
 
-/// A backend answers a request of this work and latency, both in seconds.
+/// Records a successful response of a backend with this latency and work, both in seconds; `work`
+/// is `None` if it is not known.
 pub fn record_response(
     balancer: &mut Balancer,
     now: Time,
@@ -131,18 +133,19 @@
     balancer.fleet.record_response(now, id, latency, work);
 }
 
-/// The endpoint list changes.
+/// Handles a delta of the endpoint list with these entries.
 pub fn change_endpoints(balancer: &mut Balancer, now: Time, endpoints: Vec<Endpoint>) {
     handle(balancer, now, endpoint_list(ListUpdate::Delta, endpoints));
 }
 
-/// Sends one request of the first class and returns the backend of its attempt.
+/// Sends one request of the first class and returns the backend of its first attempt, or `None` if
+/// no attempt starts.
 pub fn send_request(balancer: &mut Balancer, now: Time, id: u64) -> Option<BackendId> {
     let actions = handle(balancer, now, request_arrived(id, 0));
     actions.iter().find_map(attempted_backend)
 }
 
-/// The backend at which an action starts an attempt.
+/// Returns the backend at which an action starts an attempt, or `None` for any other action.
 pub fn attempted_backend(action: &Action) -> Option<BackendId> {
     match action {
         Action::StartAttempt { backend, .. } => Some(*backend),
@@ -150,7 +153,8 @@
     }
 }
 
-/// The first attempt of a request ends.
+/// Ends the first attempt of a request after 100 ms, without a load report, and returns the
+/// actions that follow.
 pub fn end_attempt(
     balancer: &mut Balancer,
     now: Time,
@@ -162,7 +166,7 @@
     handle(balancer, now, event)
 }
 
-/// The end of a request's first attempt; only a success carries a load report.
+/// Returns the result of a request's first attempt, with a load report only if it succeeded.
 pub fn attempt_result(request: u64, backend: BackendId, outcome: AttemptOutcome) -> AttemptResult {
     let report = (outcome == AttemptOutcome::Success).then(|| load_report(0.3, 0.0));
     let Event::AttemptEnded(result) = attempt_ended(request, 0, backend, outcome, report) else {
@@ -171,7 +175,7 @@
     result
 }
 
-/// Whether requests are rejected and nothing else.
+/// Whether the actions are one rejection and nothing else.
 pub fn is_rejection(actions: &[Action]) -> bool {
     matches!(actions, [Action::Reject { .. }])
 }
