--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,8 +1,9 @@
-//! Load shedding: which arrivals are admitted when the backends cannot serve all of them.
+//! Load shedding: decides which arriving requests are admitted when the backends cannot serve all
+//! of them.
 //!
-//! Classes that may go to the same backends form a placement group, which sheds as a whole: a
-//! fraction of its arrivals, those of little priority weight first. A tenant's requests weigh the
-//! less the further it exceeds its quota.
+//! Classes with the same allowed zones and machine types form a placement group, which sheds load
+//! as a whole: it rejects a fraction of its arrivals, those of low priority weight first. The
+//! further a tenant exceeds its quota, the lower is the weight of its requests.
 
 use crate::ids::{ClassId, TenantId};
 use crate::numeric::MIN_DIVISOR;
@@ -13,45 +14,57 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Time constant, in seconds, of a tenant's rate.
+/// Time constant, in seconds, of the rate of a tenant's admitted requests.
 const TENANT_WINDOW: f64 = 5.0;
-/// Load above which arrivals are shed, in units of a backend's capacity.
+/// Load of one attempt above which the shed fraction rises and below which it falls, in units of a
+/// backend's capacity.
 const SHEDDING_LOAD: f64 = 1.0;
-/// Load above which arrivals are shed where backends report none, as a fraction of the latency
-/// objective: latency rises late.
+/// Replaces [`SHEDDING_LOAD`] where backends report no load: latency as a fraction of the latency
+/// objective. It is this low because latency rises only once the backends are nearly overloaded.
 const UNREPORTED_SHEDDING_LOAD: f64 = 0.2;
-/// Step of the logarithm of the admitted fraction, per second and unit of excess load.
+/// Decrease of the natural logarithm of the admitted fraction, per second and per unit of load in
+/// excess of the shedding load.
 const SHEDDING_STEP: f64 = 2.0;
-/// Longest time, in seconds, for which one attempt moves the shed fraction.
+/// Upper bound, in seconds, of the time since the previous attempt that one attempt's change of the
+/// shed fraction accounts for.
 const MAX_STEP_TIME: f64 = 0.5;
-/// Largest fraction that is shed; the rest goes on testing whether backends have recovered.
+/// Upper bound of the shed fraction; the requests that are still admitted show whether the backends
+/// have recovered.
 const MAX_SHED_FRACTION: f64 = 0.98;
-/// Time constant, in seconds, with which the shed fraction decays while no attempt moves it.
+/// Time constant, in seconds, with which the shed fraction decays at each update of the thresholds,
+/// so that it also falls while no attempt changes it.
 const RECOVERY_TIME: f64 = 24.0;
-/// Highest multiple of its class's priority weight that a request counts with.
+/// Upper bound of the factor by which a tenant's unused quota raises the priority weight of its
+/// requests above that of their class.
 const MAX_WEIGHT_MULTIPLE: f64 = 8.0;
-/// Recent arrivals whose weights set the thresholds.
+/// Number of latest arrivals of a placement group whose weights determine its thresholds.
 const RECENT_ARRIVALS: usize = 64;
-/// Fraction of what is admitted that goes to all classes alike.
+/// Fraction of the shed probability that is determined class by class, so that this part of the
+/// admitted traffic goes to all classes of a group alike.
 const EVEN_FRACTION: f64 = 2.0 / 3.0;
-/// Shed fraction up to which nothing is shed.
+/// Shed fraction at or below which nothing is shed.
 const MIN_SHED_FRACTION: f64 = 1e-3;
-/// Relative width of the bracket around a threshold at which the search for it ends.
+/// Width of the bracket around a threshold, relative to the bracket's upper end, at which the
+/// bisection ends.
 const THRESHOLD_TOLERANCE: f64 = 1e-3;
 
-/// The priority weight of a recent arrival.
+/// The class and the priority weight of a recent arrival.
 struct ArrivalWeight {
     class: ClassId,
     weight: f64,
 }
 
-/// The classes with the same allowed zones and machine types, and how they shed together.
+/// The shedding state of the classes that have the same allowed zones and machine types and
+/// therefore compete for the same backends.
 pub struct PlacementGroup {
-    /// Fraction of the arrivals that is shed for what attempts met.
+    /// Fraction of the group's arrivals to be shed because of the load that attempts indicated,
+    /// between 0 and [`MAX_SHED_FRACTION`].
     pub shed_fraction: f64,
     shed_fraction_updated_at: Time,
-    /// Priority weight below which arrivals of all classes are shed in part.
+    /// Priority weight up to which an arrival of any class of the group is shed for certain by the
+    /// part of the shed probability that compares weights across classes; 0 if nothing is shed.
     pub shed_threshold: f64,
+    /// The latest arrivals, at most [`RECENT_ARRIVALS`], the oldest first.
     recent_weights: VecDeque<ArrivalWeight>,
 }
 
@@ -85,27 +98,30 @@
     }
 }
 
-/// How one class sheds by itself.
+/// The shedding state of one class.
 struct ClassShedding {
-    /// Its group's position.
+    /// Index of the class's placement group in [`Admission::groups`].
     group: usize,
-    /// Priority weight below which its arrivals are shed in part; it sheds the same fraction of
-    /// each class.
+    /// Priority weight up to which an arrival of the class is shed for certain by the part of the
+    /// shed probability that is determined class by class; 0 if nothing is shed. The thresholds of
+    /// a group's classes each shed the same fraction of their class.
     shed_threshold: f64,
 }
 
-/// Decides which arrivals are admitted.
+/// Decides which arrivals are admitted, by placement group, class, priority weight and tenant
+/// quota.
 pub struct Admission {
     settings: Arc<Settings>,
-    /// In the order of their first classes.
+    /// The placement groups, in the order of the first class of each.
     groups: Vec<PlacementGroup>,
+    /// The shedding state of each class, in the order of the settings.
     classes: Vec<ClassShedding>,
-    /// Admitted requests of each tenant.
+    /// Rate at which this node admits requests of each tenant, in the order of the settings.
     tenants: Vec<Rate>,
 }
 
 impl Admission {
-    /// Everything is admitted to begin with.
+    /// Creates the state in which every arrival is admitted.
     pub fn new(settings: Arc<Settings>, now: Time) -> Self {
         let mut first_classes: Vec<&RequestClass> = Vec::new();
         let mut classes = Vec::with_capacity(settings.classes.len());
@@ -135,24 +151,27 @@
         }
     }
 
-    /// The placement group of a class.
+    /// Returns the placement group of a class.
     pub fn group(&self, class: ClassId) -> &PlacementGroup {
         &self.groups[self.classes[usize::from(class.0)].group]
     }
 
-    /// The placement group of a class, to be changed.
+    /// Returns the placement group of a class, to be changed.
     pub fn group_mut(&mut self, class: ClassId) -> &mut PlacementGroup {
         &mut self.groups[self.classes[usize::from(class.0)].group]
     }
 
-    /// Whether any arrivals are shed.
+    /// Whether any placement group is shedding arrivals.
     pub fn is_shedding(&self) -> bool {
         self.groups.iter().any(|group| group.shed_threshold != 0.0)
     }
 
-    /// Priority weight of an arrival: the less, the more of its quota its tenant uses. Only
-    /// admitted requests count there: clients that are rejected come back, and would be rejected
-    /// the more for it.
+    /// Records an arrival and returns its priority weight: the more of its quota the tenant uses,
+    /// the lower the weight. A tenant that the settings do not list leaves the weight of the class
+    /// as it is.
+    ///
+    /// Only admitted requests count as use of the quota: rejected clients send their requests
+    /// again, and counting these would make further rejections more likely.
     pub fn record_arrival(&mut self, now: Time, class: ClassId, tenant: TenantId) -> f64 {
         let mut weight = self.settings.classes[usize::from(class.0)].priority_weight;
         let tenant = usize::from(tenant.0);
@@ -167,14 +186,15 @@
         weight
     }
 
-    /// Counts an admitted request against its tenant's quota.
+    /// Counts an admitted request as use of its tenant's quota.
     pub fn record_admitted(&mut self, now: Time, tenant: TenantId) {
         if let Some(admitted) = self.tenants.get_mut(usize::from(tenant.0)) {
             admitted.record(now, 1.0);
         }
     }
 
-    /// Each tenant's rate over all nodes, as a fraction of its quota.
+    /// Returns the rate of each tenant's admitted requests as a fraction of its quota, in the order
+    /// of the settings. The rate over all nodes is estimated as this node's times their number.
     pub fn quota_usage(&self, now: Time) -> Vec<f64> {
         let nodes = f64::from(self.settings.nodes);
         self.tenants
@@ -184,9 +204,12 @@
             .collect()
     }
 
-    /// Probability that an arrival of this priority weight is shed. Of what is admitted a part goes
-    /// to all classes alike; the rest is by weight among classes too, which alone would leave a
-    /// class of little weight with hardly anything.
+    /// Returns the probability with which an arrival of this class and priority weight is shed.
+    ///
+    /// [`EVEN_FRACTION`] of it follows the threshold of the class, so that this part of what is
+    /// admitted goes to all classes alike. The rest follows the threshold of the group and thus
+    /// compares weights across classes as well; that alone would leave a class of low weight with
+    /// hardly any admitted requests.
     pub fn shed_probability(&self, class: ClassId, weight: f64) -> f64 {
         let probability = |threshold: f64| (threshold / weight.max(MIN_DIVISOR)).min(1.0);
         let class_threshold = self.classes[usize::from(class.0)].shed_threshold;
@@ -194,8 +217,8 @@
             + (1.0 - EVEN_FRACTION) * probability(self.group(class).shed_threshold)
     }
 
-    /// Moves the shed fraction of a class's group by the load that one attempt met, in units of the
-    /// backend's capacity.
+    /// Raises or lowers the shed fraction of a class's group by the load that one attempt
+    /// indicated, in units of the backend's capacity.
     pub fn update_shed_fraction(&mut self, now: Time, class: ClassId, load: f64) {
         let max_load = if self.settings.load_reporting == LoadReporting::Absent {
             UNREPORTED_SHEDDING_LOAD
@@ -211,8 +234,12 @@
         group.shed_fraction = shed_fraction.clamp(0.0, MAX_SHED_FRACTION);
     }
 
-    /// Sets the thresholds by how much of each class's traffic the shares have room for, and lets the
-    /// shed fractions decay. `elapsed` is in seconds since the last update.
+    /// Lets the shed fraction of each group decay and sets the group's thresholds by that fraction
+    /// or, if it is larger, by the fraction of the group's traffic for which the shares have no
+    /// room.
+    ///
+    /// `elapsed` is the time since the last update in seconds; `placements` has one entry for each
+    /// class, in the order of the settings.
     pub fn update_thresholds(&mut self, elapsed: f64, placements: &[ClassPlacement]) {
         for position in 0..self.groups.len() {
             let (mut unplaced, mut traffic) = (0.0, 0.0);
@@ -230,8 +257,8 @@
         }
     }
 
-    /// Sets a group's thresholds so that they shed this fraction of its recent arrivals: over the
-    /// whole group, and class by class.
+    /// Sets the thresholds of the group at `position` so that they shed this fraction of its recent
+    /// arrivals: one threshold over the whole group, and one for each of its classes.
     fn set_thresholds(&mut self, position: usize, shed_fraction: f64) {
         let group = &mut self.groups[position];
         let threshold = shed_threshold(&group.weights(), shed_fraction);
@@ -250,13 +277,14 @@
         && one.allowed_machine_types == other.allowed_machine_types
 }
 
-/// The threshold at which this fraction of arrivals with these weights is shed, where a weight
-/// below the threshold is shed for certain and one above it with probability threshold / weight.
+/// Returns the threshold at which the given fraction of arrivals with these weights is shed, where
+/// an arrival with a weight below the threshold is shed for certain and one with a weight above it
+/// with probability threshold / weight. The result is 0 if nothing is to be shed.
 fn shed_threshold(weights: &(impl Iterator<Item = f64> + Clone), shed_fraction: f64) -> f64 {
     if shed_fraction <= MIN_SHED_FRACTION {
         return 0.0;
     }
-    let wanted = shed_fraction * weights.clone().count() as f64;
+    let target_shed = shed_fraction * weights.clone().count() as f64;
     let mut low = 0.0;
     let mut high = 2.0 * weights.clone().fold(0.0, f64::max);
     while high - low > THRESHOLD_TOLERANCE * high {
@@ -265,7 +293,7 @@
             .clone()
             .map(|weight| (middle / weight.max(MIN_DIVISOR)).min(1.0))
             .sum();
-        if shed < wanted {
+        if shed < target_shed {
             low = middle;
         } else {
             high = middle;
--- a/crates/balancer/src/admission_tests.rs
+++ b/crates/balancer/src/admission_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of load shedding, priority weights and quotas.
+//! Tests of load shedding, priority weights and tenant quotas.
 
 use super::*;
 use crate::test_common::{at, handle, load_report, ms, request};
@@ -13,8 +13,9 @@
 };
 use std::time::Duration;
 
-/// Sends a request every 20 ms; each attempt ends at once with this outcome, latency and report.
-/// Returns the fraction of arrivals that is shed in the end.
+/// Sends `count` requests, one every 20 ms; each attempt ends at once with the given outcome,
+/// latency and load report. Returns the shed fraction after the last of them. `first_request` is
+/// both the id of the first request and the time of its arrival in milliseconds.
 fn shed_after(
     balancer: &mut Balancer,
     first_request: u64,
@@ -56,8 +57,8 @@
     assert_eq!(admission.shed_probability(class, 0.01), 0.0);
 }
 
-/// What is admitted goes to all classes alike for the most part; over the rest priority weight
-/// decides, and no more is admitted for that.
+/// Most of the admitted traffic goes to all classes alike; priority weight decides about the rest.
+/// The total that is admitted stays the same.
 #[test]
 fn no_class_is_shed_entirely_for_the_others() {
     const CLASS_OF_REQUEST: [u8; 10] = [0, 1, 0, 2, 0, 1, 0, 1, 0, 1];
@@ -81,13 +82,16 @@
                 admitted[usize::from(class)] += 1.0;
             }
         }
-        let of_all = admitted.iter().sum::<f64>() / arrived.iter().sum::<f64>();
+        let overall = admitted.iter().sum::<f64>() / arrived.iter().sum::<f64>();
         let [low, middle, high] = [0, 1, 2].map(|class| admitted[class] / arrived[class]);
         assert!(
-            (of_all - (1.0 - shed_fraction)).abs() < 0.03,
-            "{of_all} at {shed_fraction}"
+            (overall - (1.0 - shed_fraction)).abs() < 0.03,
+            "{overall} at {shed_fraction}"
+        );
+        assert!(
+            low > 0.62 * overall,
+            "{low} of {overall} at {shed_fraction}"
         );
-        assert!(low > 0.62 * of_all, "{low} of {of_all} at {shed_fraction}");
         assert!(
             low < middle && middle < high,
             "weight still decides: {low} {middle} {high}"
@@ -95,8 +99,9 @@
     }
 }
 
-/// Backends slowed by their own load may answer nothing in time and so report nothing. What the
-/// node's own attempts meet sheds arrivals, which stays without news, and lets them in again.
+/// Backends that are slowed by their own load may answer no request in time and so report no load.
+/// Arrivals are then shed by the outcomes of this node's own attempts. The shed fraction hardly
+/// changes while no attempt ends, and falls again once attempts succeed in time.
 #[test]
 fn attempts_that_meet_load_shed_arrivals() {
     let mut balancer = balancer_of_unknown_capacity();
@@ -107,19 +112,22 @@
     };
     assert_eq!(answer_in_time(&mut balancer, 0), 0.0);
     let timed_out = AttemptOutcome::TimedOut;
-    let most = shed_after(&mut balancer, 10_000, 100, timed_out, ms(900), None);
-    assert!(most > 0.6, "{most}");
+    let peak = shed_after(&mut balancer, 10_000, 100, timed_out, ms(900), None);
+    assert!(peak > 0.6, "{peak}");
     refresh_now(&mut balancer, at(13_000));
-    assert!(shed_fraction(&balancer) > 0.8 * most, "no news leaves it");
-    let mut after = most;
+    assert!(
+        shed_fraction(&balancer) > 0.8 * peak,
+        "without further attempts it stays"
+    );
+    let mut after = peak;
     for round in 0..5 {
         after = answer_in_time(&mut balancer, 20_000 + 3000 * round);
     }
     assert!(after < 0.1, "{after}");
 }
 
-/// The fraction that is shed once every response has reported this utilization and queue depth, in
-/// 50 ms.
+/// Returns the shed fraction after 200 responses, each with a latency of 50 ms and a report of this
+/// utilization and queue depth.
 fn shed_with_reports(utilization: f64, queue_depth: f64) -> f64 {
     let mut balancer = balancer_of_unknown_capacity();
     set_typical_latency(&mut balancer, ms(50));
@@ -131,38 +139,39 @@
     shed_after(&mut balancer, 0, 200, success, ms(50), Some(report))
 }
 
-/// What waits counts by the time that it takes.
+/// Waiting requests count towards the load by the time that it takes to serve them.
 #[test]
 fn a_short_queue_at_a_half_idle_backend_sheds_nothing() {
     assert_eq!(shed_with_reports(0.5, 2.0), 0.0);
     assert!(
         shed_with_reports(0.5, 30.0) > 0.5,
-        "a queue as long as the objective is an overload"
+        "a queue that takes longer than the objective is an overload"
     );
 }
 
-/// Arrivals are shed where utilization and waiting together are more than a whole capacity.
+/// Arrivals are shed where utilization and waiting requests together exceed a backend's capacity.
 #[test]
 fn busy_backends_that_answer_in_time_shed_nothing() {
     assert_eq!(shed_with_reports(0.95, 0.0), 0.0);
     let overloaded = shed_with_reports(1.0, 4.0);
     assert!(
         overloaded > 0.3,
-        "saturated and half the objective of waiting: {overloaded}"
+        "full utilization and a queue that takes half the objective: {overloaded}"
     );
 }
 
-/// Where no load is reported a response's latency is all that tells it, and by the time that it
-/// reaches the objective the backends are overloaded. A report that tells of capacity is believed.
+/// Where no load is reported, the latency of responses is the only sign of it, and once latency
+/// reaches the objective the backends are overloaded already. Reports that indicate spare capacity
+/// are believed: beside them a latency below the objective sheds nothing.
 #[test]
 fn without_reports_slow_responses_shed_before_they_reach_the_objective() {
-    let shed = |load_reporting: LoadReporting, objectives: f64| {
+    let shed = |load_reporting: LoadReporting, latency_in_objectives: f64| {
         let settings = Settings {
             load_reporting,
             ..unknown_capacity_settings()
         };
         let objective = settings.classes[0].latency_objective.as_secs_f64();
-        let latency = Duration::from_secs_f64(objective * objectives);
+        let latency = Duration::from_secs_f64(objective * latency_in_objectives);
         let has_reports = load_reporting != LoadReporting::Absent;
         let report = has_reports.then(|| load_report(0.5, 0.0));
         let mut balancer = balancer_with(settings, 40);
@@ -179,10 +188,12 @@
 
 #[test]
 fn rejected_clients_that_come_back_do_not_lower_their_tenants_weight() {
+    /// Remaining time of a request that is admitted.
     const SERVED: Duration = ms(1000);
+    /// Remaining time of a request that is rejected since its deadline has passed.
     const REJECTED: Duration = Duration::ZERO;
-    /// Both tenants are admitted at the same rate; the second comes three times more, and is
-    /// rejected.
+    /// Arrivals of each round. Both tenants are admitted at the same rate; the second sends three
+    /// more requests, which are rejected.
     const ARRIVALS: [(TenantId, Duration); 5] = [
         (TenantId(0), SERVED),
         (TenantId(1), SERVED),
--- a/crates/balancer/src/pricing.rs
+++ b/crates/balancer/src/pricing.rs
@@ -1,12 +1,12 @@
-//! Prices of backends, moved by a projected dual step on the load that backends report:
+//! Updates the prices of backends by a projected dual step on the load that they report:
 //!
 //! ```text
 //! price ← [price − ν · t · (ρ − load)]₊
 //! ```
 //!
 //! where ν is the step size, t the time in seconds for which the latest report is valid, and ρ the
-//! fraction of its capacity that a backend is meant to use. Prices are relative to the number of
-//! active backends, and loads are in units of a backend's capacity.
+//! target load, that is the fraction of its capacity that a backend is meant to use. Prices are
+//! relative to the number of active backends, and loads are in units of a backend's capacity.
 
 use crate::backend::Backend;
 use crate::estimators::{ExponentialMean, InFlightBaseline};
@@ -17,66 +17,77 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Seconds between two steps of a price.
+/// Time between two steps of a price, in seconds.
 pub const PRICE_INTERVAL: f64 = 0.05;
-/// Seconds in which an unreported price drifts to the traffic-weighted one, and a speed to the
-/// mean.
+/// Time constant, in seconds, with which the price of a backend without a valid load report drifts
+/// to the traffic-weighted price, and the speed of a backend without recent samples to the mean.
 pub const DRIFT_TIME: f64 = 6.0;
-/// Load beyond its capacity that is assumed of a saturated backend, in units of that capacity.
+/// Load in excess of its capacity that a saturated backend is assumed to have, in units of that
+/// capacity.
 pub const EXCESS_LOAD: f64 = 0.5;
-/// Multiple of the typical latency after which an unanswered attempt counts as overload.
+/// Multiple of the typical latency after which an attempt without a response counts as a sign of
+/// overload.
 pub const OVERDUE_LATENCY_MULTIPLE: f64 = 2.5;
-/// Lowest utilization at which a report indicates a backend's capacity.
+/// Utilization above which a load report indicates a backend's capacity.
 pub const MIN_INFORMATIVE_UTILIZATION: f64 = 0.05;
 
-/// Change of a price per second and unit of excess load: the step size ν.
+/// Step size (ν): change of a price per second and per unit of load above the target load.
 const STEP_SIZE: f64 = 0.15;
-/// Fraction of its capacity that a backend is meant to use (ρ); less in an idle fleet.
+/// Target load (ρ): fraction of its capacity that a backend is meant to use. In a fleet whose mean
+/// load is lower, that is the target.
 const TARGET_LOAD: f64 = 0.7;
 /// Upper bound of every load, in units of a backend's capacity.
 const MAX_LOAD: f64 = 4.0;
-/// Highest price above the traffic-weighted one, so that no backend is avoided for long.
-const MAX_PRICE_ABOVE_TRAFFIC: f64 = 1.0;
-/// Price of a failure at a backend all of whose latest responses failed.
+/// Largest amount by which a price may exceed the traffic-weighted price. The bound keeps backends
+/// from being avoided for long.
+const MAX_PRICE_EXCESS: f64 = 1.0;
+/// Amount by which a failure raises the price of a backend all of whose latest responses failed; it
+/// raises the price by less in proportion where only a fraction of them failed.
 const FAILURE_PRICE: f64 = 0.5;
-/// Number of latest responses over which the fraction of failures is measured.
+/// Number of latest responses over which a backend's fraction of failures is averaged.
 const FAILURE_SAMPLES: f64 = 16.0;
-/// Fraction of failures from which a backend's load reports are set aside.
+/// Fraction of failures from which a failure replaces the load that the backend has reported: by an
+/// overload or, if it does not indicate one, by none.
 const FAILING_FRACTION: f64 = 0.5;
-/// Utilization above which a report gives only a lower bound of the load.
+/// Utilization above which a backend counts as saturated: its load report then gives only a lower
+/// bound of the load.
 const SATURATED_UTILIZATION: f64 = 0.85;
-/// Seconds for which a report is valid, where reports are frequent.
+/// Shortest time, in seconds, for which a load report is valid; applies where reports are frequent.
 const MIN_REPORT_LIFETIME: f64 = 0.5;
-/// Seconds for which a report is valid, where reports are rare.
+/// Longest time, in seconds, for which a load report is valid; applies where reports are rare.
 const MAX_REPORT_LIFETIME: f64 = 4.0;
-/// Weight of a sample in the lifetime of reports.
+/// Weight of each new sample in the mean that gives the lifetime of load reports.
 const REPORT_LIFETIME_GAIN: f64 = 1.0 / 64.0;
 
-/// What a failure did to a backend's price.
+/// The effect of a failure on a backend's price.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PriceChange {
-    /// None.
+    /// The failure did not change the price.
     Unchanged,
-    /// The price rose, unless it was at its maximum.
+    /// The failure raised the price, unless that was at its upper bound already.
     Raised,
 }
 
-/// The fleet's prices as a whole, and how reports move those of single backends.
+/// The mean price and load of the fleet, and the rules by which load reports and failures change
+/// the prices of single backends.
 pub struct Pricing {
     settings: Arc<Settings>,
     /// Mean price of the active backends.
     pub mean_price: f64,
-    /// Mean price that this node's traffic pays.
+    /// Mean price of the backends weighted by this node's traffic to them.
     pub traffic_weighted_price: f64,
-    /// Mean load of the active backends that report.
+    /// Mean load of the active backends that report it, where old reports count less; 0 while there
+    /// is no report that counts.
     pub mean_load: f64,
-    /// Seconds for which a report moves a price.
+    /// Seconds for which a load report moves a price: the mean time between the reports of a
+    /// backend where capacity is unknown, otherwise [`MIN_REPORT_LIFETIME`].
     report_lifetime: ExponentialMean,
+    /// What reports of backends that are neither idle nor saturated say on requests in flight.
     in_flight_baseline: InFlightBaseline,
 }
 
 impl Pricing {
-    /// Prices of an idle fleet.
+    /// Creates the pricing of an idle fleet: all prices and loads are 0.
     pub fn new(settings: Arc<Settings>) -> Self {
         Pricing {
             settings,
@@ -88,14 +99,14 @@
         }
     }
 
-    /// Seconds for which a report moves a price.
+    /// Returns the seconds for which a load report moves a price.
     pub fn report_lifetime(&self) -> f64 {
         self.report_lifetime.value()
     }
 
-    /// Moves a backend's price by the whole intervals that have passed since it was last updated:
-    /// by the dual step for as long as its report is valid, for the rest back towards the
-    /// traffic-weighted price. `typical_latency` is in seconds.
+    /// Updates a backend's price for the whole price intervals that have passed since its last
+    /// update: by the dual step for as long as its latest report was valid, and for the rest of the
+    /// time by a drift towards the traffic-weighted price. `typical_latency` is in seconds.
     pub fn update_price(&self, now: Time, backend: &mut Backend, typical_latency: f64) {
         let limits = &self.settings.protocol_limits;
         let intervals = ((now - backend.price_updated_at).as_secs_f64() / PRICE_INTERVAL).floor();
@@ -109,30 +120,32 @@
             (self.report_lifetime() - report_age).clamp(0.0, elapsed)
         });
         let mut load = backend.reported.load.unwrap_or(0.0);
-        // A hung backend reports nothing: its oldest unanswered attempt counts instead.
-        let overdue = backend.longest_unanswered(now).map_or(0.0, |unanswered| {
+        // A hung backend sends no reports: the time that its oldest attempt has been without a
+        // response counts as its load instead.
+        let overdue_ratio = backend.longest_unanswered(now).map_or(0.0, |unanswered| {
             unanswered / (OVERDUE_LATENCY_MULTIPLE * typical_latency)
         });
-        if overdue > 1.0 {
+        if overdue_ratio > 1.0 {
             reported_time = elapsed;
-            load = overdue.min(MAX_LOAD);
+            load = overdue_ratio.min(MAX_LOAD);
         }
         let target_load = TARGET_LOAD.min(self.mean_load);
-        let max_price = self.traffic_weighted_price + MAX_PRICE_ABOVE_TRAFFIC;
+        let max_price = self.traffic_weighted_price + MAX_PRICE_EXCESS;
         backend.price = (backend.price + STEP_SIZE * reported_time * (load - target_load))
             .clamp(0.0, max_price);
-        // An idle backend sends no load reports: unless its price drifted back it would never be
-        // picked again.
+        // An idle backend sends no load reports: unless its price drifted back, it would never be
+        // drawn again.
         backend.price += (self.traffic_weighted_price - backend.price)
             * ((elapsed - reported_time) / DRIFT_TIME).min(1.0);
-        // A warming backend is idle since its share is bounded: if it were cheap for that, it would
-        // be overloaded once it is warm.
+        // A warming backend is idle because its share is bounded: if its price fell for that
+        // reason, the backend would be overloaded once it is warm.
         if backend.is_warming_up(limits, now) {
             backend.price = backend.price.max(self.traffic_weighted_price);
         }
     }
 
-    /// Takes in a load report. One without a usable utilization is ignored.
+    /// Records a load report of a backend. A report whose utilization is missing, negative or not
+    /// finite is ignored. `typical_latency` is in seconds.
     pub fn record_load_report(
         &mut self,
         now: Time,
@@ -150,28 +163,28 @@
         let throughput = usable(report.throughput).unwrap_or(0.0);
         backend.reported.throughput = throughput;
         if throughput > 0.0 && utilization > MIN_INFORMATIVE_UTILIZATION {
-            // The latest report says more than all before it.
+            // The mean is over one sample, since the latest report says more than all before it.
             backend.speed.record(throughput / utilization, 1.0);
             backend.sampled_at = now;
         }
         let previous = std::mem::replace(&mut backend.reported.reported_at, now);
         if self.settings.is_capacity_unknown() {
-            let gap = (now - previous).as_secs_f64();
+            let report_interval = (now - previous).as_secs_f64();
             self.report_lifetime
-                .record(gap.clamp(MIN_REPORT_LIFETIME, MAX_REPORT_LIFETIME));
+                .record(report_interval.clamp(MIN_REPORT_LIFETIME, MAX_REPORT_LIFETIME));
         }
     }
 
-    /// The load that a report indicates, in units of the backend's capacity.
+    /// Returns the load that a report indicates, in units of the backend's capacity.
     fn load_of(&mut self, report: &LoadReport, utilization: f64, typical_latency: f64) -> f64 {
-        // Requests that wait count by the fraction of the latency objective that they take.
+        // Each waiting request counts as the fraction of the latency objective that it takes.
         let objective = self.settings.shortest_latency_objective();
         let queue_depth = usable(report.queue_depth).unwrap_or(0.0);
         let mut load = utilization + queue_depth * typical_latency / objective;
         if report.queue_depth.is_some() {
             return load.min(MAX_LOAD);
         }
-        // What is in flight beyond the usual for this utilization waits.
+        // Requests in flight beyond the number that is usual at this utilization are waiting.
         if let Some(in_flight) = usable(report.in_flight) {
             if utilization > MIN_INFORMATIVE_UTILIZATION && utilization < SATURATED_UTILIZATION {
                 self.in_flight_baseline.record(in_flight, utilization);
@@ -182,8 +195,12 @@
         (load + EXCESS_LOAD * saturation.clamp(0.0, 1.0)).min(MAX_LOAD)
     }
 
-    /// Raises the price of a backend by a failed attempt or load probe: one that fails fast would
-    /// look idle. Where capacity is unknown, a backend that rejects or times out is at its limit.
+    /// Raises the price of a backend because of a failed attempt or load probe: a backend that
+    /// fails fast would look idle otherwise.
+    ///
+    /// Where capacity is unknown, a backend that rejects a request or lets it time out is at the
+    /// limit of its capacity and is given a load above that; a rejection does not raise the price
+    /// there. `typical_latency` is in seconds.
     pub fn record_failure(
         &self,
         now: Time,
@@ -203,11 +220,11 @@
         let change = if is_full {
             PriceChange::Unchanged
         } else {
-            let max_price = self.traffic_weighted_price + MAX_PRICE_ABOVE_TRAFFIC;
+            let max_price = self.traffic_weighted_price + MAX_PRICE_EXCESS;
             backend.price = (backend.price + FAILURE_PRICE * failure_fraction).min(max_price);
             PriceChange::Raised
         };
-        // A backend that answers well for the most part goes on by its load.
+        // A backend most of whose responses succeed keeps the load that it has reported.
         if failure_fraction >= FAILING_FRACTION {
             let is_overloaded =
                 is_full || is_capacity_unknown && outcome == AttemptOutcome::TimedOut;
@@ -223,12 +240,12 @@
     }
 }
 
-/// Counts a response that succeeded among the backend's latest ones.
+/// Counts a successful response of a backend, which lowers its fraction of failures.
 pub fn record_success(backend: &mut Backend) {
     backend.failures.record(false, FAILURE_SAMPLES);
 }
 
-/// A reported number, if it is finite and not negative.
+/// Returns a reported number if it is finite and not negative, otherwise `None`.
 pub fn usable(reported: Option<f64>) -> Option<f64> {
     reported.filter(|value| value.is_finite() && *value >= 0.0)
 }
--- a/crates/balancer/src/pricing_tests.rs
+++ b/crates/balancer/src/pricing_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the price step, of load reports and of failures.
+//! Tests of how the dual step, load reports and failures change prices.
 
 use super::*;
 use crate::test_common::{at, endpoint, load_report, ms};
@@ -20,7 +20,7 @@
     assert!((price - STEP_SIZE * 0.2 * (0.8 - TARGET_LOAD)).abs() < 1e-9);
     update_price(&mut balancer, idle, at(200));
     assert_eq!(state_of(&balancer, idle).price, 0.0, "projected at zero");
-    // A report moves the price for its lifetime only.
+    // A load report moves the price only for the lifetime of reports.
     balancer.fleet.pricing.traffic_weighted_price = price;
     update_price(&mut balancer, busy, at(600));
     let price = state_of(&balancer, busy).price;
@@ -38,7 +38,7 @@
     assert_eq!(state_of(&balancer, BackendId(9)).price, 0.4);
 }
 
-/// A backend that fails fast reports little load; its failures must make it expensive all the same.
+/// A backend that fails fast reports a low load; its failures must make it expensive all the same.
 #[test]
 fn a_backend_that_fails_fast_grows_expensive() {
     let failing = BackendId(2);
@@ -59,7 +59,8 @@
     );
 }
 
-/// A backend is as expensive as the fraction of its responses that fail.
+/// Failures raise a backend's price in proportion to the fraction of its responses that fail: a
+/// rare one hardly changes its share, repeated ones bring it near 0.
 #[test]
 fn a_rare_failure_does_not_close_its_backend() {
     let failing = BackendId(2);
@@ -81,7 +82,7 @@
     );
     assert!(
         state_of(&balancer, failing).reported.load.is_some(),
-        "its load still counts"
+        "its reported load still counts"
     );
     for _ in 0..8 {
         balancer.record_failure(at(230), failing, AttemptOutcome::ConnectionReset);
@@ -89,12 +90,12 @@
     balancer.refresh_allocation(at(300));
     assert!(
         share(&balancer, 0, failing) < 0.2 * before,
-        "repeated failures close it: {:?}",
+        "repeated failures reduce its share: {:?}",
         shares(&balancer, 0)
     );
 }
 
-/// A hung backend reports nothing: its oldest unanswered attempt makes it expensive.
+/// A hung backend sends no load reports: its oldest attempt without a response makes it expensive.
 #[test]
 fn a_hung_backend_grows_expensive_until_it_answers() {
     let mut balancer = balancer_of(4);
@@ -102,7 +103,7 @@
     update_price(&mut balancer, hung, at(3000));
     let price = state_of(&balancer, hung).price;
     assert!(price > 0.5, "{price}");
-    // Once it answers the price drifts back: it is not avoided for long.
+    // Once it responds, its price drifts back so that it is not avoided for long.
     end_attempt(&mut balancer, at(3000), 1, hung, AttemptOutcome::Success);
     for interval in 0..400 {
         update_price(&mut balancer, hung, at(3000 + 50 * interval));
@@ -110,7 +111,7 @@
     assert!(state_of(&balancer, hung).price < 0.1);
 }
 
-/// That a saturated backend has excess load is a guess, for reports that give no queue depth.
+/// A saturated backend is assumed to have excess load only where its report gives no queue depth.
 #[test]
 fn full_utilization_with_an_empty_queue_is_no_overload() {
     let load_with = |queue_depth| {
@@ -126,8 +127,8 @@
     assert_eq!(load_with(None), Some(1.0 + EXCESS_LOAD));
 }
 
-/// A warming backend is idle because its share is bounded. If it were cheap for that, it would be
-/// overloaded once it is warm.
+/// A warming backend is idle because its share is bounded. If its price fell for that reason, it
+/// would be overloaded once it is warm.
 #[test]
 fn a_warming_backend_grows_no_cheaper_than_the_others() {
     let warming = BackendId(1);
@@ -145,7 +146,7 @@
     }
     let price = state_of(&balancer, warming).price;
     assert!(price >= 1.0, "{price}");
-    // Once it is warm its price follows its load.
+    // Once the backend is warm, its price follows its load.
     let later = at(slow_start_ms + 100);
     record_load_report(&mut balancer, later, warming, &report);
     update_price(&mut balancer, warming, later + ms(400));
--- a/crates/balancer/src/share_allocation.rs
+++ b/crates/balancer/src/share_allocation.rs
@@ -1,7 +1,8 @@
-//! The shares of the backends in the traffic of each request class.
+//! Computes the share of each backend in the traffic of each request class.
 //!
-//! Each class draws from shares over the backends open to it, which solve the concave program of
-//! [`share_solver`](crate::share_solver) at the backends' prices.
+//! The requests of a class draw their backends by shares over the backends that the class may use.
+//! The shares solve the concave program of [`share_solver`](crate::share_solver) at the backends'
+//! prices.
 
 use crate::estimators::MeanWork;
 use crate::fleet::Fleet;
@@ -14,42 +15,46 @@
 use crate::time::Time;
 use std::sync::Arc;
 
-/// Own attempts per active backend after which shares are solved anew within an interval.
-const STALE_ATTEMPTS: f64 = 0.2;
-/// Least `price + lambda` where capacity is known: keeps failing backends nearly closed where upper
-/// bounds leave no room.
+/// Number of this node's attempts per active backend after which the shares are solved again before
+/// the price interval has ended, where capacity is unknown.
+const REFRESH_ATTEMPTS_PER_BACKEND: f64 = 0.2;
+/// Lower bound of `price + lambda` where capacity is known. It keeps the shares of failing backends
+/// near 0 where the upper bounds of the other shares leave no room for the rest of the traffic.
 const MIN_TOTAL_PRICE: f64 = 0.1;
-/// Seconds within which a node is to receive a response from each backend that it uses.
-const CONTACT_INTERVAL: f64 = 1.0;
-/// Fewest backends that a node uses for a class.
+/// Time, in seconds, within which a node should receive a response from each backend that it uses;
+/// determines how many backends it uses where capacity is unknown.
+const TARGET_RESPONSE_INTERVAL: f64 = 1.0;
+/// Lower bound of the number of backends that a node uses for a class, if as many are allowed.
 const MIN_BACKENDS: f64 = 5.0;
-/// Price above the traffic-weighted one from which a backend does not count among those used.
-const CLOSED_PRICE: f64 = 0.25;
-/// Factor on the recent share of a backend per price interval.
+/// Amount by which a backend's price may exceed the traffic-weighted price until the backend no
+/// longer counts towards the number of backends used.
+const USABLE_PRICE_MARGIN: f64 = 0.25;
+/// Factor by which a backend's recent share decays per price interval.
 const RECENT_SHARE_DECAY: f64 = 0.95;
-/// Lambda at which the first search begins.
+/// Lambda at which the first search of a class begins.
 const INITIAL_LAMBDA: f64 = 0.5;
-/// Weight of a request in its class's mean work.
+/// Weight of each new sample in a class's mean work.
 const MEAN_WORK_GAIN: f64 = 1.0 / 64.0;
-/// Time constant, in seconds, of the rates of arrivals.
+/// Time constant, in seconds, of the arrival rate of a class.
 const ARRIVAL_WINDOW: f64 = 1.0;
-/// Time constant, in seconds, of the rate of attempts that decides on the number of backends.
-const CONTACT_WINDOW: f64 = 10.0;
+/// Time constant, in seconds, of the attempt rate that determines the number of backends used.
+const ATTEMPT_RATE_WINDOW: f64 = 10.0;
 
-/// The allocation of one class.
+/// The shares of one class, and the rates and the mean work that they are computed from.
 pub struct ClassAllocation {
-    /// Shares of the active backends in the node's order, of sum at most `eligible_backends`; 0
-    /// where the class may not go.
+    /// Shares of the active backends in the node's order. Their sum is at most
+    /// `eligible_backends`; the share is 0 for each backend that is not among those.
     pub shares: Vec<f64>,
-    /// Number of active backends among which the class's traffic is shared out.
+    /// Number of active backends over which the traffic of the class is distributed.
     pub eligible_backends: f64,
-    /// The multiplier of the last solution.
+    /// The multiplier of the last solution, at which the next search begins.
     lambda: f64,
-    /// Mean work of a request: the hinted one or, without hints, the latency of a response.
+    /// Mean work of a request in seconds: the expected work that requests give or, where they give
+    /// none, the latency of their responses.
     pub mean_work: MeanWork,
-    /// Requests that arrive.
+    /// Rate at which requests of the class arrive at this node.
     pub arrivals: Rate,
-    /// Attempts that start.
+    /// Rate at which attempts of the class start at this node.
     attempts: Rate,
 }
 
@@ -61,33 +66,33 @@
             lambda: INITIAL_LAMBDA,
             mean_work: MeanWork::new(MEAN_WORK_GAIN),
             arrivals: Rate::new(now, ARRIVAL_WINDOW),
-            attempts: Rate::new(now, CONTACT_WINDOW),
+            attempts: Rate::new(now, ATTEMPT_RATE_WINDOW),
         }
     }
 }
 
-/// How much of a class's traffic the upper bounds of the shares have room for.
+/// A class's part of the traffic, and how much of that finds no room in the shares' upper bounds.
 #[derive(Clone, Copy)]
 pub struct ClassPlacement {
-    /// The class's fraction of all arrivals.
+    /// Fraction of all arrivals at this node that are of the class.
     pub traffic_fraction: f64,
-    /// Fraction of its traffic to which the upper bounds of the shares leave no room.
+    /// Fraction of the class's traffic for which the upper bounds of the shares leave no room.
     pub unplaced_fraction: f64,
 }
 
-/// The shares of all classes.
+/// Computes the shares of all classes and decides when they are due to be solved again.
 pub struct ShareAllocation {
     settings: Arc<Settings>,
-    /// The allocation of each class.
+    /// The shares of each class, in the order of the settings.
     pub classes: Vec<ClassAllocation>,
-    /// When the shares were last solved; `None` once they are out of date.
+    /// When the shares were last solved; `None` before that and once they are out of date.
     pub refreshed_at: Option<Time>,
-    /// Attempts started since then.
+    /// Attempts that have started since the shares were last solved.
     attempts_since_refresh: f64,
 }
 
 impl ShareAllocation {
-    /// No shares yet.
+    /// Creates an allocation without any shares; they are due at once.
     pub fn new(settings: Arc<Settings>, now: Time) -> Self {
         let classes = settings.classes.iter().map(|_| ClassAllocation::new(now));
         ShareAllocation {
@@ -98,40 +103,44 @@
         }
     }
 
-    /// The allocation of a class.
+    /// Returns the shares of a class and what they are computed from.
     pub fn class(&self, class: ClassId) -> &ClassAllocation {
         &self.classes[usize::from(class.0)]
     }
 
-    /// The mean work of a class's requests, to take in another.
+    /// Returns the mean work of a class's requests, to record another sample.
     pub fn mean_work_mut(&mut self, class: ClassId) -> &mut MeanWork {
         &mut self.classes[usize::from(class.0)].mean_work
     }
 
-    /// Counts an arrival.
+    /// Counts a request of the class that arrives.
     pub fn record_arrival(&mut self, now: Time, class: ClassId) {
         self.classes[usize::from(class.0)].arrivals.record(now, 1.0);
     }
 
-    /// Counts an attempt that starts.
+    /// Counts an attempt of the class that starts.
     pub fn record_attempt(&mut self, now: Time, class: ClassId) {
         self.classes[usize::from(class.0)].attempts.record(now, 1.0);
         self.attempts_since_refresh += 1.0;
     }
 
-    /// The shares are out of date.
+    /// Marks the shares as out of date, so that the next refresh solves them again.
     pub fn invalidate(&mut self) {
         self.refreshed_at = None;
     }
 
-    /// Whether the shares are due to be solved anew: once per price interval, or after a few own
-    /// attempts where only these tell the load. Returns the seconds since the last solution, and
-    /// counts the shares as solved at `now`.
+    /// Decides whether the shares are due to be solved again: once per price interval, when they
+    /// are out of date, or after a few of this node's own attempts where capacity is unknown, since
+    /// only these indicate the load there.
+    ///
+    /// If so, returns the seconds since the last solution (the price interval if the shares are out
+    /// of date) and records `now` as the time of the solution. Returns `None` if the shares are not
+    /// due or there is no active backend.
     pub fn begin_refresh(&mut self, now: Time, active_backends: usize) -> Option<f64> {
         let elapsed = self
             .refreshed_at
             .map_or(PRICE_INTERVAL, |at| (now - at).as_secs_f64());
-        let max_attempts = STALE_ATTEMPTS * active_backends as f64;
+        let max_attempts = REFRESH_ATTEMPTS_PER_BACKEND * active_backends as f64;
         let is_stale =
             self.settings.is_capacity_unknown() && self.attempts_since_refresh > max_attempts;
         if (elapsed < PRICE_INTERVAL && !is_stale) || active_backends == 0 {
@@ -142,7 +151,7 @@
         Some(elapsed)
     }
 
-    /// Requests of each class that arrive per second.
+    /// Returns the requests of each class that arrive per second, in the order of the settings.
     pub fn arrival_rates(&mut self, now: Time) -> Vec<f64> {
         self.classes
             .iter_mut()
@@ -150,11 +159,12 @@
             .collect()
     }
 
-    /// Solves each class's shares over the backends open to it.
+    /// Solves the shares of each class over the backends that it may use.
     ///
-    /// `inputs` are those of the active backends in the node's order, `arrival_rates` the requests
-    /// per second of each class, and `elapsed` the seconds since the last solution. Returns how
-    /// much of each class's traffic the upper bounds have room for.
+    /// Also updates the recent shares of the backends and the traffic-weighted price. `inputs` has
+    /// one entry for each active backend in the node's order, `arrival_rates` the requests per
+    /// second of each class, and `elapsed` is the time since the last solution in seconds. Returns,
+    /// for each class, how much of its traffic finds no room in the upper bounds of the shares.
     pub fn allocate_shares(
         &mut self,
         now: Time,
@@ -173,7 +183,7 @@
         let density = traffic_density(&eligible, arrival_rates, inputs.len());
         let narrower_work = self.work_of_narrower_classes(&eligible, arrival_rates, inputs);
         if self.settings.is_capacity_unknown() {
-            self.limit_to_contacted(now, fleet, inputs, &mut eligible);
+            self.limit_backends_in_use(now, fleet, inputs, &mut eligible);
         }
         let intervals = elapsed / PRICE_INTERVAL;
         let decay = RECENT_SHARE_DECAY.powf(intervals);
@@ -201,7 +211,7 @@
         placements
     }
 
-    /// Solves the shares of one class, keeps them, and returns them in the order of `positions`.
+    /// Solves the shares of one class, stores them, and returns them in the order of `positions`.
     fn solve_class(
         &mut self,
         fleet: &Fleet,
@@ -227,8 +237,9 @@
         solution.shares
     }
 
-    /// For each class and backend, the work that classes open to fewer backends bring there, in
-    /// units of the class's own: it is no longer there for the class.
+    /// Returns, for each class and backend, the work that classes with fewer eligible backends
+    /// bring there, in units of the class's own mean work per eligible backend. The capacity that
+    /// this work takes is not available to the class.
     fn work_of_narrower_classes(
         &self,
         eligible: &[Vec<usize>],
@@ -255,19 +266,22 @@
                     .iter()
                     .map(|&position| inputs[position].speed)
                     .sum();
-                let brought = work_rates[other] / work_rates[class] * count / speeds;
+                let work_per_speed = work_rates[other] / work_rates[class] * count / speeds;
                 for &position in narrower {
-                    work_taken[class][position] += brought * inputs[position].speed;
+                    work_taken[class][position] += work_per_speed * inputs[position].speed;
                 }
             }
         }
         work_taken
     }
 
-    /// Limits each class to as many backends as this node hears from often enough. Where no load is
-    /// reported, closed backends and what warming ones cannot take make room for others: otherwise
-    /// all that would fall on the few that are well.
-    fn limit_to_contacted(
+    /// Limits each class to as many backends as this node's attempts can reach often enough, the
+    /// first in the node's order.
+    ///
+    /// Where no load is reported, backends with a high price do not count and warming ones count by
+    /// what they can take, so that further backends are used. Otherwise all the traffic that these
+    /// cannot take would fall on the few healthy backends among the first.
+    fn limit_backends_in_use(
         &mut self,
         now: Time,
         fleet: &Fleet,
@@ -275,35 +289,37 @@
         eligible: &mut [Vec<usize>],
     ) {
         let is_load_reported = self.settings.load_reporting != LoadReporting::Absent;
-        let closed_price = fleet.pricing.traffic_weighted_price + CLOSED_PRICE;
+        let max_usable_price = fleet.pricing.traffic_weighted_price + USABLE_PRICE_MARGIN;
         let usable_fraction = |position: usize| {
             if is_load_reported {
                 1.0
-            } else if fleet.backends.nth_active(position).price > closed_price {
+            } else if fleet.backends.nth_active(position).price > max_usable_price {
                 0.0
             } else {
                 inputs[position].max_share.min(1.0)
             }
         };
         for (allocation, positions) in self.classes.iter_mut().zip(eligible) {
-            let contacted = CONTACT_INTERVAL * allocation.attempts.advance_unbiased(now);
-            let wanted = contacted.max(MIN_BACKENDS).ceil();
+            let reachable_backends =
+                TARGET_RESPONSE_INTERVAL * allocation.attempts.advance_unbiased(now);
+            let target_count = reachable_backends.max(MIN_BACKENDS).ceil();
             let mut usable = 0.0;
             positions.retain(|&position| {
-                let is_wanted = usable < wanted;
+                let is_below_target = usable < target_count;
                 usable += usable_fraction(position);
-                is_wanted
+                is_below_target
             });
         }
     }
 }
 
-/// Requests of all classes that arrive per second, never 0.
+/// Returns the requests of all classes that arrive per second; the result is never 0.
 pub fn total_rate(arrival_rates: &[f64]) -> f64 {
     arrival_rates.iter().sum::<f64>().max(MIN_DIVISOR)
 }
 
-/// Traffic of all classes that equal shares would bring to each backend, relative to the mean.
+/// Returns, for each active backend, the traffic of all classes that equal shares would bring
+/// there, relative to the mean over the active backends.
 fn traffic_density(
     eligible: &[Vec<usize>],
     arrival_rates: &[f64],
@@ -320,8 +336,10 @@
     density
 }
 
-/// The inputs of one class. Upper bounds are on a backend's whole traffic: a class gets as much of
-/// them as of the traffic that equal shares would bring there.
+/// Returns the inputs of one class's program, in the order of `positions`.
+///
+/// The upper bound in `inputs` is on the whole traffic of a backend; the class gets the same part
+/// of it as of the traffic that equal shares would bring there.
 fn class_inputs(
     positions: &[usize],
     inputs: &[ShareInput],
--- a/crates/balancer/src/share_allocation_tests.rs
+++ b/crates/balancer/src/share_allocation_tests.rs
@@ -1,4 +1,5 @@
-//! Tests of how the shares of all classes follow prices, capacities and placement.
+//! Tests of how the shares of all classes depend on prices, capacities and the backends that each
+//! class may use.
 
 use super::*;
 use crate::fleet::USABLE_CAPACITY_FRACTION;
@@ -21,15 +22,16 @@
     balancer.allocation.classes[0].eligible_backends
 }
 
-/// Prices may differ so much that most shares would gather on one backend and overload it.
+/// Guards against prices that differ so much that most of the traffic would be given to one backend
+/// and overload it: the upper bounds of the shares prevent that.
 #[test]
 fn no_backend_is_asked_for_more_than_its_capacity() {
-    /// Requests per second of each backend, by the reports below.
+    /// Capacity of each backend in requests per second, by the reports below.
     const CAPACITY: f64 = 25.0;
     const BACKENDS: u32 = 4;
     let mut balancer = balancer_of(BACKENDS);
-    // 100 requests per second arrive, which is the whole capacity; this node's part of it is a
-    // quarter.
+    // 100 requests per second arrive at this node, which equals the capacity of all backends; only
+    // a quarter of that capacity is this node's part.
     for id in 0..200u64 {
         let now = at(id * 10);
         handle(&mut balancer, now, request_arrived(id, 0));
@@ -55,20 +57,26 @@
     );
     assert!(
         balancer.admission.group(ClassId(0)).shed_threshold > 0.0,
-        "what finds no place is shed"
+        "traffic beyond the upper bounds is shed"
     );
 }
 
-/// What a node uses once it has settled.
+/// The backends that a node uses in the second half of a run.
 struct Usage {
-    /// Most backends among which it shares out its traffic.
+    /// Largest number of backends over which it distributes its traffic.
     eligible_backends: f64,
-    /// The backends that it sends to.
+    /// The backends that it sends requests to.
     used: BTreeSet<BackendId>,
 }
 
-/// Sends 400 requests, 100 ms apart; connections to the `unreachable` fail.
-fn settle(balancer: &mut Balancer, first_request: u64, unreachable: &[BackendId]) -> Usage {
+/// Sends 400 requests, 100 ms apart, and returns what the last 200 of them use. Connections to the
+/// backends in `unreachable` fail. `first_request` is both the id of the first request and the time
+/// of its arrival in milliseconds.
+fn usage_after_settling(
+    balancer: &mut Balancer,
+    first_request: u64,
+    unreachable: &[BackendId],
+) -> Usage {
     let mut usage = Usage {
         eligible_backends: 0.0,
         used: BTreeSet::new(),
@@ -99,16 +107,17 @@
     usage
 }
 
-/// Closed backends make room for others among the few that a node uses; once they answer well they
-/// are enough again. The same holds for what warming ones cannot take. Where load is reported the
-/// few stay as they are.
+/// Where no load is reported, a node uses further backends beside the few that suffice otherwise
+/// when some of those fail, and returns to the few once they respond well again. The same holds for
+/// the traffic that warming backends cannot take. Where load is reported, the number of backends
+/// used does not change.
 #[test]
 fn closed_and_warming_backends_make_room_for_others() {
     let first_five =
         |usage: &Usage| -> Vec<BackendId> { usage.used.iter().copied().take(5).collect() };
     let mut unreported = balancer_with(unreported_load_settings(), 40);
-    let before = settle(&mut unreported, 1, &[]);
-    let during = settle(&mut unreported, 100_000, &first_five(&before));
+    let before = usage_after_settling(&mut unreported, 1, &[]);
+    let during = usage_after_settling(&mut unreported, 100_000, &first_five(&before));
     assert!(
         during.eligible_backends >= before.eligible_backends + 3.0,
         "{} of {}",
@@ -121,12 +130,12 @@
         during.used,
         before.used
     );
-    let after = settle(&mut unreported, 300_000, &[]);
+    let after = usage_after_settling(&mut unreported, 300_000, &[]);
     assert_eq!(after.eligible_backends, before.eligible_backends);
 
     let mut reported = balancer_of_unknown_capacity();
-    let before = settle(&mut reported, 1, &[]);
-    let during = settle(&mut reported, 100_000, &first_five(&before));
+    let before = usage_after_settling(&mut reported, 1, &[]);
+    let during = usage_after_settling(&mut reported, 100_000, &first_five(&before));
     assert_eq!(during.eligible_backends, before.eligible_backends);
 
     let mut all_warming = balancer_with(unreported_load_settings(), 0);
@@ -138,7 +147,8 @@
     assert!(eligible > 2.0 * MIN_BACKENDS, "{eligible}");
 }
 
-/// A node uses few backends, in an order of its own, and more of them as it sends more.
+/// A node uses few backends, which it chooses by an order of its own, and more of them as it sends
+/// more requests.
 #[test]
 fn a_node_uses_as_many_backends_as_it_hears_from() {
     let mut balancer = balancer_of_unknown_capacity();
@@ -147,7 +157,7 @@
             let id = first_request + position;
             let now = at(first_request + position * interval);
             let backend = send_request(balancer, now, id).expect("an idle backend");
-            // Answered at once: a backend that answers nothing would make room for others.
+            // The backend responds at once: one without responses would be replaced by others.
             let result = attempt_result(id, backend, AttemptOutcome::Success);
             handle(balancer, now, Event::AttemptEnded(result));
         }
@@ -184,15 +194,15 @@
     let [allowed, other, another] = [0, 1, 2].map(|id| share(&balancer, 0, BackendId(id)));
     assert!(
         allowed < 0.1,
-        "the placed class fills it: {:?}",
+        "the restricted class takes its capacity: {:?}",
         shares(&balancer, 0)
     );
     assert!((share(&balancer, 1, BackendId(0)) - 1.0).abs() < 1e-3);
     assert!((other - another).abs() < 0.1);
 }
 
-/// Reports lag. What a node has in flight itself beyond the usual makes a backend more expensive at
-/// once.
+/// Load reports arrive late. A backend at which this node has more attempts in flight than usual
+/// gets more expensive at once, before any report shows it.
 #[test]
 fn own_attempts_in_flight_count_before_reports_do() {
     let mut balancer = balancer_of_unknown_capacity();
@@ -210,8 +220,8 @@
     assert!(after < 0.7 * before, "{after} from {before}");
 }
 
-/// Within a price interval a node may send a dozen requests, which must not all follow what it had
-/// in flight before the first.
+/// Within a price interval a node may send a dozen requests. They must not all be drawn by the
+/// shares that were solved with the attempts in flight before the first of them.
 #[test]
 fn requests_of_one_price_interval_do_not_gather_on_one_backend() {
     let mut balancer = balancer_of_unknown_capacity();
@@ -233,7 +243,8 @@
     assert!((2..=8).contains(&in_flight), "{in_flight} of 20");
 }
 
-/// A backend without an open connection is more expensive by how often new ones fail.
+/// The price of a backend without an open connection is raised by the fraction of new connections
+/// that fail.
 #[test]
 fn open_connections_count_where_new_ones_fail() {
     let mut balancer = balancer_of_unknown_capacity();
@@ -247,7 +258,7 @@
     let [with, without] = shares_of_both(&balancer);
     assert!(
         (with - without).abs() < 1e-3,
-        "as long as new connections succeed"
+        "equal as long as new connections succeed"
     );
     for id in 0..40 {
         let backend = send_request(&mut balancer, at(60), id);
@@ -265,7 +276,7 @@
     refresh_now(&mut balancer, at(200));
     let [with, without] = shares_of_both(&balancer);
     assert!(with > 3.0 * without, "{:?}", shares(&balancer, 0));
-    // By then the open connection has been idle for too long.
+    // By then the open connection has exceeded the idle timeout.
     balancer.refresh_allocation(at(70_000));
     let [with, without] = shares_of_both(&balancer);
     let failing = balancer.fleet.connect_failures.value();
--- a/crates/balancer/src/share_solver.rs
+++ b/crates/balancer/src/share_solver.rs
@@ -1,39 +1,41 @@
-//! The concave program that gives each backend its share of the traffic.
+//! Solves the concave program that gives each backend its share of the traffic.
 //!
-//! With n backends, prices and speeds relative to the fleet's mean, and shares of sum n, it
-//! maximises
+//! For n backends, with prices relative to n, speeds relative to their mean and shares that sum to
+//! n, the program maximises
 //!
 //! ```text
 //! Σ ln(1 + share · speed) − price · share    with Σ share = n,  0 ≤ share ≤ max_share
 //! ```
 //!
-//! whose solution is `share = [1 / (price + lambda) − 1 / speed]₊`, at most `max_share`, for the
-//! one lambda at which the shares sum to n.
+//! Its solution is `share = [1 / (price + lambda) − 1 / speed]₊`, but at most `max_share`, at the
+//! one lambda for which the shares sum to n.
 
-/// Most steps of the search for lambda.
+/// Largest number of steps in the search for lambda.
 const MAX_ITERATIONS: usize = 60;
-/// Error of the sum of shares, relative to n, at which the search ends.
+/// Error of the sum of shares, relative to n, below which the search ends.
 const SUM_TOLERANCE: f64 = 1e-6;
-/// Width of the bracket around lambda at which the search ends.
+/// Width of the bracket around lambda below which the search ends.
 const BRACKET_TOLERANCE: f64 = 1e-9;
 
-/// What the program needs to know of one backend.
+/// The parameters of one backend in the program.
 pub struct ShareInput {
-    /// Price, relative to the number of backends.
+    /// Price of the backend, relative to the number of backends.
     pub price: f64,
-    /// Speed, relative to the mean.
+    /// Speed of the backend, relative to the mean of all backends.
     pub speed: f64,
-    /// Upper bound of the share; may be infinite.
+    /// Upper bound of the backend's share; infinite if there is none.
     pub max_share: f64,
 }
 
 impl ShareInput {
+    /// Returns the backend's optimal share at this lambda.
     fn share(&self, lambda: f64) -> f64 {
         let total_price = self.price + lambda;
         if total_price > 0.0 {
             (1.0 / total_price - 1.0 / self.speed).clamp(0.0, self.max_share)
         } else {
-            // Cheaper than any share can make it: only the bound holds.
+            // Utility minus total price grows with the share without limit, so only the bound
+            // applies.
             self.max_share
         }
     }
@@ -41,13 +43,13 @@
 
 /// The solution of the program.
 pub struct ShareSolution {
-    /// The share of each input, in their order.
+    /// The share of each backend, in the order of the inputs.
     pub shares: Vec<f64>,
-    /// The multiplier of the constraint on the sum of shares.
+    /// The multiplier of the constraint on the sum of shares; the next search may begin there.
     pub lambda: f64,
 }
 
-/// The sum of the shares at one lambda, and its derivative.
+/// The sum of the shares at one lambda, and its derivative with respect to lambda.
 struct ShareSum {
     sum: f64,
     slope: f64,
@@ -55,9 +57,10 @@
 
 /// Solves the program by Newton steps on lambda that are kept inside a shrinking bracket.
 ///
-/// `initial_lambda` is where the search begins, if it lies in the bracket. `min_total_price` bounds
-/// `price + lambda` of the cheapest backend from below: where the upper bounds leave no room for a
-/// sum of n the shares fall short of it, instead of filling up expensive backends.
+/// The search begins at `initial_lambda` if that lies in the bracket, otherwise in its middle.
+/// `min_total_price` bounds `price + lambda` of the cheapest backend from below: where the upper
+/// bounds leave no room for a sum of n, the shares sum to less than n instead of filling up
+/// expensive backends.
 pub fn solve_shares(
     inputs: &[ShareInput],
     min_total_price: f64,
@@ -88,8 +91,9 @@
     }
 }
 
-/// The lowest price of a backend without an upper bound, if there is any: a bounded one may stay
-/// cheap as it is idle, and would close the others if it counted.
+/// Returns the lowest price of the backends without an upper bound, or of all backends if each has
+/// one. Bounded backends do not count beside unbounded ones because a bounded backend may stay
+/// cheap as it is idle, and would reduce the shares of the others to 0 if it counted.
 fn cheapest_price(inputs: &[ShareInput]) -> f64 {
     let cheapest = |is_bounded: bool| {
         inputs
@@ -106,6 +110,7 @@
     }
 }
 
+/// Returns the sum of the shares at this lambda and its derivative.
 fn sum_of_shares(inputs: &[ShareInput], lambda: f64) -> ShareSum {
     let (mut sum, mut slope) = (0.0, 0.0);
     for input in inputs {
@@ -118,6 +123,7 @@
     ShareSum { sum, slope }
 }
 
+/// Returns `value` if it lies between `low` and `high`, otherwise their midpoint.
 fn within_or_midpoint(value: f64, low: f64, high: f64) -> f64 {
     if value > low && value < high {
         value
--- a/crates/balancer/src/share_solver_tests.rs
+++ b/crates/balancer/src/share_solver_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the share program: feasibility, optimality, bounds and extremes.
+//! Tests of the share solver: feasibility, optimality, upper bounds and extreme inputs.
 
 use super::*;
 use crate::random::Random;
@@ -15,11 +15,11 @@
     solve_shares(inputs, 0.0, 0.5).shares
 }
 
-fn utility(inputs: &[ShareInput], shares: &[f64]) -> f64 {
+fn utility_minus_price(inputs: &[ShareInput], shares: &[f64]) -> f64 {
     inputs
         .iter()
         .zip(shares)
-        .map(|(l, s)| (1.0 + s * l.speed).ln() - l.price * s)
+        .map(|(backend, share)| (1.0 + share * backend.speed).ln() - backend.price * share)
         .sum()
 }
 
@@ -32,10 +32,10 @@
             .collect();
         let shares = solved(&inputs);
         assert!((shares.iter().sum::<f64>() - n as f64).abs() < 1e-4 * n as f64);
-        assert!(shares.iter().all(|s| *s >= 0.0));
-        // Independent check: no small move of share from one backend to another raises the sum of
-        // utility less price.
-        let best = utility(&inputs, &shares);
+        assert!(shares.iter().all(|share| *share >= 0.0));
+        // Checks optimality independently of the solver: moving a small amount of share from one
+        // backend to another never raises the sum of utility minus price.
+        let optimum = utility_minus_price(&inputs, &shares);
         for from in 0..n {
             for to in 0..n {
                 let mut other = shares.clone();
@@ -43,7 +43,7 @@
                 other[from] -= moved;
                 other[to] += moved;
                 assert!(
-                    utility(&inputs, &other) <= best + 1e-6,
+                    utility_minus_price(&inputs, &other) <= optimum + 1e-6,
                     "{from} to {to} of {n}"
                 );
             }
@@ -51,15 +51,15 @@
     }
 }
 
-/// A warming backend gets little, is idle and grows cheap. The others must still get all that it
-/// cannot take, however expensive they are beside it.
+/// A warming backend gets few requests, is idle and becomes cheap. The other backends must still
+/// get all the traffic that it cannot take, however expensive they are compared with it.
 #[test]
 fn a_cheap_bounded_backend_does_not_close_the_others() {
-    let cold = ShareInput {
+    let warming = ShareInput {
         max_share: 0.1,
         ..input(0.0, 1.0)
     };
-    let shares = solved(&[cold, input(1.5, 1.0), input(1.6, 1.0), input(1.7, 1.0)]);
+    let shares = solved(&[warming, input(1.5, 1.0), input(1.6, 1.0), input(1.7, 1.0)]);
     assert!(
         (shares.iter().sum::<f64>() - 4.0).abs() < 1e-3,
         "{shares:?}"
@@ -84,17 +84,17 @@
         "{shares:?}"
     );
     assert_eq!(shares[0], 0.0);
-    // Bounds that leave no room: what is left over is not forced on anyone.
-    let tight: Vec<ShareInput> = (0..4)
+    // Upper bounds that leave no room for all the traffic: no backend gets the rest of it.
+    let bounded: Vec<ShareInput> = (0..4)
         .map(|_| ShareInput {
             max_share: 0.5,
             ..input(0.1, 1.0)
         })
         .collect();
-    assert_eq!(solved(&tight), vec![0.5; 4]);
-    let closed = [ShareInput {
+    assert_eq!(solved(&bounded), vec![0.5; 4]);
+    let bounded_to_zero = [ShareInput {
         max_share: 0.0,
         ..input(0.0, 1.0)
     }];
-    assert_eq!(solved(&closed), vec![0.0]);
+    assert_eq!(solved(&bounded_to_zero), vec![0.0]);
 }
