--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -272,6 +272,7 @@
     }
 }
 
+/// Whether two classes may use the same backends, by zone and machine type.
 fn has_same_placement(one: &RequestClass, other: &RequestClass) -> bool {
     one.allowed_zones == other.allowed_zones
         && one.allowed_machine_types == other.allowed_machine_types
--- a/crates/balancer/src/call_budget.rs
+++ b/crates/balancer/src/call_budget.rs
@@ -1,33 +1,40 @@
-//! A limit, by counted attempts, for backends that are probably warm and may yet be in slow start.
+//! Limits the attempts at backends that are probably warm but may still be in slow start.
 //!
-//! What backends have answered within some time they can answer again: their capacity only grows
-//! during slow start. So this node's attempts may exceed its responses by a little less than the
-//! overload multiple. As each node keeps to its own count, all nodes together keep to it as well.
+//! As many requests as backends have served within some time they can serve again within the same
+//! time, since their capacity only grows during slow start. The attempts of this node may therefore
+//! exceed its responses by a factor somewhat below the overload multiple. As each node keeps to the
+//! limit by its own counts, all nodes together keep to it as well.
 
 use crate::settings::ProtocolLimits;
 use crate::time::Time;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Fraction of the overload multiple that is used; the rest is left to chance.
+/// Fraction of the overload multiple that is used; the rest is a margin for random variation.
 const USED_FRACTION: f64 = 0.6;
-/// Attempts that a backend bears within the overload duration, whatever its capacity, from all nodes
-/// together.
+/// Number of attempts from all nodes together that a backend withstands within the overload
+/// duration whatever its capacity.
 const FREE_ATTEMPTS: f64 = 3.0;
 
-/// Counts this node's attempts and responses at the backends that are probably warm.
+/// Counts this node's attempts at the backends that are probably warm and their responses, and
+/// limits the attempts by both.
 pub struct CallBudget {
+    /// Time over which attempts and responses are counted: the overload duration.
     window: Duration,
+    /// Attempts that each counted response allows.
     attempts_per_response: f64,
+    /// Attempts that this node may send per backend and window without any response.
     free_attempts: f64,
+    /// Start times of the attempts within the window.
     attempts: VecDeque<Time>,
+    /// Times of the successful responses within the window.
     responses: VecDeque<Time>,
-    /// Most responses within one window so far.
-    most_responses: usize,
+    /// Largest number of responses within one window so far.
+    peak_responses: usize,
 }
 
 impl CallBudget {
-    /// Nothing is counted yet. This is one of `nodes` nodes.
+    /// Creates a budget without counted attempts and responses for one of `nodes` nodes.
     pub fn new(limits: &ProtocolLimits, nodes: u32) -> Self {
         CallBudget {
             window: limits.overload_duration,
@@ -35,36 +42,37 @@
             free_attempts: FREE_ATTEMPTS / f64::from(nodes),
             attempts: VecDeque::new(),
             responses: VecDeque::new(),
-            most_responses: 0,
+            peak_responses: 0,
         }
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt at a backend that is probably warm.
     pub fn record_attempt(&mut self, now: Time) {
         self.attempts.push_back(now);
-        self.forget_old(now);
+        self.remove_expired(now);
     }
 
-    /// Counts a successful response.
+    /// Counts a successful response of a backend that is probably warm.
     pub fn record_response(&mut self, now: Time) {
         self.responses.push_back(now);
-        self.forget_old(now);
-        self.most_responses = self.most_responses.max(self.responses.len());
+        self.remove_expired(now);
+        self.peak_responses = self.peak_responses.max(self.responses.len());
     }
 
-    /// Whether another attempt keeps to the limit, for this many backends together. Without an
-    /// overload duration there is no limit.
+    /// Whether one more attempt stays within the limit, which applies to all probably warm backends
+    /// together; `backends` is their number. Without an overload duration there is no limit.
     pub fn has_room(&mut self, now: Time, backends: usize) -> bool {
         if self.window.is_zero() {
             return true;
         }
-        self.forget_old(now);
+        self.remove_expired(now);
         let limit = self.free_attempts * backends as f64
-            + self.attempts_per_response * self.most_responses as f64;
+            + self.attempts_per_response * self.peak_responses as f64;
         (self.attempts.len() + 1) as f64 <= limit
     }
 
-    fn forget_old(&mut self, now: Time) {
+    /// Removes attempts and responses that are older than the window.
+    fn remove_expired(&mut self, now: Time) {
         for times in [&mut self.attempts, &mut self.responses] {
             while times.front().is_some_and(|&at| at + self.window <= now) {
                 times.pop_front();
--- a/crates/balancer/src/call_budget_tests.rs
+++ b/crates/balancer/src/call_budget_tests.rs
@@ -10,7 +10,8 @@
     CallBudget::new(&limits, nodes)
 }
 
-/// Attempts made in this time, one a millisecond as long as there is room.
+/// Returns the number of attempts made within `times`, in milliseconds, if one is tried in each
+/// millisecond and made if the budget allows it.
 fn attempts_within(budget: &mut CallBudget, times: std::ops::Range<u64>, backends: usize) -> usize {
     times
         .filter(|&time| {
@@ -41,7 +42,8 @@
     assert_eq!(attempts_within(&mut budget, 5000..6000, 6), expected);
 }
 
-/// Backends that serve fewer than arrive get no more than the overload multiple of what they serve.
+/// Backends that serve fewer requests than arrive get no more attempts than the overload multiple
+/// times the requests that they serve.
 #[test]
 fn attempts_at_overloaded_backends_do_not_grow() {
     let mut budget = budget(2.0, 1);
@@ -52,7 +54,7 @@
         }
         attempts += attempts_within(&mut budget, time..time + 1, 1);
     }
-    // Twenty responses per second, each good for 1.2 attempts, and three free ones.
+    // In each second 20 responses, each of which allows 1.2 attempts, and 3 free attempts.
     assert!((250..=280).contains(&attempts), "{attempts}");
 }
 
--- a/crates/balancer/src/numeric.rs
+++ b/crates/balancer/src/numeric.rs
@@ -1,4 +1,4 @@
-//! Bounds of floating-point arithmetic.
+//! Bounds that keep floating-point results finite.
 
-/// Smallest divisor, against divisions by zero.
+/// Lower bound of divisors that may be 0; prevents divisions by zero.
 pub const MIN_DIVISOR: f64 = 1e-9;
--- a/crates/balancer/src/pricing.rs
+++ b/crates/balancer/src/pricing.rs
@@ -33,8 +33,8 @@
 
 /// Step size (ν): change of a price per second and per unit of load above the target load.
 const STEP_SIZE: f64 = 0.15;
-/// Target load (ρ): fraction of its capacity that a backend is meant to use. In a fleet whose mean
-/// load is lower, that is the target.
+/// Target load (ρ): fraction of its capacity that a backend is meant to use. If the mean load of
+/// the fleet is lower, the mean load is the target instead.
 const TARGET_LOAD: f64 = 0.7;
 /// Upper bound of every load, in units of a backend's capacity.
 const MAX_LOAD: f64 = 4.0;
--- a/crates/balancer/src/retry_policy.rs
+++ b/crates/balancer/src/retry_policy.rs
@@ -1,4 +1,5 @@
-//! Whether a request may be attempted again, and how many retries the node may send.
+//! Decides whether a request may be attempted again and at which backends, and limits the retries
+//! that the node sends.
 
 use crate::actions::GiveUpReason;
 use crate::backend::Backend;
@@ -6,37 +7,39 @@
 use crate::settings::{Idempotency, KeyScope, Settings};
 use crate::time::Time;
 
-/// Retries that each request earns.
+/// Retries that each arriving request adds to the retry budget.
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// Most retries that are saved up.
+/// Upper bound of the retries that the retry budget holds.
 const MAX_SAVED_RETRIES: f64 = 10.0;
-/// Fraction of the typical latency below which too little time is left for a retry.
+/// Shortest time that must be left for a retry, as a fraction of the typical latency.
 const MIN_TIME_LEFT_LATENCIES: f64 = 0.5;
 
-/// Limits retries to a fraction of the requests, so that they do not feed an overload.
+/// Limits this node's retries to a fraction of its requests, so that they do not make an overload
+/// worse.
 pub struct RetryBudget {
+    /// Retries left, at most [`MAX_SAVED_RETRIES`].
     retries: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new() -> Self {
         RetryBudget {
             retries: MAX_SAVED_RETRIES,
         }
     }
 
-    /// Earns what a new request earns.
+    /// Adds the retries that an arriving request earns, up to the budget's upper bound.
     pub fn record_request(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Spends one retry.
+    /// Takes one retry from the budget.
     pub fn spend(&mut self) {
         self.retries -= 1.0;
     }
 
-    /// Retries left.
+    /// Returns the number of retries left; fractions of a retry add up.
     pub fn retries(&self) -> f64 {
         self.retries
     }
@@ -46,8 +49,12 @@
     }
 }
 
-/// Why a request whose attempt failed gets no retry, or `None` where it may have one.
-/// `typical_latency` is in seconds.
+/// Returns the reason why a request whose attempt failed gets no retry, or `None` if it may be
+/// retried.
+///
+/// The request must have enough time left until its latency objective and be within its deadline,
+/// it must have attempts left, and the budget must hold at least one whole retry. The first of
+/// these that fails is the reason. `typical_latency` is in seconds.
 pub fn reason_against_retry(
     now: Time,
     request: &Request,
@@ -69,8 +76,9 @@
         .then_some(GiveUpReason::RetryBudgetExhausted)
 }
 
-/// Whether the idempotency of a request lets its next attempt go to this backend, given the
-/// attempts that may have been executed.
+/// Whether the idempotency of a request allows its next attempt to go to this backend, given the
+/// earlier attempts that may have been executed. If there are none, any backend is allowed. The
+/// window and the scope of an idempotency key count from the first of them.
 pub fn may_execute_at(
     now: Time,
     request: &Request,
@@ -89,6 +97,7 @@
     }
 }
 
+/// Whether this backend deduplicates requests with the key of an earlier attempt.
 fn is_in_scope(scope: KeyScope, earlier: &Attempt, backend: &Backend) -> bool {
     match scope {
         KeyScope::All => true,
@@ -97,8 +106,8 @@
     }
 }
 
-/// Whether a request that is given up may be rejected, which tells the client that it was not
-/// executed or may be repeated harmlessly.
+/// Whether a request that is given up may be answered by a rejection, which tells the client that
+/// the request was not executed or may be repeated harmlessly.
 pub fn may_reject(request: &Request, idempotency: Idempotency) -> bool {
     match idempotency {
         Idempotency::Idempotent
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -1,4 +1,5 @@
-//! Which backend a request's next attempt goes to: eligibility, and a draw weighted by shares.
+//! Selects the backend of a request's next attempt: checks which backends are eligible, and draws
+//! one of them with probabilities in proportion to their shares.
 
 use crate::backend::Backend;
 use crate::fleet::Fleet;
@@ -10,17 +11,18 @@
 use crate::slow_start;
 use crate::time::Time;
 
-/// Whether a draw may end at a backend that is warming up.
+/// Whether a draw may select a backend that is warming up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmingBackends {
-    /// It may.
+    /// Warming backends are drawn by their shares.
     Included,
-    /// It may not.
+    /// Only warm backends are drawn.
     Excluded,
 }
 
-/// Whether a request's next attempt may go to this backend by every rule. Every attempt passes this
-/// check.
+/// Whether all rules allow a request's next attempt to go to this backend: endpoint state, allowed
+/// zones and machine types, earlier attempts, hedging, slow start and idempotency. Every attempt is
+/// checked by this function before it starts.
 pub fn is_eligible(now: Time, settings: &Settings, request: &Request, backend: &Backend) -> bool {
     let class = settings.class(request.class);
     let limits = &settings.protocol_limits;
@@ -36,17 +38,20 @@
         && retry_policy::may_execute_at(now, request, class.idempotency, backend)
 }
 
-/// Backends with the running sum of their shares.
+/// Backends with the running sum of their shares, for a weighted draw.
 #[derive(Default)]
 struct WeightedBackends {
-    /// Each backend, and the sum of the shares up to and including its own.
+    /// The backends, in the order in which they were added.
     entries: Vec<CumulativeShare>,
+    /// The sum of all shares.
     total: f64,
 }
 
+/// One backend of [`WeightedBackends`].
 struct CumulativeShare {
     backend: BackendId,
-    up_to: f64,
+    /// Sum of the shares up to and including the backend's own.
+    cumulative_share: f64,
 }
 
 impl WeightedBackends {
@@ -54,24 +59,27 @@
         self.total += share;
         self.entries.push(CumulativeShare {
             backend,
-            up_to: self.total,
+            cumulative_share: self.total,
         });
     }
 
-    /// The backend in whose share `point` lies, or the last.
+    /// Returns the backend in whose part of the running sum `point` lies, or the last backend if
+    /// `point` lies beyond all; `None` if there are no backends.
     fn at(&self, point: f64) -> Option<BackendId> {
         self.entries
             .iter()
-            .find(|entry| entry.up_to > point)
+            .find(|entry| entry.cumulative_share > point)
             .or(self.entries.last())
             .map(|entry| entry.backend)
     }
 }
 
-/// Draws a backend by share among those eligible for a request; `uniform` is uniform in [0, 1).
+/// Draws a backend for a request's next attempt by share among the eligible backends that are not
+/// candidates of the request; `uniform` is a random number, uniform in [0, 1).
 ///
-/// What ineligible backends leave goes to warm ones: a warming backend keeps its share and no more,
-/// since the bound of slow start holds for that.
+/// The shares of ineligible backends go to warm backends. A warming backend is drawn with its own
+/// share and no more, because the bound of slow start is on that share. Returns `None` if the draw
+/// falls to the warm backends and none of those is left.
 pub fn draw_backend(
     now: Time,
     settings: &Settings,
@@ -95,8 +103,8 @@
             warming.push(backend.id, share);
         }
     }
-    // Load shedding has already rejected the requests for which the upper bounds of the shares have
-    // no room, so a first attempt draws from the shares alone.
+    // Load shedding has already rejected the requests for which the upper bounds of the shares
+    // leave no room, so the first attempt of a request draws from the sum of the shares alone.
     let is_first = request.attempts.is_empty() && request.candidates.is_empty();
     let range = if is_first {
         allocation.shares.iter().sum()
--- a/crates/balancer/src/selection_tests.rs
+++ b/crates/balancer/src/selection_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of eligibility and of the weighted draw.
+//! Tests of which backends are eligible and of the weighted draw.
 
 use super::*;
 use crate::request::AttemptStatus;
@@ -30,8 +30,8 @@
     }
 }
 
-/// Shares are solved over the allowed backends only, and nothing else is drawn, also when all of
-/// those are down or were tried.
+/// The shares of a class with allowed zones or machine types are solved over the allowed backends
+/// only, and no other backend is drawn, also if all of those are down or were tried.
 #[test]
 fn placed_classes_keep_to_their_allowed_backends() {
     let mut balancer = balancer_with(placed_settings(), 9);
@@ -40,24 +40,24 @@
     assert_eq!(balancer.allocation.classes[1].eligible_backends, 6.0);
     let sum: f64 = shares(&balancer, 1).iter().sum();
     assert!((sum - 6.0).abs() < 1e-3, "{:?}", shares(&balancer, 1));
-    let open = (0..9).filter(|&id| share(&balancer, 1, BackendId(id)) > 0.0);
+    let with_share = (0..9).filter(|&id| share(&balancer, 1, BackendId(id)) > 0.0);
     assert_eq!(
-        open.filter(|id| id % 3 != 1).count(),
+        with_share.filter(|id| id % 3 != 1).count(),
         6,
         "{:?}",
         shares(&balancer, 1)
     );
-    // Class 2 has backend 4 only: once that has rejected a request nothing is left for it.
+    // Class 2 may use backend 4 only: once that has rejected a request, no backend is left for it.
     let actions = handle(&mut balancer, at(1), request_arrived(1, 2));
     let attempted: Vec<_> = actions.iter().map(attempted_backend).collect();
     assert_eq!(attempted, [Some(BackendId(4))]);
     let rejected = AttemptOutcome::Rejected;
     let actions = end_attempt(&mut balancer, at(2), 1, BackendId(4), rejected);
     assert!(is_rejection(&actions), "{actions:?}");
-    // Class 3 is open nowhere.
+    // Class 3 may use none of the backends.
     let actions = handle(&mut balancer, at(3), request_arrived(2, 3));
     assert!(is_rejection(&actions), "{actions:?}");
-    // The last check holds whatever chose the backend.
+    // An attempt at a backend that is not allowed does not start, whatever chose the backend.
     handle(&mut balancer, at(4), request_arrived(3, 1));
     let request = balancer.requests.get_mut(&RequestId(3)).expect("pending");
     request.attempts.clear();
@@ -66,10 +66,10 @@
     assert!(is_rejection(&actions), "{actions:?}");
 }
 
-/// What tried or closed backends leave goes to warm ones: the chance of a warming backend does not
-/// grow.
+/// The shares of backends that were tried or are ineligible go to warm backends: the probability of
+/// drawing a warming backend does not grow.
 #[test]
-fn warming_backends_do_not_take_what_others_leave() {
+fn warming_backends_do_not_take_the_shares_of_ineligible_ones() {
     const WARMING: BackendId = BackendId(0);
     const DRAWS: u32 = 20_000;
     let mut balancer = balancer_of(4);
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what warming backends are given.
+//! Tests of the traffic that warming and probably warm backends are given.
 
 use super::*;
 use crate::test_common::{
@@ -13,13 +13,13 @@
 };
 use std::time::Duration;
 
-/// Many nodes together: the intake of a warming backend stays far below its limit from its first
-/// second on.
+/// The requests that many nodes together send to a warming backend stay far below its limit, in
+/// every second from the first one on.
 #[test]
 fn many_nodes_together_do_not_overload_a_warming_backend() {
     const NODES: u32 = 40;
     const BACKENDS: u32 = 20;
-    /// Requests per second that each node sends.
+    /// Rate at which each node sends requests, per second.
     const RATE: f64 = 100.0;
     const WARMING: BackendId = BackendId(0);
     let limits = settings().protocol_limits;
@@ -58,7 +58,8 @@
     assert!(!attempts.is_empty(), "it must get work to warm up");
 }
 
-/// The bound follows a backend's speed, and stays within what it can do by then.
+/// The upper bound of a warming backend's share grows with its speed and stays within the capacity
+/// that it has at that time.
 #[test]
 fn the_bound_of_a_warming_backend_follows_its_speed() {
     let settings = Settings {
@@ -88,7 +89,8 @@
     );
 }
 
-/// A limit without a duration binds nobody: a fleet of warming backends serves all the same.
+/// An overload multiple without an overload duration limits no request: a fleet in which all
+/// backends are warming up serves nevertheless.
 #[test]
 fn without_an_overload_duration_warming_backends_serve() {
     let mut settings = settings();
@@ -114,7 +116,8 @@
     );
 }
 
-/// A list in which this many backends are certainly warm and the others only probably.
+/// Returns an endpoint list of this many certainly warm backends, followed by this many that are
+/// only probably warm.
 fn probably_warm_list(certainly_warm: u32, probably_warm: u32) -> Event {
     let certain = (0..certainly_warm).map(|id| endpoint(id, EndpointState::Active, None));
     let probable = (certainly_warm..certainly_warm + probably_warm).map(|id| Endpoint {
@@ -124,7 +127,8 @@
     endpoint_list(ListUpdate::Snapshot, certain.chain(probable).collect())
 }
 
-/// Attempts per backend for one request each 10 ms, which backends answer or not.
+/// Returns the attempts at each backend for 300 requests, one every 10 ms; `is_answered` says
+/// whether the backends respond.
 fn attempts_at(list: Event, backends: usize, is_answered: bool) -> Vec<usize> {
     let mut settings = unknown_capacity_settings();
     settings.classes.truncate(1);
--- a/crates/balancer/src/speed_estimates.rs
+++ b/crates/balancer/src/speed_estimates.rs
@@ -1,4 +1,5 @@
-//! Speeds of backends relative to the fleet's mean, from load reports or from responses.
+//! Estimates the speeds of backends relative to the fleet's mean, from load reports or, where these
+//! carry no throughput, from responses.
 
 use crate::backend::Backend;
 use crate::estimators::{SpeedEstimate, WorkRate};
@@ -12,26 +13,30 @@
 const BACKEND_SAMPLES: f64 = 16.0;
 /// Number of responses, of all its backends, over which a machine type's work rate is averaged.
 const MACHINE_TYPE_SAMPLES: f64 = 64.0;
-/// Weight of the machine type's work rate beside the backend's own, in responses.
+/// Weight of the machine type's work rate in a backend's expected work rate, as a number of
+/// responses of the backend.
 const MACHINE_TYPE_PRIOR: f64 = 6.0;
-/// Weight of the mean speed beside a backend's own, in reports of capacity.
+/// Weight of the mean speed in a backend's relative speed, as a number of load reports of the
+/// backend.
 const MEAN_SPEED_PRIOR: f64 = 8.0;
-/// Fraction of the mean capacity that a backend without a report is trusted with.
+/// Capacity that is assumed of a backend without a report, as a fraction of the mean capacity.
 const UNKNOWN_CAPACITY_FRACTION: f64 = 0.4;
 
-/// What is known of the speeds of the fleet.
+/// Means of the speeds of the fleet's backends and machine types, against which the speed of a
+/// single backend is measured.
 pub struct SpeedEstimates {
     settings: Arc<Settings>,
-    /// Mean capacity of the active backends in requests per second, once any has reported.
+    /// Mean capacity of the active backends in requests per second; `None` while no backend has
+    /// reported one.
     mean_speed: Option<f64>,
-    /// Work rates of the machine types, from the responses of warm backends.
+    /// Work rate of each machine type, from the responses of its warm backends.
     machine_type_rates: FxHashMap<MachineTypeId, WorkRate>,
-    /// Mean work rate of the active backends, in work per second.
+    /// Mean work rate of the active backends, in seconds of work per second; 1 until it is set.
     mean_work_rate: f64,
 }
 
 impl SpeedEstimates {
-    /// Nothing is known yet.
+    /// Creates estimates without any reports or responses.
     pub fn new(settings: Arc<Settings>) -> Self {
         SpeedEstimates {
             settings,
@@ -41,31 +46,35 @@
         }
     }
 
-    /// Whether the capacity of any active backend is known.
+    /// Whether the capacity of any active backend is known, which requires that throughput is
+    /// reported.
     pub fn is_capacity_known(&self) -> bool {
         self.settings.throughput_reported && self.mean_speed.is_some()
     }
 
-    /// Mean capacity of the active backends in requests per second; 1 while it is unknown.
+    /// Returns the mean capacity of the active backends in requests per second; 1 while it is
+    /// unknown.
     pub fn mean_speed(&self) -> f64 {
         self.mean_speed.unwrap_or(1.0)
     }
 
-    /// Sets the mean capacity in requests per second.
+    /// Sets the mean capacity of the active backends in requests per second; `None` if it is
+    /// unknown.
     pub fn set_mean_speed(&mut self, mean_speed: Option<f64>) {
         self.mean_speed = mean_speed;
     }
 
-    /// Sets the mean work rate in work per second.
+    /// Sets the mean work rate of the active backends, in seconds of work per second.
     pub fn set_mean_work_rate(&mut self, mean_work_rate: f64) {
         self.mean_work_rate = mean_work_rate;
     }
 
-    /// Takes in a response of `work` and `latency`, both in seconds.
+    /// Records a response to a request of this work, with this latency, both in seconds, in the
+    /// work rates of the backend and of its machine type.
     pub fn record_response(&mut self, now: Time, backend: &mut Backend, work: f64, latency: f64) {
         backend.work_rate.record(work, latency, BACKEND_SAMPLES);
         backend.sampled_at = now;
-        // The responses of a warming backend tell its age, not its machine type.
+        // The latency of a warming backend depends on its age and says nothing of its machine type.
         if !backend.is_warming_up(&self.settings.protocol_limits, now) {
             self.machine_type_rates
                 .entry(backend.machine_type)
@@ -74,25 +83,31 @@
         }
     }
 
-    /// Work per second expected of a backend: its own rate and that of its machine type, weighted
-    /// by samples. A node of a large fleet meets a single backend seldom, its machine type often.
+    /// Returns the work rate expected of a backend, in seconds of work per second: the mean of its
+    /// own rate and that of its machine type, weighted by samples. A node in a large fleet gets few
+    /// responses of a single backend, but many of its machine type.
     pub fn expected_work_rate(&self, backend: &Backend) -> f64 {
-        let of_machine_type = self
+        let machine_type_rate = self
             .machine_type_rates
             .get(&backend.machine_type)
             .and_then(WorkRate::work_per_second)
             .unwrap_or(self.mean_work_rate);
         let WorkRate { sample_weight, .. } = backend.work_rate;
-        let own = backend
+        let own_rate = backend
             .work_rate
             .work_per_second()
-            .unwrap_or(of_machine_type);
-        (own * sample_weight + of_machine_type * MACHINE_TYPE_PRIOR)
+            .unwrap_or(machine_type_rate);
+        (own_rate * sample_weight + machine_type_rate * MACHINE_TYPE_PRIOR)
             / (sample_weight + MACHINE_TYPE_PRIOR)
     }
 
-    /// Speed of a backend relative to the mean. The weight of the endpoint list gives a backend's
-    /// size, a response the speed of one of its cores.
+    /// Returns the speed of a backend relative to the mean.
+    ///
+    /// Where the endpoint list gives weights, the speed is the weight relative to `mean_weight`,
+    /// the mean weight of the active backends. If no throughput is reported, that is multiplied by
+    /// the relative work rate: the weight gives the size of a backend, a response the speed of one
+    /// of its cores. Without weights, the speed is that by reported throughput or, if none is
+    /// reported, the relative work rate.
     pub fn relative_speed(&self, backend: &Backend, mean_weight: f64) -> f64 {
         let has_weights = self.settings.endpoint_weights_given;
         match (has_weights, self.settings.throughput_reported) {
@@ -113,7 +128,8 @@
         }
     }
 
-    /// Speed of a backend relative to the mean, by its own samples alone.
+    /// Returns the speed of a backend relative to the mean, by measurements without the weights of
+    /// the endpoint list; 1 where throughput is reported but the backend has reported none.
     pub fn measured_relative_speed(&self, backend: &Backend) -> f64 {
         if !self.settings.throughput_reported {
             self.expected_work_rate(backend) / self.mean_work_rate
@@ -124,7 +140,8 @@
         }
     }
 
-    /// Capacity of a backend in requests per second, where throughput is reported.
+    /// Returns the capacity of a backend in requests per second, where throughput is reported. For
+    /// a backend without a report it is a fraction of the mean capacity.
     pub fn capacity(&self, backend: &Backend) -> f64 {
         if backend.speed.sample_weight > 0.0 {
             backend.speed.requests_per_second
