--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! Settings, endpoints and events for tests.
+//! Settings, endpoints and events that the balancer's tests share.
 //!
-//! Integration tests and unit tests both include this file: the balancer's public items have to be
-//! at their crate's root.
-#![allow(dead_code)] // Each test program uses a part of it.
+//! Both integration tests and unit tests include this file, and it imports the balancer's public
+//! items from `crate`: each crate that includes it must have them at its root.
+#![allow(dead_code)] // Each test program uses only some of the items.
 
 use crate::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, CellId, ClassId, Endpoint,
@@ -12,24 +12,26 @@
 };
 use std::time::Duration;
 
-/// Milliseconds.
+/// Returns a duration of this many milliseconds.
 pub const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// A point in time, in milliseconds from the start of a test.
+/// Returns the point in time that lies this many milliseconds after the start of a test, which is
+/// one second after the origin of the clock.
 pub fn at(milliseconds: u64) -> Time {
     Time(1_000_000_000 + milliseconds * 1_000_000)
 }
 
-/// Feeds an event and returns what is to be done about it.
+/// Passes an event to the balancer at `now` and returns the actions that it asks for.
 pub fn handle(balancer: &mut Balancer, now: Time, event: Event) -> Vec<Action> {
     let mut actions = vec![];
     balancer.handle(now, event, &mut actions);
     actions
 }
 
-/// A class without placement and late weight.
+/// Returns a request class that any backend may serve and whose responses earn nothing after the
+/// latency objective.
 pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         idempotency,
@@ -44,7 +46,8 @@
     }
 }
 
-/// Classes of idempotent and non-idempotent requests, and of keyed ones with each scope.
+/// Returns settings with five classes: idempotent (0), non-idempotent (1), and keyed with the key
+/// scopes `All` (2), `Zone` (3) and `Cell` (4).
 pub fn settings() -> Settings {
     let keyed = |scope| Idempotency::Keyed {
         scope,
@@ -86,7 +89,8 @@
     }
 }
 
-/// The same with classes placed by zone, by machine type, by both, and where no backend is.
+/// Returns [`settings`] in which classes are restricted to backends by zone (class 0), by machine
+/// type (1), by both (2), and by a machine type that no backend of [`endpoint`] has (3).
 pub fn placed_settings() -> Settings {
     let mut settings = settings();
     settings.classes[0].allowed_zones = Some(vec![ZoneId(1)]);
@@ -97,7 +101,8 @@
     settings
 }
 
-/// A listed backend: its zone is its id modulo 2, its machine type modulo 3, its cell modulo 4.
+/// Returns an entry of the endpoint list: the backend's zone is its id modulo 2, its machine type
+/// its id modulo 3 and its cell its id modulo 4.
 pub fn endpoint(id: u32, state: EndpointState, started_at: Option<Time>) -> Endpoint {
     Endpoint {
         backend: BackendId(id),
@@ -111,18 +116,20 @@
     }
 }
 
-/// An endpoint list, or changes to it.
+/// Returns the event with this kind of update of the endpoint list.
 pub fn endpoint_list(update: ListUpdate, endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointList { update, endpoints }
 }
 
-/// A whole list of active backends, numbered from 0.
+/// Returns the event with a snapshot of `count` active backends, numbered from 0, that started long
+/// ago.
 pub fn endpoint_snapshot(count: u32) -> Event {
     let endpoints = (0..count).map(|id| endpoint(id, EndpointState::Active, None));
     endpoint_list(ListUpdate::Snapshot, endpoints.collect())
 }
 
-/// A request that its client waits a second for.
+/// Returns a request of tenant 0 whose client waits one second; its work is not known, and its body
+/// has been received.
 pub fn request(id: u64, class: u8) -> RequestArrival {
     RequestArrival {
         request: RequestId(id),
@@ -134,12 +141,12 @@
     }
 }
 
-/// Such a request arrives.
+/// Returns the event that a [`request`] arrives.
 pub fn request_arrived(id: u64, class: u8) -> Event {
     Event::RequestArrived(request(id, class))
 }
 
-/// A report of utilization and throughput.
+/// Returns a load report with only utilization and throughput.
 pub fn load_report(utilization: f64, throughput: f64) -> LoadReport {
     LoadReport {
         utilization: Some(utilization),
@@ -148,7 +155,7 @@
     }
 }
 
-/// An attempt ends after 100 ms; a success closes its request.
+/// Returns the event that an attempt ended after 100 ms; a success closes its request.
 pub fn attempt_ended(
     request: u64,
     attempt: u32,
--- a/crates/balancer/tests/protocol_rules.rs
+++ b/crates/balancer/tests/protocol_rules.rs
@@ -1,4 +1,5 @@
-//! The protocol's rules under generated sequences of events, watched by an independent observer.
+//! Property tests of the protocol's rules: an independent observer checks the balancer's actions
+//! under generated sequences of events. Further tests check that the observer detects violations.
 
 mod common;
 #[path = "common/observer.rs"]
@@ -10,44 +11,50 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// One step of a generated sequence; positions are modulo what there is.
+/// One step of a generated sequence. A position selects one of the attempts in flight, of the load
+/// probes or of the requests, modulo their number. Numbers that stand for outcomes, states and
+/// updates are mapped to them by [`outcome`], [`state`] and [`update`].
 #[derive(Clone, Debug)]
 enum Step {
-    /// A request arrives; times in milliseconds.
+    /// A request arrives; `class` counts modulo 5. `remaining` and `work` are in milliseconds.
     Arrive {
         class: u8,
         remaining: u64,
         work: Option<u64>,
     },
-    /// An attempt in flight ends.
+    /// An attempt in flight ends, with `utilization` in its load report. A success
+    /// closes its request; another outcome does so if `is_closed` and if the client has already
+    /// disconnected or been sent a final response.
     EndAttempt {
         position: usize,
         outcome: u8,
         utilization: f64,
         is_closed: bool,
     },
-    /// A load probe ends.
+    /// A load probe ends, with `utilization` in its load report.
     EndLoadProbe {
         position: usize,
         outcome: u8,
         utilization: f64,
     },
-    /// Milliseconds pass.
+    /// This many milliseconds pass.
     Wait(u64),
-    /// One entry of the endpoint list changes.
+    /// A delta of the endpoint list with one entry arrives.
     ChangeEndpoint {
         id: u32,
         state: u8,
         is_restarted: bool,
     },
-    /// A whole list comes, or a call for one fails.
+    /// A whole endpoint list arrives, or a call to discovery fails.
     ReplaceEndpoints { count: u32, update: u8 },
-    /// A client disconnects.
+    /// The client of a request, open or closed, disconnects.
     Disconnect { position: usize },
-    /// Events about what the balancer does not know.
-    Stray(u64),
+    /// Events arrive that refer to requests, timers and backends that the balancer does not know.
+    UnknownIds(u64),
 }
 
+/// Generates one step. Arrivals and ends of attempts are the most frequent; utilization includes
+/// values that no backend should report.
 fn step() -> impl Strategy<Value = Step> {
     let utilization = prop_oneof![0.0..1.0f64, Just(f64::NAN), Just(f64::INFINITY), Just(-1.0)];
     let remaining = prop_oneof![Just(0u64), 1u64..1500, Just(u64::MAX / 2_000_000)];
@@ -91,10 +98,11 @@
         2 => change_endpoint,
         1 => replace_endpoints,
         1 => (0usize..8).prop_map(|position| Step::Disconnect { position }),
-        1 => any::<u64>().prop_map(Step::Stray),
+        1 => any::<u64>().prop_map(Step::UnknownIds),
     ]
 }
 
+/// Returns the outcome with this number, modulo the number of outcomes.
 fn outcome(number: u8) -> AttemptOutcome {
     const OUTCOMES: [AttemptOutcome; 8] = [
         AttemptOutcome::Success,
@@ -109,6 +117,7 @@
     OUTCOMES[usize::from(number) % OUTCOMES.len()]
 }
 
+/// Returns the endpoint state with this number, modulo the number of states.
 fn state(number: u8) -> EndpointState {
     const STATES: [EndpointState; 3] = [
         EndpointState::Active,
@@ -118,6 +127,8 @@
     STATES[usize::from(number) % STATES.len()]
 }
 
+/// Returns the kind of list update with this number, modulo 4; two of the four are snapshots and
+/// none is a delta.
 fn update(number: u8) -> ListUpdate {
     const UPDATES: [ListUpdate; 4] = [
         ListUpdate::Snapshot,
@@ -128,19 +139,20 @@
     UPDATES[usize::from(number) % UPDATES.len()]
 }
 
-/// Runs generated steps and returns all actions, or which rule was broken.
+/// Runs generated steps, beginning with 8 active backends, and returns all actions; an error names
+/// the rule that was broken.
 fn run(settings: Settings, steps: &[Step], seed: u64) -> Result<Vec<Action>, String> {
     let mut balancer = ObservedBalancer::new(settings, seed);
     balancer.feed(endpoint_snapshot(8))?;
     for (id, step) in (1..).zip(steps) {
         run_step(&mut balancer, RequestId(id), step)?;
     }
-    // Whatever is still pending ends by its own time.
+    // All that is still pending then ends by its own timeout or deadline.
     balancer.wait(ms(3000))?;
-    Ok(balancer.log)
+    Ok(balancer.all_actions)
 }
 
-/// `next_id` is the id of a request that arrives.
+/// Runs one step; a request that arrives in it gets the id `next_id`.
 fn run_step(
     balancer: &mut ObservedBalancer,
     next_id: RequestId,
@@ -199,11 +211,12 @@
                 balancer.feed(Event::ClientDisconnected { request })?;
             }
         }
-        Step::Stray(number) => feed_stray_events(balancer, number)?,
+        Step::UnknownIds(number) => feed_events_with_unknown_ids(balancer, number)?,
     }
     Ok(())
 }
 
+/// Ends the attempt in flight at this position, after 30 ms; does nothing if none is in flight.
 fn end_attempt(
     balancer: &mut ObservedBalancer,
     position: usize,
@@ -228,6 +241,7 @@
     Ok(())
 }
 
+/// Ends the load probe at this position, after 1 ms; does nothing if none is pending.
 fn end_load_probe(
     balancer: &mut ObservedBalancer,
     position: usize,
@@ -252,13 +266,17 @@
     Ok(())
 }
 
-/// Events about what the balancer does not know are passed over.
-fn feed_stray_events(balancer: &mut ObservedBalancer, number: u64) -> Result<(), String> {
+/// Feeds events that refer to requests, timers and backends that the balancer does not know, and
+/// checks that it returns no actions.
+fn feed_events_with_unknown_ids(
+    balancer: &mut ObservedBalancer,
+    number: u64,
+) -> Result<(), String> {
     let request = RequestId(number | 1 << 60);
     let failed = AttemptOutcome::ServerError;
     let backend = BackendId(number as u32);
     let report = Some(load_report(0.5, 1.0));
-    let stray_events = [
+    let events = [
         attempt_ended(request.0, 0, backend, failed, report),
         Event::ClientDisconnected { request },
         Event::TimerFired {
@@ -276,15 +294,16 @@
             load_report: None,
         }),
     ];
-    for event in stray_events {
+    for event in events {
         let actions = balancer.feed(event.clone())?;
         assert!(actions.is_empty(), "{actions:?} after {event:?}");
     }
     Ok(())
 }
 
-/// Sites that differ in what is reported, allowed and placed.
-fn variants() -> Vec<Settings> {
+/// Returns settings of deployments that differ in load reporting, discovery, endpoint weights, what
+/// is allowed and the placement of classes.
+fn settings_variants() -> Vec<Settings> {
     let probing = Settings {
         load_reporting: LoadReporting::OnProbe,
         throughput_reported: false,
@@ -333,27 +352,29 @@
         steps in proptest::collection::vec(step(), 1..120),
         seed in any::<u64>(),
     ) {
-        for settings in variants() {
-            if let Err(broken) = run(settings, &steps, seed) {
-                prop_assert!(false, "{}", broken);
+        for settings in settings_variants() {
+            if let Err(violation) = run(settings, &steps, seed) {
+                prop_assert!(false, "{}", violation);
             }
         }
     }
 
-    /// The same events and seed give the same actions.
+    /// The same settings, events and seed give the same actions, whatever another balancer does in
+    /// between.
     #[test]
     fn actions_are_determined_by_events_and_seed(
         steps in proptest::collection::vec(step(), 1..80),
         seed in any::<u64>(),
     ) {
         let first = run(settings(), &steps, seed);
-        let _other = run(variants().remove(1), &steps, seed ^ 1);
+        let _other = run(settings_variants().remove(1), &steps, seed ^ 1);
         prop_assert_eq!(first, run(settings(), &steps, seed));
     }
 }
 
-// The observer itself catches a planted violation of each rule.
+// Tests of the observer: it reports a deliberate violation of each rule that it checks.
 
+/// Starts an attempt that may last until the client stops waiting.
 fn start_attempt(request: u64, backend: u32) -> Action {
     Action::StartAttempt {
         request: RequestId(request),
@@ -362,6 +383,7 @@
     }
 }
 
+/// Rejects a request.
 fn reject(request: u64) -> Action {
     Action::Reject {
         request: RequestId(request),
@@ -370,6 +392,7 @@
     }
 }
 
+/// Answers a request with a failure.
 fn fail(request: u64) -> Action {
     Action::Fail {
         request: RequestId(request),
@@ -377,12 +400,15 @@
     }
 }
 
+/// Ends the first attempt of a request with an error of the backend, so that it may have been
+/// executed.
 fn server_error(request: u64, backend: u32) -> Event {
     let outcome = AttemptOutcome::ServerError;
     attempt_ended(request, 0, BackendId(backend), outcome, None)
 }
 
-/// An observer of one request of each class, numbered like it, with an attempt at backend 0 each.
+/// Returns an observer that has seen one request of each class of [`settings`], with the class as
+/// its id, and for each a first attempt at backend 0 that is still in flight.
 fn observer_of_five_requests() -> Observer {
     let mut observer = Observer::new(settings());
     observer.on_event(at(0), &endpoint_snapshot(8));
@@ -390,12 +416,13 @@
         let id = u64::from(class);
         observer.on_event(at(0), &request_arrived(id, class));
         let started = observer.on_action(at(0), &start_attempt(id, 0));
-        started.expect("a first attempt is legal");
+        started.expect("a first attempt is allowed");
     }
     observer
 }
 
-/// Rule 1.
+/// Rule 1: an overdue response is reported, and so are a second response and an attempt after a
+/// response.
 #[test]
 fn observer_catches_a_missing_response_and_what_follows_one() {
     let observer = observer_of_five_requests();
@@ -409,11 +436,12 @@
     assert!(observer.on_action(at(1), &start_attempt(0, 1)).is_err());
 }
 
-/// Rule 2.
+/// Rule 2: repeats and rejections after an attempt that may have been executed, per idempotency.
 #[test]
 fn observer_catches_repeats_that_idempotency_forbids() {
-    for (request, backend, when, is_legal) in [
-        // Idempotent, not idempotent, keyed inside and outside its window, its zone and its cell.
+    for (request, backend, at_ms, is_allowed) in [
+        // Idempotent; non-idempotent; key scope all, within and beyond the key window; key scope
+        // zone, at the same and at another zone; key scope cell, at the same and at another cell.
         (0, 1, 1, true),
         (1, 0, 1, false),
         (2, 1, 1, true),
@@ -424,16 +452,16 @@
         (4, 2, 1, false),
     ] {
         let mut observer = observer_of_five_requests();
-        let again = start_attempt(request, backend);
+        let repeat = start_attempt(request, backend);
         assert!(
-            observer.on_action(at(1), &again).is_err(),
+            observer.on_action(at(1), &repeat).is_err(),
             "two attempts in flight"
         );
         observer.on_event(at(1), &server_error(request, 0));
         assert_eq!(
-            observer.on_action(at(when), &again).is_ok(),
-            is_legal,
-            "{request} to {backend} at {when}"
+            observer.on_action(at(at_ms), &repeat).is_ok(),
+            is_allowed,
+            "request {request}, backend {backend}, {at_ms} ms"
         );
         let mut observer = observer_of_five_requests();
         observer.on_event(at(1), &server_error(request, 0));
@@ -444,12 +472,13 @@
     }
 }
 
-/// Rule 5: a first attempt and a further one outside the class's zone, machine type, or both.
+/// Rule 5: first attempts and retries at backends that the class does not allow by zone, by machine
+/// type, by both, or at all.
 #[test]
 fn observer_catches_attempts_where_the_class_may_not_go() {
-    /// A backend where each class may go.
+    /// For each of the classes 0 to 2, a backend that may serve it; class 3 has none.
     const ALLOWED: [u32; 3] = [5, 3, 4];
-    for (class, backend, is_legal) in [
+    for (class, backend, is_allowed) in [
         (0, 1, true),
         (0, 2, false),
         (1, 0, true),
@@ -465,7 +494,7 @@
             let first = ALLOWED.get(usize::from(class)).filter(|_| is_retry);
             if let Some(&first) = first {
                 let started = observer.on_action(at(0), &start_attempt(1, first));
-                started.expect("open to the class");
+                started.expect("a backend that the class allows");
                 let outcome = AttemptOutcome::Rejected;
                 let rejected = attempt_ended(1, 0, BackendId(first), outcome, None);
                 observer.on_event(at(1), &rejected);
@@ -474,23 +503,24 @@
                 observer
                     .on_action(at(1), &start_attempt(1, backend))
                     .is_ok(),
-                is_legal,
-                "{class} to {backend}"
+                is_allowed,
+                "class {class}, backend {backend}"
             );
         }
     }
 }
 
-/// Rule 3.
+/// Rule 3: the drain grace of 250 ms ends 260 ms after the start, since the drain is notified at
+/// 10 ms.
 #[test]
 fn observer_catches_attempts_after_the_drain_grace() {
-    for (when, is_legal) in [(260, true), (261, false)] {
+    for (at_ms, is_allowed) in [(260, true), (261, false)] {
         let mut observer = observer_of_five_requests();
         let draining = endpoint(5, EndpointState::Draining, None);
         let list = endpoint_list(ListUpdate::Delta, vec![draining]);
         observer.on_event(at(10), &list);
         observer.on_event(at(11), &request_arrived(9, 0));
-        let started = observer.on_action(at(when), &start_attempt(9, 5));
-        assert_eq!(started.is_ok(), is_legal);
+        let started = observer.on_action(at(at_ms), &start_attempt(9, 5));
+        assert_eq!(started.is_ok(), is_allowed);
     }
 }
