--- a/crates/balancer/examples/scripted_overload.rs
+++ b/crates/balancer/examples/scripted_overload.rs
@@ -1,5 +1,8 @@
-//! Drives a balancer by scripted events: a slow backend, one that fails fast, an overload. Prints
-//! which backends are chosen.
+//! Drives a balancer with a script of events: a slow backend, a backend that refuses connections,
+//! and an overload. Prints how often each backend is chosen and how many requests are rejected or
+//! fail.
+//!
+//! Run it with `cargo run -p balancer --example scripted_overload`.
 
 use balancer::{
     Action, AttemptOutcome, AttemptResult, BackendId, Balancer, CellId, ClassId, Endpoint,
@@ -9,16 +12,19 @@
 };
 use std::time::Duration;
 
+/// Number of backends, whose ids count from 0.
 const BACKENDS: u32 = 4;
-/// Requests per second that a backend can do.
+/// Requests per second that a backend can serve.
 const CAPACITY: f64 = 50.0;
-/// A backend of half the capacity.
+/// The backend that has half the capacity.
 const SLOW: BackendId = BackendId(2);
-/// A backend that refuses connections in one of the phases.
+/// The backend that refuses connections in one of the phases.
 const UNRELIABLE: BackendId = BackendId(3);
-/// Seconds that a phase takes.
+/// Duration of a phase in seconds.
 const PHASE_SECONDS: u64 = 2;
 
+/// Returns a class of requests that any backend may serve, with an objective of 1 s and a deadline
+/// of 2 s.
 fn class(idempotency: Idempotency, priority_weight: f64) -> RequestClass {
     RequestClass {
         idempotency,
@@ -33,6 +39,8 @@
     }
 }
 
+/// Returns settings for one node with two classes: idempotent requests of weight 1 and
+/// non-idempotent ones of weight 5.
 fn settings() -> Settings {
     Settings {
         nodes: 1,
@@ -67,6 +75,7 @@
     }
 }
 
+/// Returns an active endpoint whose process started long ago.
 fn endpoint(id: u32) -> Endpoint {
     Endpoint {
         backend: BackendId(id),
@@ -80,17 +89,20 @@
     }
 }
 
-/// A time of two seconds in which requests arrive at a constant rate.
+/// A period of [`PHASE_SECONDS`] in which requests arrive at a constant rate.
 #[derive(Clone, Copy)]
 struct Phase {
+    /// Its start, in milliseconds from the start of the script.
     start_ms: u64,
     /// Requests per second.
     rate: u64,
+    /// Whether [`UNRELIABLE`] refuses connections.
     unreliable_fails: bool,
 }
 
 impl Phase {
-    /// The end of an attempt at a backend after 100 ms.
+    /// Returns the result of an attempt that ended after 100 ms. A success has a load report, for
+    /// which all backends get the same part of the arrivals.
     fn result(&self, request: RequestId, attempt: u32, backend: BackendId) -> AttemptResult {
         let is_failing = self.unreliable_fails && backend == UNRELIABLE;
         let capacity = if backend == SLOW {
@@ -119,7 +131,8 @@
     }
 }
 
-/// Sends the requests of a phase, whose attempts end at once, and prints what became of them.
+/// Sends the requests of a phase and prints how often each backend was chosen and how many requests
+/// were rejected or failed. The end of an attempt is reported at the time of its start.
 fn run(balancer: &mut Balancer, phase: Phase) {
     let mut chosen = [0u32; BACKENDS as usize];
     let (mut rejected, mut failed) = (0, 0);
@@ -163,30 +176,30 @@
         endpoints: (0..BACKENDS).map(endpoint).collect(),
     };
     balancer.handle(Time(0), list, &mut vec![]);
-    let usual = Phase {
+    let normal = Phase {
         start_ms: 1_000,
         rate: 80,
         unreliable_fails: false,
     };
-    let at = |start_ms| Phase { start_ms, ..usual };
-    println!("Four backends, number 2 of half the capacity: it is avoided in proportion.");
-    run(&mut balancer, usual);
-    run(&mut balancer, at(3_000));
-    println!("Number 3 refuses connections: each failure raises its price, the rest take over.");
+    let normal_from = |start_ms| Phase { start_ms, ..normal };
+    println!(
+        "Backend 2 has half the capacity of the others and is chosen less often, in proportion."
+    );
+    run(&mut balancer, normal);
+    run(&mut balancer, normal_from(3_000));
+    println!("Backend 3 refuses connections. Each failure raises its price; the others take over.");
     let failing = Phase {
         unreliable_fails: true,
-        ..at(5_000)
+        ..normal_from(5_000)
     };
     run(&mut balancer, failing);
-    println!("It has recovered: its price drifts back.");
-    run(&mut balancer, at(7_000));
-    run(&mut balancer, at(20_000));
-    println!(
-        "Three times the traffic: what finds no place is rejected, low priority weights first."
-    );
+    println!("Backend 3 accepts connections again. Its price falls back over time.");
+    run(&mut balancer, normal_from(7_000));
+    run(&mut balancer, normal_from(20_000));
+    println!("Three times the traffic. Excess requests are rejected, low priority weights first.");
     let overload = Phase {
         rate: 240,
-        ..at(30_000)
+        ..normal_from(30_000)
     };
     run(&mut balancer, overload);
     Ok(())
--- a/crates/balancer/tests/slow_start_of_a_fleet.rs
+++ b/crates/balancer/tests/slow_start_of_a_fleet.rs
@@ -1,8 +1,9 @@
-//! What a fleet of nodes together sends to warming backends.
+//! Tests of the attempts that all nodes of a fleet together send to backends that are warming up.
 //!
-//! No node knows of the others; what they send together has to stay within what the settings allow.
-//! The test steps balancers through one fleet's arrivals and counts; it simulates no backend beyond
-//! a fixed rate.
+//! No node sees the decisions of the others, yet the attempts of all have to stay within the limit
+//! that the settings give. The tests feed the arrivals of a whole fleet to one balancer per node
+//! and count attempts and rejections. Backends are not simulated, except that each attempt takes a
+//! fixed time and a fixed fraction is rejected.
 
 mod common;
 
@@ -13,22 +14,24 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Requests per second that a warm backend can do.
+/// Requests per second that a warm backend can serve; its inverse is the time that each attempt
+/// takes.
 const BACKEND_RATE: f64 = 20.0;
-/// When most backends are replaced, in milliseconds.
-const REPLACED_AT: u64 = 2000;
-/// Milliseconds within which the nodes are notified of that, one after the other.
-const NOTIFIED_WITHIN: u64 = 1000;
-/// Milliseconds that a run takes.
-const END: u64 = 5500;
-/// Fraction of the attempts that backends reject.
+/// When most backends are replaced, in milliseconds from the start of a run.
+const REPLACED_AT_MS: u64 = 2000;
+/// Time in milliseconds after the replacement within which all nodes are notified of it, each at a
+/// random moment.
+const NOTIFIED_WITHIN_MS: u64 = 1000;
+/// Duration of a run in milliseconds.
+const RUN_DURATION_MS: u64 = 5500;
+/// Fraction of the attempts that backends reject, drawn at random.
 const REJECTED_FRACTION: f64 = 0.03;
 
-/// Random numbers for a test: the same in each run.
+/// A `SplitMix64` generator: the same state gives the same numbers in each run.
 struct TestRandom(u64);
 
 impl TestRandom {
-    /// Uniform in [0, 1).
+    /// Returns the next number, uniform in [0, 1).
     fn uniform(&mut self) -> f64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -38,28 +41,35 @@
     }
 }
 
-/// What is known of the backends.
+/// Which backends there are in a run, and what the nodes know of their starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Backends {
-    /// All are warm; nine in ten are replaced at one moment.
+enum BackendSetup {
+    /// All are warm at the start. Nine in ten are replaced by new ones at [`REPLACED_AT_MS`].
     Replaced,
-    /// All are probably warm when the nodes start, and stay.
+    /// None is replaced. Each has probably been running for long, but may have started as late as
+    /// the nodes.
     ProbablyWarm,
 }
 
-/// One run of a fleet.
+/// The parameters of one run of a fleet.
 #[derive(Clone, Copy)]
 struct Scenario {
-    known: Backends,
+    /// Whether backends are replaced.
+    backend_setup: BackendSetup,
+    /// Number of nodes.
     nodes: u32,
+    /// Number of backends that are listed at any one time.
     backends: u32,
+    /// How load reports reach the nodes, if at all.
     load_reporting: LoadReporting,
-    /// Fraction of what all backends could do warm that arrives.
-    utilization: f64,
+    /// Rate of the arrivals as a fraction of the rate that all backends together serve when warm.
+    offered_load: f64,
+    /// Seeds the arrivals and, with the number of the node, each balancer.
     seed: u64,
 }
 
 impl Scenario {
+    /// Returns the settings of every node.
     fn settings(&self) -> Settings {
         let mut settings = settings();
         settings.nodes = self.nodes;
@@ -71,16 +81,16 @@
         settings
     }
 
-    /// Backends that are not replaced.
-    fn staying(&self) -> u32 {
+    /// Returns the number of backends that are not replaced.
+    fn retained(&self) -> u32 {
         (self.backends / 10).max(1)
     }
 
-    /// All backends before any is replaced.
+    /// Returns the list of all backends before any is replaced.
     fn first_list(&self) -> Event {
-        let started_at = match self.known {
-            Backends::Replaced => None,
-            Backends::ProbablyWarm => Some(at(0)),
+        let started_at = match self.backend_setup {
+            BackendSetup::Replaced => None,
+            BackendSetup::ProbablyWarm => Some(at(0)),
         };
         let endpoints = (0..self.backends).map(|id| Endpoint {
             likely_started_at: None,
@@ -89,75 +99,85 @@
         endpoint_list(ListUpdate::Snapshot, endpoints.collect())
     }
 
-    /// Those that stay, and new ones in the place of the others.
+    /// Returns the list of the backends that are not replaced and of the new ones.
     fn replaced_list(&self) -> Event {
-        let staying = (0..self.staying()).map(|id| endpoint(id, EndpointState::Active, None));
-        let started_at = Some(at(REPLACED_AT));
-        let new = (self.backends..2 * self.backends - self.staying())
+        let retained = (0..self.retained()).map(|id| endpoint(id, EndpointState::Active, None));
+        let started_at = Some(at(REPLACED_AT_MS));
+        let new = (self.backends..2 * self.backends - self.retained())
             .map(|id| endpoint(id, EndpointState::Active, started_at));
-        endpoint_list(ListUpdate::Snapshot, staying.chain(new).collect())
+        endpoint_list(ListUpdate::Snapshot, retained.chain(new).collect())
     }
 }
 
 impl fmt::Display for Scenario {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Scenario {
-            known,
+            backend_setup,
             nodes,
             backends,
             load_reporting,
-            utilization,
+            offered_load,
             seed,
         } = self;
         write!(
             formatter,
-            "{known:?}, {load_reporting:?}, {nodes} nodes, {backends} backends, {utilization} busy, seed {seed}"
+            "{backend_setup:?}, {load_reporting:?}, {nodes} nodes, {backends} backends, offered load {offered_load}, seed {seed}"
         )
     }
 }
 
+/// One node of the fleet.
 struct Node {
     balancer: Balancer,
-    /// Fraction of the arrivals that come here.
+    /// Fraction of all arrivals that this node receives.
     traffic_fraction: f64,
-    /// When it is notified of the new backends, in milliseconds.
+    /// When it is notified of the new backends, in milliseconds from the start of the run.
     notified_at: u64,
+    /// Whether it has been notified; true from the start if no backends are replaced.
     is_notified: bool,
 }
 
-/// The end of an attempt; the earliest is the least.
+/// The end of an attempt. The order is by time first, so that the earliest is the least.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptEnd {
-    /// Milliseconds.
+    /// Milliseconds from the start of the run.
     time: u64,
+    /// Position of the node that made the attempt.
     node: usize,
     request: RequestId,
+    /// Number of the attempt within the request, counted from 0.
     attempt: u32,
     backend: BackendId,
 }
 
-/// An event at a node, in milliseconds.
+/// An event for one node.
 struct NodeEvent {
+    /// Milliseconds from the start of the run.
     time: u64,
+    /// Position of the node.
     node: usize,
     event: Event,
 }
 
-/// A fleet in the course of a run.
+/// The state of a run: the nodes, the attempts in flight and what has been counted.
 struct Fleet {
     scenario: Scenario,
     random: TestRandom,
     nodes: Vec<Node>,
-    /// Times of the attempts at each backend, in milliseconds.
-    attempts: BTreeMap<BackendId, Vec<u64>>,
-    ends: BinaryHeap<Reverse<AttemptEnd>>,
-    /// Requests that arrive once all nodes know of the new backends, if there are any.
+    /// When attempts started at each backend, in milliseconds from the start of the run.
+    attempt_times: BTreeMap<BackendId, Vec<u64>>,
+    /// The ends of the attempts in flight, the earliest first.
+    attempt_ends: BinaryHeap<Reverse<AttemptEnd>>,
+    /// Number of requests that arrived after the time within which all nodes are notified of the
+    /// new backends; if no backends are replaced, of all requests.
     arrived: u32,
-    /// Those of them that are rejected on arrival.
+    /// Number of those requests that were rejected on arrival.
     rejected: u32,
 }
 
 impl Fleet {
+    /// Creates the nodes of a run, each with the first list, its part of the traffic and the moment
+    /// at which it is notified.
     fn new(scenario: Scenario) -> Self {
         let Scenario {
             nodes,
@@ -165,15 +185,15 @@
             seed,
             ..
         } = scenario;
-        let seed_of_run = seed << 32 | u64::from(nodes) << 16 | u64::from(backends);
-        let mut random = TestRandom(seed_of_run);
-        // Some nodes see several times the mean.
+        let run_seed = seed << 32 | u64::from(nodes) << 16 | u64::from(backends);
+        let mut random = TestRandom(run_seed);
+        // Some nodes receive several times the mean traffic.
         let weights: Vec<f64> = (0..nodes)
             .map(|_| 0.3 + 3.0 * random.uniform().powi(3))
             .collect();
         let sum: f64 = weights.iter().sum();
         let nodes = (0..).zip(weights).map(|(number, weight): (u64, f64)| {
-            let delay = random.uniform() * NOTIFIED_WITHIN as f64;
+            let delay = random.uniform() * NOTIFIED_WITHIN_MS as f64;
             let seed = seed * 1000 + number;
             let balancer = Balancer::new(scenario.settings(), seed, at(0));
             let mut balancer = balancer.expect("valid settings");
@@ -181,8 +201,8 @@
             Node {
                 balancer,
                 traffic_fraction: weight / sum,
-                notified_at: REPLACED_AT + delay as u64,
-                is_notified: scenario.known == Backends::ProbablyWarm,
+                notified_at: REPLACED_AT_MS + delay as u64,
+                is_notified: scenario.backend_setup == BackendSetup::ProbablyWarm,
             }
         });
         let nodes = nodes.collect();
@@ -190,24 +210,26 @@
             scenario,
             random,
             nodes,
-            attempts: BTreeMap::new(),
-            ends: BinaryHeap::new(),
+            attempt_times: BTreeMap::new(),
+            attempt_ends: BinaryHeap::new(),
             arrived: 0,
             rejected: 0,
         }
     }
 
+    /// Feeds Poisson arrivals, and the ends of the attempts that are due before each, until the run
+    /// is over.
     fn run(&mut self) {
-        let rate = self.scenario.utilization * BACKEND_RATE * f64::from(self.scenario.backends);
+        let rate = self.scenario.offered_load * BACKEND_RATE * f64::from(self.scenario.backends);
         let mut now = 0.0;
         for id in 0.. {
             now -= (1.0 - self.random.uniform()).ln() * 1000.0 / rate;
             let time = now as u64;
-            if time >= END {
+            if time >= RUN_DURATION_MS {
                 break;
             }
             let node = self.draw_node();
-            let mut events = self.ends_until(time);
+            let mut events = self.take_attempt_ends(time);
             events.push(NodeEvent {
                 time,
                 node,
@@ -219,7 +241,7 @@
         }
     }
 
-    /// The node of the next arrival.
+    /// Draws the node of the next arrival by the nodes' fractions of the traffic.
     fn draw_node(&mut self) -> usize {
         let mut point = self.random.uniform();
         for (number, node) in self.nodes.iter().enumerate() {
@@ -231,14 +253,15 @@
         self.nodes.len() - 1
     }
 
-    /// The ends of the attempts that are due by a time.
-    fn ends_until(&mut self, time: u64) -> Vec<NodeEvent> {
+    /// Removes the ends of attempts that are due by `time`, in milliseconds, and returns their
+    /// events in the order of time. Whether the backend rejected an attempt is drawn here.
+    fn take_attempt_ends(&mut self, time: u64) -> Vec<NodeEvent> {
         let mut events = vec![];
-        while let Some(&Reverse(end)) = self.ends.peek() {
+        while let Some(&Reverse(end)) = self.attempt_ends.peek() {
             if end.time > time {
                 break;
             }
-            self.ends.pop();
+            self.attempt_ends.pop();
             let is_rejected = self.random.uniform() < REJECTED_FRACTION;
             events.push(NodeEvent {
                 time: end.time,
@@ -249,6 +272,7 @@
         events
     }
 
+    /// Returns the result of an attempt: a rejection or a success.
     fn result_of(&self, end: &AttemptEnd, is_rejected: bool) -> AttemptResult {
         let has_reports = self.scenario.load_reporting != LoadReporting::Absent;
         AttemptResult {
@@ -263,13 +287,15 @@
             latency: Duration::from_secs_f64(1.0 / BACKEND_RATE),
             request_closed: !is_rejected,
             load_report: has_reports.then(|| LoadReport {
-                utilization: Some(self.scenario.utilization.min(1.0)),
+                utilization: Some(self.scenario.offered_load.min(1.0)),
                 queue_depth: Some(0.0),
                 ..LoadReport::default()
             }),
         }
     }
 
+    /// Passes an event to its node, after the replaced list if that is due, and records the
+    /// attempts and rejections that follow.
     fn feed(&mut self, NodeEvent { time, node, event }: NodeEvent) {
         let number = node;
         let node = &mut self.nodes[number];
@@ -282,9 +308,9 @@
             Event::AttemptEnded(result) => result.attempt + 1,
             _ => 0,
         };
-        let counted_from = match self.scenario.known {
-            Backends::Replaced => REPLACED_AT + NOTIFIED_WITHIN,
-            Backends::ProbablyWarm => 0,
+        let counted_from = match self.scenario.backend_setup {
+            BackendSetup::Replaced => REPLACED_AT_MS + NOTIFIED_WITHIN_MS,
+            BackendSetup::ProbablyWarm => 0,
         };
         let is_counted = is_arrival && time >= counted_from;
         self.arrived += u32::from(is_counted);
@@ -293,8 +319,8 @@
                 Action::StartAttempt {
                     request, backend, ..
                 } => {
-                    self.attempts.entry(backend).or_default().push(time);
-                    self.ends.push(Reverse(AttemptEnd {
+                    self.attempt_times.entry(backend).or_default().push(time);
+                    self.attempt_ends.push(Reverse(AttemptEnd {
                         time: time + (1000.0 / BACKEND_RATE) as u64,
                         node: number,
                         request,
@@ -308,15 +334,19 @@
         }
     }
 
+    /// Returns the fraction of the counted arrivals that were rejected on arrival.
     fn rejected_fraction(&self) -> f64 {
         f64::from(self.rejected) / f64::from(self.arrived)
     }
 
-    /// The window at a new backend that exceeds the limit and chance by most.
+    /// Returns the window at a new backend with the largest [`excess`](Window::excess); windows
+    /// begin at each attempt.
     fn worst_window(&self) -> Window {
         let limits = self.scenario.settings().protocol_limits;
         let duration = limits.overload_duration.as_millis() as u64;
-        let new_backends = self.attempts.range(BackendId(self.scenario.backends)..);
+        let new_backends = self
+            .attempt_times
+            .range(BackendId(self.scenario.backends)..);
         let windows = new_backends.flat_map(|(&backend, times)| {
             let limits = &limits;
             times.iter().enumerate().map(move |(position, &from)| {
@@ -335,28 +365,31 @@
     }
 }
 
-/// Attempts that a new backend bears in the overload duration from a time in milliseconds on.
+/// Returns the number of attempts that a new backend can take without being overloaded in the
+/// overload duration that begins at `from`, in milliseconds from the start of the run.
 fn attempts_allowed(limits: &ProtocolLimits, from: u64) -> f64 {
     let slow_start = limits.slow_start_duration.as_millis() as f64;
-    let age = (from - REPLACED_AT) as f64 / slow_start;
+    let age = (from - REPLACED_AT_MS) as f64 / slow_start;
     let initial = limits.slow_start_initial_capacity;
     let available_capacity = (initial + (1.0 - initial) * age).min(1.0);
     let duration = limits.overload_duration.as_secs_f64();
     limits.overload_multiple * available_capacity * BACKEND_RATE * duration
 }
 
-/// The attempts at a new backend within one overload duration.
+/// The attempts that all nodes start at a new backend within one overload duration.
 struct Window {
     backend: BackendId,
-    /// Its start in milliseconds.
+    /// Its start, in milliseconds from the start of the run.
     from: u64,
+    /// Number of attempts.
     attempts: usize,
-    /// Attempts that the backend bears.
+    /// Number of attempts that the backend can take without being overloaded.
     limit: f64,
 }
 
 impl Window {
-    /// Attempts beyond the limit and what chance may add to it.
+    /// Returns the number of attempts beyond the limit plus an allowance for chance: two standard
+    /// deviations of a Poisson count with the limit as its mean, plus 2.
     fn excess(&self) -> f64 {
         self.attempts as f64 - (self.limit + 2.0 * self.limit.sqrt() + 2.0)
     }
@@ -372,12 +405,12 @@
         } = self;
         write!(
             formatter,
-            "backend {backend}: {attempts} from {from} ms on, of {limit:.1}"
+            "backend {backend}: {attempts} attempts from {from} ms on, {limit:.1} allowed"
         )
     }
 }
 
-/// Nodes, backends and number of seeds.
+/// The sizes of the tested fleets: nodes, backends, and the number of seeds with which each runs.
 const SIZES: [(u32, u32, u64); 6] = [
     (1, 20, 3),
     (20, 60, 3),
@@ -387,7 +420,9 @@
     (300, 180, 1),
 ];
 
-/// Also where each node sees few requests. Backends reject a few, which sheds a few more.
+/// A fleet that starts beside backends that are probably warm rejects less than 10 % of the
+/// requests on arrival, also where each node receives few. Some rejections are expected: backends
+/// reject a few attempts, and the nodes shed a few requests in response.
 #[test]
 fn a_fleet_that_starts_beside_probably_warm_backends_sheds_little() {
     const MAX_REJECTED_FRACTION: f64 = 0.1;
@@ -395,11 +430,11 @@
         for (nodes, backends, seeds) in SIZES {
             for seed in 0..seeds {
                 let scenario = Scenario {
-                    known: Backends::ProbablyWarm,
+                    backend_setup: BackendSetup::ProbablyWarm,
                     nodes,
                     backends,
                     load_reporting,
-                    utilization: 0.7,
+                    offered_load: 0.7,
                     seed,
                 };
                 let mut fleet = Fleet::new(scenario);
@@ -412,17 +447,19 @@
     }
 }
 
+/// All nodes together keep within a warming backend's limit up to chance, below and above the
+/// backends' full capacity, with and without load reports.
 #[test]
 fn a_fleet_keeps_to_the_limit_of_warming_backends_up_to_chance() {
     for load_reporting in [LoadReporting::Absent, LoadReporting::WithResponses] {
         for (nodes, backends, seeds) in SIZES {
-            for (seed, utilization) in (0..seeds).flat_map(|seed| [(seed, 0.7), (seed, 1.2)]) {
+            for (seed, offered_load) in (0..seeds).flat_map(|seed| [(seed, 0.7), (seed, 1.2)]) {
                 let scenario = Scenario {
-                    known: Backends::Replaced,
+                    backend_setup: BackendSetup::Replaced,
                     nodes,
                     backends,
                     load_reporting,
-                    utilization,
+                    offered_load,
                     seed,
                 };
                 let mut fleet = Fleet::new(scenario);
--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -1,18 +1,19 @@
-//! The size of the workspace's source files and functions, so that each can be read in one sitting.
+//! Limits the size of the workspace's source files and functions, so that each can be read at once.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Lines that a source file may have.
+/// Largest number of lines of a source file.
 const MAX_FILE_LINES: usize = 450;
-/// Lines that a function may have, from its signature to its closing brace.
+/// Largest number of lines of a function, from the first line of its signature to its closing
+/// brace.
 const MAX_FUNCTION_LINES: usize = 60;
-/// Columns that a line may have, as rustfmt leaves it; rustfmt does not break string literals and
+/// Largest number of columns of a line after formatting; rustfmt does not break string literals and
 /// comments.
 const MAX_COLUMNS: usize = 110;
 
-/// Files that are still to be split, to which the limits on lines do not apply until then. An entry
-/// that is no longer needed fails the test.
+/// Files that still have to be split, by their paths below the folder of all crates. The limits on
+/// the number of lines do not apply to them, but an entry that is no longer needed fails the test.
 const NOT_YET_SPLIT: &[&str] = &[];
 
 #[test]
@@ -33,7 +34,8 @@
     assert!(problems.is_empty(), "{}", problems.join("\n"));
 }
 
-/// The Rust files below `src` folders, without test files.
+/// Returns the Rust files in `src` folders below `folder`, without the files of unit tests, whose
+/// names end in `tests.rs`. Fails if there are none.
 fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     let mut folders = vec![folder.to_path_buf()];
@@ -51,18 +53,21 @@
     files
 }
 
+/// Whether the path names a Rust file in a `src` folder that is not a file of unit tests.
 fn is_source(path: &Path) -> bool {
     let name = path.to_string_lossy();
     name.contains("/src/") && name.ends_with(".rs") && !name.ends_with("tests.rs")
 }
 
+/// Adds to `problems` each limit that the file exceeds, and an entry of [`NOT_YET_SPLIT`] that is
+/// no longer needed.
 fn check_file(name: &str, text: &str, problems: &mut Vec<String>) {
     let lines: Vec<&str> = text.lines().collect();
     let (longest_name, longest) = longest_function(&lines);
     let is_small = lines.len() <= MAX_FILE_LINES && longest <= MAX_FUNCTION_LINES;
     match (NOT_YET_SPLIT.contains(&name), is_small) {
         (true, true) => problems.push(format!(
-            "{name}: is split by now, remove it from NOT_YET_SPLIT"
+            "{name}: is within the limits, remove it from NOT_YET_SPLIT"
         )),
         (false, false) => problems.push(format!(
             "{name}: {} lines, {MAX_FILE_LINES} allowed; `{longest_name}` has {longest} lines, \
@@ -81,8 +86,9 @@
     }
 }
 
-/// The longest function of a file formatted by rustfmt, where a function's closing brace stands in
-/// the column of its signature.
+/// Returns the name and the number of lines of a file's longest function; an empty name and 0 if
+/// there is none. The file has to be formatted by rustfmt, which puts the closing brace of a
+/// function into the column in which its signature begins.
 fn longest_function(lines: &[&str]) -> (String, usize) {
     let mut longest = (String::new(), 0);
     for (start, line) in lines.iter().enumerate() {
@@ -101,13 +107,14 @@
     longest
 }
 
-/// The name of the function whose signature begins on this line.
+/// Returns the name of the function whose signature begins on this line. `None` if none begins
+/// here, or if it has no body or ends on the same line.
 fn function_name(line: &str) -> Option<&str> {
     let (before, after) = line.trim_start().split_once("fn ")?;
     let qualifiers = ["pub", "async", "const", "unsafe", "extern"];
     let is_signature = before
         .split_whitespace()
         .all(|word| word.starts_with('"') || qualifiers.iter().any(|q| word.starts_with(q)));
-    let is_body = !line.trim_end().ends_with(';') && !line.trim_end().ends_with('}');
-    (is_signature && is_body).then(|| after.split(['(', '<']).next().unwrap_or(after))
+    let body_follows = !line.trim_end().ends_with(';') && !line.trim_end().ends_with('}');
+    (is_signature && body_follows).then(|| after.split(['(', '<']).next().unwrap_or(after))
 }
