--- a/crates/settings/src/conversion.rs
+++ b/crates/settings/src/conversion.rs
@@ -1,4 +1,4 @@
-//! From the JSON form to the balancer's settings.
+//! Converts settings from their JSON form, [`SettingsDocument`], into [`InstanceSettings`].
 
 use crate::document::{
     AttemptLimitsDocument, ClassDocument, DiscoveryMode, EndpointWeights, LoadReportDocument,
@@ -14,7 +14,7 @@
 
 impl From<SettingsDocument> for InstanceSettings {
     fn from(document: SettingsDocument) -> Self {
-        let load_report_fields = document.load_report.known_fields();
+        let load_report_fields = document.load_report.parsed_fields();
         InstanceSettings {
             settings: document.balancer_settings(&load_report_fields),
             load_report_fields,
@@ -24,6 +24,8 @@
 }
 
 impl SettingsDocument {
+    /// Returns the balancer's settings, given the fields of the load reports. More than 255 zones
+    /// count as 255, and an empty list of zones as one zone.
     fn balancer_settings(&self, load_report_fields: &[LoadReportField]) -> Settings {
         let limits = &self.limits;
         Settings {
@@ -50,6 +52,8 @@
         }
     }
 
+    /// Returns the names of classes, tenants, zones, machine types and load report fields, in their
+    /// order in the settings.
     fn into_names(self) -> SettingNames {
         SettingNames {
             classes: self.classes.into_iter().map(|class| class.name).collect(),
@@ -62,7 +66,9 @@
 }
 
 impl LoadReportDocument {
-    fn known_fields(&self) -> Vec<LoadReportField> {
+    /// Returns the fields of load reports in their order in the settings; names that are not known
+    /// become [`LoadReportField::Unused`].
+    fn parsed_fields(&self) -> Vec<LoadReportField> {
         self.fields
             .iter()
             .map(|name| LoadReportField::from_name(name))
@@ -71,7 +77,7 @@
 }
 
 impl AttemptLimitsDocument {
-    /// `None` where clients are not given a Retry-After.
+    /// Returns the longest Retry-After, or `None` if clients are sent none.
     fn max_retry_after(&self) -> Option<Duration> {
         self.retry_after_allowed
             .then(|| Duration::from_nanos(self.max_retry_after_ns))
@@ -79,6 +85,8 @@
 }
 
 impl ClassDocument {
+    /// Returns the idempotency of the class; key scope and key window count only for keyed
+    /// requests.
     fn idempotency(&self) -> Idempotency {
         match self.idempotency {
             WireIdempotency::Idempotent => Idempotency::Idempotent,
@@ -90,11 +98,13 @@
         }
     }
 
+    /// Returns the zones that may serve the class; `None` allows all.
     fn allowed_zones(&self) -> Option<Vec<ZoneId>> {
         let zones = self.allowed_zones.as_ref()?;
         Some(zones.iter().copied().map(ZoneId).collect())
     }
 
+    /// Returns the machine types that may serve the class; `None` allows all.
     fn allowed_machine_types(&self) -> Option<Vec<MachineTypeId>> {
         let machine_types = self.allowed_machine_types.as_ref()?;
         Some(machine_types.iter().copied().map(MachineTypeId).collect())
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -1,9 +1,12 @@
-//! The settings as they are written in JSON, with the protocol's keys and values.
+//! The JSON form of the settings, with the protocol's keys and values.
+//!
+//! Fields and variants are named in the terms of [`balancer::Settings`]; `rename` gives the
+//! protocol's name where that differs. Fields in nanoseconds end in `_ns`.
 
 use crate::errors::ParseError;
 use serde::Deserialize;
 
-/// The whole settings object.
+/// The settings object as a whole.
 #[derive(Deserialize)]
 pub(crate) struct SettingsDocument {
     #[serde(rename = "balancers", default = "single_node")]
@@ -33,21 +36,22 @@
     pub(crate) machine_types: Vec<String>,
 }
 
-/// How changes of the endpoint list reach a node.
+/// How changes of the endpoint list reach a node: `registry_mode`.
 #[derive(Deserialize)]
 pub(crate) enum DiscoveryMode {
-    /// They are pushed without a request.
+    /// Discovery sends them without being asked.
     #[serde(rename = "automatic")]
     Pushed,
-    /// They come only when polled.
+    /// They arrive only when the node polls discovery.
     #[serde(rename = "subscribe")]
     Polled,
 }
 
-/// What the weights in the endpoint list stand for.
+/// What the weights in the endpoint list say about the backends' sizes. All values but `Absent`
+/// have the same effect.
 #[derive(Deserialize, Default)]
 pub(crate) enum EndpointWeights {
-    /// Nothing.
+    /// They say nothing and are not used.
     #[default]
     #[serde(rename = "silent")]
     Absent,
@@ -59,28 +63,35 @@
     Live,
 }
 
-/// What a priority weight is counted for.
+/// Whether a class's priority weight counts per request or per unit of work: `worth_by`.
 #[derive(Deserialize, Default)]
 pub(crate) enum WeightUnit {
+    /// Per request.
     #[default]
     #[serde(rename = "request")]
     Request,
+    /// Per unit of work.
     #[serde(rename = "work")]
     Work,
 }
 
-/// Which repeats of a request are harmless.
+/// Whether the requests of a class may be executed more than once: `effect`.
 #[derive(Deserialize)]
 pub(crate) enum WireIdempotency {
+    /// Any number of times.
     #[serde(rename = "free")]
     Idempotent,
+    /// Within the key scope and the key window, since an idempotency key prevents a second
+    /// execution.
     #[serde(rename = "guarded")]
     Keyed,
+    /// At most once.
     #[serde(rename = "single_shot")]
     NonIdempotent,
 }
 
-/// Where repeats with the same idempotency key are deduplicated.
+/// The backends among which requests with the same idempotency key are deduplicated: all, those of
+/// a zone, or those of a cell.
 #[derive(Deserialize, Default)]
 pub(crate) enum WireKeyScope {
     #[default]
@@ -92,18 +103,21 @@
     Cell,
 }
 
-/// How load reports reach a node.
+/// How load reports reach a node, if at all.
 #[derive(Deserialize)]
 pub(crate) enum WireLoadReporting {
+    /// With every response.
     #[serde(rename = "piggyback")]
     WithResponses,
+    /// In answers to load probes.
     #[serde(rename = "pull")]
     OnProbe,
+    /// Not at all.
     #[serde(rename = "silent")]
     Absent,
 }
 
-/// One request class.
+/// One request class, an entry of `profiles`.
 #[derive(Deserialize)]
 pub(crate) struct ClassDocument {
     #[serde(default)]
@@ -131,7 +145,7 @@
     pub(crate) allowed_machine_types: Option<Vec<u8>>,
 }
 
-/// What a node may do about a request, and how long it may wait.
+/// What a node may do to serve a request, and how long it may wait: `limits`.
 #[derive(Deserialize)]
 #[expect(
     clippy::struct_excessive_bools,
@@ -156,7 +170,7 @@
     pub(crate) max_retry_after_ns: u64,
 }
 
-/// What load reports hold and how they arrive.
+/// Which figures load reports hold, in which order, and how they reach a node: `report`.
 #[derive(Deserialize)]
 pub(crate) struct LoadReportDocument {
     #[serde(default)]
@@ -165,7 +179,7 @@
     pub(crate) reporting: WireLoadReporting,
 }
 
-/// The protocol's limits on drains, slow start and polls.
+/// The protocol's limits on drains, slow start and polls: `rules`.
 #[derive(Deserialize)]
 pub(crate) struct ProtocolLimitsDocument {
     #[serde(rename = "ask_every_ns", default)]
@@ -181,7 +195,7 @@
     pub(crate) slow_start_duration_ns: u64,
 }
 
-/// One tenant.
+/// One tenant, an entry of `tenants`: its name and its quota.
 #[derive(Deserialize)]
 pub(crate) struct TenantDocument {
     #[serde(default)]
@@ -190,13 +204,18 @@
     pub(crate) quota_per_second: f64,
 }
 
-/// Settings that don't say how many nodes there are have one.
+/// Returns the default number of nodes.
 fn single_node() -> u32 {
     1
 }
 
 impl SettingsDocument {
-    /// Reads one JSON object, with nothing but white space after it.
+    /// Reads one JSON object, after which nothing but white space may follow.
+    ///
+    /// # Errors
+    ///
+    /// [`ParseError`] names the path at which the text is not JSON, lacks a value or holds a wrong
+    /// one; for text after the object it is ".".
     pub(crate) fn read(text: &[u8]) -> Result<Self, ParseError> {
         let mut deserializer = serde_json::Deserializer::from_slice(text);
         let document =
--- a/crates/settings/src/errors.rs
+++ b/crates/settings/src/errors.rs
@@ -1,24 +1,25 @@
-//! What can be wrong with settings, said in terms of their JSON keys.
+//! Errors of settings, which name the JSON key whose value is at fault.
 
 use balancer::SettingsError;
 
-/// Settings that are not JSON, or that lack a value or hold one of the wrong type.
+/// An error in the text of the settings: it is not JSON, lacks a value, or holds one that is
+/// unknown or has the wrong type.
 #[derive(Debug, thiserror::Error)]
 #[error("settings at `{path}`: {source}")]
 pub struct ParseError {
-    /// Path of the offending key.
+    /// Path of the key at which reading failed; "." stands for the whole text.
     pub path: String,
-    /// What is wrong there.
+    /// The error of the JSON reader, with line and column.
     pub source: serde_json::Error,
 }
 
-/// Settings that can be read and that [`balancer::Settings::check`] rejects.
+/// An error in settings that can be read but that [`balancer::Settings::check`] rejects.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{source} (`{key}` in the JSON settings)")]
 pub struct InvalidSettings {
-    /// The JSON key that holds the rejected value.
+    /// Path of the JSON key that holds the rejected value; `[]` stands for any entry of a list.
     pub key: &'static str,
-    /// What is wrong with it, in the balancer's terms.
+    /// The balancer's error, which names the setting in its own terms.
     pub source: SettingsError,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// The settings that [`balancer::Settings::check`] holds against a range, and their JSON keys.
+/// The settings whose range [`balancer::Settings::check`] checks, and their JSON keys.
 const JSON_KEYS: &[JsonKey] = &[
     JsonKey::new("nodes", "balancers"),
     JsonKey::new("max_attempts", "limits.try_limit"),
@@ -51,9 +52,11 @@
     JsonKey::new("protocol_limits.overload_multiple", "rules.fall_multiple"),
 ];
 
-/// One setting and the key under which the protocol gives it.
+/// One setting and the JSON key that holds its value.
 struct JsonKey {
+    /// The name of the setting in [`SettingsError::OutOfRange`].
     setting: &'static str,
+    /// Path of its key in the JSON settings.
     key: &'static str,
 }
 
@@ -63,7 +66,7 @@
     }
 }
 
-/// The JSON key of a setting; a setting that is not in the table is named as it is.
+/// Returns the JSON key of a setting, or the setting's own name if the table lacks it.
 fn json_key(setting: &'static str) -> &'static str {
     JSON_KEYS
         .iter()
--- a/crates/settings/src/load_report_field.rs
+++ b/crates/settings/src/load_report_field.rs
@@ -1,26 +1,27 @@
-//! The figures that a load report can hold.
+//! The fields that a load report can hold, and their names in the settings.
 
 use balancer::LoadReport;
 
-/// One figure of a load report. The settings list which ones a report holds, in which order.
+/// A field of load reports. The settings list which fields a report holds, and in which order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportField {
-    /// Busy fraction of the cores.
+    /// Fraction of the backend's cores that is busy.
     Utilization,
     /// Requests served per second.
     Throughput,
-    /// Requests waiting in the backend's queue.
+    /// Number of requests that wait in the backend's queue.
     QueueDepth,
-    /// Requests accepted and not yet answered.
+    /// Number of requests that the backend has accepted and not yet answered.
     InFlight,
-    /// Recent service time, in milliseconds.
+    /// Recent service time of a request, in milliseconds.
     ServiceTimeMs,
-    /// A figure the balancer has no use for.
+    /// Any other field; the balancer does not use it.
     Unused,
 }
 
 impl LoadReportField {
-    /// The field that the settings call `name`.
+    /// Returns the field that the settings call `name`; [`LoadReportField::Unused`] if there is
+    /// none.
     pub(crate) fn from_name(name: &str) -> Self {
         match name {
             "utilization" => LoadReportField::Utilization,
@@ -32,7 +33,8 @@
         }
     }
 
-    /// Sets this figure of `report`; `value` is in the unit of the message.
+    /// Sets this field of `report` to `value`. Of the units only that of the service time differs:
+    /// it is given in milliseconds and stored in seconds. [`LoadReportField::Unused`] sets nothing.
     pub fn set(self, report: &mut LoadReport, value: f64) {
         match self {
             LoadReportField::Utilization => report.utilization = Some(value),
--- a/crates/settings/src/names.rs
+++ b/crates/settings/src/names.rs
@@ -1,17 +1,18 @@
-//! The names that the settings give to classes, tenants and so on.
+//! The names that the settings give to classes, tenants, zones, machine types and load report
+//! fields.
 
-/// What the settings' positions are called in messages: the name of [`balancer::ClassId`]`(2)` is
-/// `classes[2]`.
+/// The names by which messages refer to entries of the settings' lists, each at the position of its
+/// entry: the name of [`balancer::ClassId`]`(2)` is `classes[2]`.
 #[derive(Debug, Default)]
 pub struct SettingNames {
-    /// Request classes.
+    /// Names of the request classes; empty for a class without a name.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants; empty for a tenant without a name.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Machine types.
+    /// Names of the machine types.
     pub machine_types: Vec<String>,
-    /// Figures of a load report.
+    /// Names of the fields of load reports, including those that the balancer does not use.
     pub load_report_fields: Vec<String>,
 }
--- a/crates/settings/tests/invalid_settings.rs
+++ b/crates/settings/tests/invalid_settings.rs
@@ -1,8 +1,9 @@
-//! An operator sees the JSON key of a setting that the balancer rejects.
+//! Tests that the error of a setting that the balancer rejects names its JSON key.
 
 use balancer::{Settings, SettingsError};
 use settings::{parse, InvalidSettings};
 
+/// Settings that pass the check, in which the tests replace single values.
 const VALID: &str = r#"{
     "balancers": 2, "over_share_worth": 0.5, "zone": 1, "zones": ["x", "y"],
     "profiles": [{"name": "buy", "promise_ns": 1, "deadline_ns": 2, "effect": "free",
@@ -13,7 +14,8 @@
               "overload_for_ns": 1, "warm_up_ns": 1}
 }"#;
 
-/// The rejection of the valid settings with `from` replaced by `to`.
+/// Returns the error for the valid settings with `from` replaced by `to`. Fails if `from` does not
+/// occur in them.
 fn rejection(from: &str, to: &str) -> InvalidSettings {
     assert!(VALID.contains(from), "{from}");
     let instance = parse(VALID.replace(from, to).as_bytes()).expect("settings that can be read");
--- a/crates/settings/tests/setting_names.rs
+++ b/crates/settings/tests/setting_names.rs
@@ -1,4 +1,4 @@
-//! The names that the settings give, by which messages refer to positions.
+//! Tests of the names by which messages refer to entries of the settings' lists.
 
 use settings::{parse, LoadReportField};
 
@@ -13,14 +13,14 @@
         "report": {"fields": ["backlog", "other"], "how": "pull"},
         "rules": {"cold_from": 0.1, "drain_grace_ns": 1, "fall_multiple": 3.0, "overload_for_ns": 1, "warm_up_ns": 1}
     }"#;
-    let config = parse(text).expect("good settings");
-    assert_eq!(config.names.classes, ["buy", "top"]);
-    assert_eq!(config.names.tenants, ["a", "b"]);
-    assert_eq!(config.names.zones, ["x", "y"]);
-    assert_eq!(config.names.machine_types, ["k"]);
-    assert_eq!(config.names.load_report_fields, ["backlog", "other"]);
+    let instance = parse(text).expect("valid settings");
+    assert_eq!(instance.names.classes, ["buy", "top"]);
+    assert_eq!(instance.names.tenants, ["a", "b"]);
+    assert_eq!(instance.names.zones, ["x", "y"]);
+    assert_eq!(instance.names.machine_types, ["k"]);
+    assert_eq!(instance.names.load_report_fields, ["backlog", "other"]);
     assert_eq!(
-        config.load_report_fields,
+        instance.load_report_fields,
         [LoadReportField::QueueDepth, LoadReportField::Unused]
     );
 }
