--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,4 +1,5 @@
-//! The table of instances: each event goes to its instance's balancer, its actions into the reply.
+//! The table of instances, the simulated nodes: it passes each event to the balancer of its
+//! instance and collects the resulting actions in the reply.
 
 use crate::wire::{ActionFrame, EventFrame, EventRecord, InstanceId, WireError};
 use balancer::{Action, Balancer, Event, Time};
@@ -7,76 +8,81 @@
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Why a frame cannot be handled. Records are counted from 0.
+/// An error that prevents a frame from being handled. Records are counted from 0.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// A malformed frame.
+    /// The frame is malformed.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// Settings that cannot be read.
+    /// The settings of an instance cannot be read.
     #[error("record {record}: {source}")]
     UnreadableSettings {
-        /// Position of the record.
+        /// Position of the record that starts the instance.
         record: usize,
-        /// What is wrong.
+        /// The error with the key at which reading failed.
         source: ParseError,
     },
-    /// Settings that the balancer rejects.
+    /// The balancer rejects the settings of an instance.
     #[error("record {record}: settings: {source}")]
     InvalidSettings {
-        /// Position of the record.
+        /// Position of the record that starts the instance.
         record: usize,
-        /// What is wrong.
+        /// The error with the key of the rejected value.
         source: InvalidSettings,
     },
-    /// An event before any `switch_to`.
-    #[error("record {record}: no instance named yet")]
+    /// A record that concerns an instance comes before the frame's first `switch_to`.
+    #[error("record {record}: no switch_to record precedes it")]
     NoInstance {
-        /// Position of the record.
+        /// Position of the record that concerns an instance.
         record: usize,
     },
-    /// An event for an instance that does not run.
-    #[error("record {record}: instance {instance} was never started")]
+    /// An event is meant for an instance that was never started or that has been killed.
+    #[error("record {record}: instance {instance} is not running")]
     InstanceNotRunning {
-        /// Position of the record.
+        /// Position of the event's record.
         record: usize,
-        /// The instance.
+        /// The instance that does not run.
         instance: InstanceId,
     },
 }
 
+/// A running instance.
 struct Instance {
     balancer: Balancer,
+    /// The fields of load reports in its events, in their order.
     load_report_fields: Vec<LoadReportField>,
 }
 
 /// Whether the rest of a frame is handled.
 enum Progress {
+    /// The next record is handled.
     Continue,
-    /// The decision code has panicked, and the reply says so.
+    /// The balancer has panicked, and the reply reports that. The remaining records are dropped.
     DecisionFailed,
 }
 
-/// All instances of this process.
+/// The instances that run in this process, and the reply to the frame being handled.
 #[derive(Default)]
 pub struct InstanceTable {
     running: FxHashMap<InstanceId, Instance>,
-    /// The instance that the records at hand concern; named anew in each frame.
+    /// The instance that the next records concern; `None` until a frame's first `switch_to`.
     current: Option<InstanceId>,
+    /// The reply to the current frame, as far as it is built.
     reply: ActionFrame,
+    /// The actions of the current event; empty between events.
     actions: Vec<Action>,
 }
 
 impl InstanceTable {
     /// Handles one frame of events and returns the frame of the resulting actions.
     ///
-    /// A panic of the decision code is no error: the reply reports it, and the frame's remaining
+    /// A panic of the balancer is not an error: the reply reports it, and the frame's remaining
     /// records are dropped.
     ///
     /// # Errors
     ///
-    /// [`FrameError`] names the record that cannot be handled. The records before it have taken
-    /// effect, and their actions are lost.
+    /// [`FrameError`] names the record that cannot be handled, or what is wrong with the frame's
+    /// header. The records before the named one have taken effect, but their actions are lost.
     pub fn handle_frame(&mut self, frame: &[u8]) -> Result<Vec<u8>, FrameError> {
         let frame = EventFrame::parse(frame)?;
         self.reply.clear();
@@ -89,6 +95,8 @@
         Ok(self.reply.to_bytes())
     }
 
+    /// Decodes and handles the record at position `record` of a frame. If a record cannot be
+    /// decoded and the current instance does not run, the latter is the error that is returned.
     fn handle_record(
         &mut self,
         frame: &EventFrame<'_>,
@@ -117,18 +125,20 @@
         Ok(Progress::Continue)
     }
 
-    /// The order of figures in the current instance's load reports.
+    /// Returns the fields of the current instance's load reports, in their order; none if no
+    /// instance is current or if it does not run.
     fn load_report_fields(&self) -> &[LoadReportField] {
         self.current
             .and_then(|instance| self.running.get(&instance))
             .map_or(&[], |instance| &instance.load_report_fields)
     }
 
+    /// Returns the current instance, which need not run.
     fn current_instance(&self, record: usize) -> Result<InstanceId, FrameError> {
         self.current.ok_or(FrameError::NoInstance { record })
     }
 
-    /// The current instance, which has to run.
+    /// Returns the current instance, which has to run.
     fn running_instance(&self, record: usize) -> Result<InstanceId, FrameError> {
         let instance = self.current_instance(record)?;
         if self.running.contains_key(&instance) {
@@ -138,6 +148,8 @@
         }
     }
 
+    /// Starts the current instance with these JSON settings. If it runs already, a new one replaces
+    /// it.
     fn start_instance(
         &mut self,
         record: usize,
@@ -162,6 +174,8 @@
         Ok(())
     }
 
+    /// Passes an event to the current instance's balancer and adds its actions to the reply. If the
+    /// balancer panics, the actions up to then are added, and after them the panic's message.
     fn handle_event(
         &mut self,
         record: usize,
@@ -195,6 +209,7 @@
     }
 }
 
+/// Returns the message of a panic, or a fixed text if its payload is not a string.
 fn panic_message(payload: &(dyn Any + Send)) -> &str {
     if let Some(message) = payload.downcast_ref::<String>() {
         message
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,9 @@
-//! The balancer on the simulator's wire: binary frames, JSON settings and a table of instances.
+//! Connects balancers to a simulator, which sends events and receives actions in binary frames.
 //!
-//! Nothing here decides anything. Each instance owns a [`balancer::Balancer`] and shares nothing with
-//! the others.
+//! [`wire`] translates the frames, [`instances`] keeps the simulated nodes, and [`stream`] reads
+//! frames and writes replies. The crate makes no decisions: each instance owns a
+//! [`balancer::Balancer`] and shares nothing with the others. Settings arrive as JSON, which the
+//! settings crate reads.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,6 @@
-//! `simulator-adapter`: answers the simulator's frames on standard input until it ends.
+//! The program `simulator-adapter`: reads the simulator's frames from standard input until that
+//! ends, and writes the replies to standard output. An error is printed as one line on standard
+//! error.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulator-adapter/src/stream.rs
+++ b/crates/simulator-adapter/src/stream.rs
@@ -1,17 +1,17 @@
-//! Reads frames from the simulator one by one and writes the reply to each.
+//! Reads event frames from the simulator one by one and writes the reply to each.
 
 use crate::instances::{FrameError, InstanceTable};
 use crate::wire::{frame_length, WireError, EVENT_HEADER_BYTES};
 use std::io::{self, Read, Write};
 
-/// Why the adapter stops before its input ends.
+/// An error that stops the adapter before its input ends.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamError {
     /// A frame that cannot be handled.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// Reading or writing failed.
-    #[error("input or output: {0}")]
+    #[error("reading input or writing output failed: {0}")]
     Io(#[from] io::Error),
 }
 
@@ -21,12 +21,13 @@
     }
 }
 
-/// Answers frames until the input ends between two of them. Each reply is flushed.
+/// Answers frames until the input ends between two of them. Each reply is flushed before the next
+/// frame is read.
 ///
 /// # Errors
 ///
-/// Input that ends inside a frame, a frame that [`InstanceTable::handle_frame`] rejects, or a failure
-/// to read or write.
+/// [`StreamError::Frame`] if the input ends inside a frame, if the frame's length is invalid or if
+/// [`InstanceTable::handle_frame`] rejects it, and [`StreamError::Io`] if reading or writing fails.
 pub fn serve(
     instances: &mut InstanceTable,
     mut input: impl Read,
@@ -41,7 +42,12 @@
     Ok(())
 }
 
-/// Reads the next frame into `frame`. Returns `false` where the input has ended before it.
+/// Reads the next frame into `frame`, whose former content is dropped. Returns `false` if the input
+/// has ended before the frame.
+///
+/// # Errors
+///
+/// As in [`serve`], except for errors of handling and writing.
 fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, StreamError> {
     frame.clear();
     let header_bytes = read_up_to(input, EVENT_HEADER_BYTES, frame)?;
@@ -65,7 +71,8 @@
     Ok(true)
 }
 
-/// Appends `limit` bytes to `buffer`, or fewer where the input ends. Returns how many.
+/// Appends `limit` bytes to `buffer`, or fewer if the input ends before. Returns the number of
+/// bytes appended.
 fn read_up_to(input: &mut impl Read, limit: usize, buffer: &mut Vec<u8>) -> io::Result<usize> {
     input.by_ref().take(limit as u64).read_to_end(buffer)
 }
--- a/crates/simulator-adapter/src/wire/actions.rs
+++ b/crates/simulator-adapter/src/wire/actions.rs
@@ -1,4 +1,4 @@
-//! Action frames: what instances answer.
+//! Encodes action frames, in which the adapter answers the simulator's event frames.
 
 use super::codes::{action, SUBSCRIBE};
 use super::{InstanceId, ACTION_HEADER_BYTES, ACTION_RECORD_BYTES};
@@ -8,15 +8,18 @@
 /// A frame of actions under construction.
 #[derive(Debug, Default)]
 pub struct ActionFrame {
+    /// The records so far, each of [`ACTION_RECORD_BYTES`].
     records: Vec<u8>,
+    /// Number of records so far.
     count: u32,
+    /// The texts to which records refer, one after the other.
     tail: Vec<u8>,
-    /// The instance to which the last record belongs.
+    /// The instance to which the last record belongs; `None` before the first `SET_INSTANCE`.
     current: Option<InstanceId>,
 }
 
 impl ActionFrame {
-    /// Empties the frame, to build the next one.
+    /// Removes all records and the tail, so that the next frame can be built.
     pub fn clear(&mut self) {
         self.records.clear();
         self.tail.clear();
@@ -24,7 +27,8 @@
         self.current = None;
     }
 
-    /// Lets the records that follow belong to `instance`.
+    /// Makes the records that follow belong to `instance`; adds a record for that unless they do
+    /// already.
     pub fn set_instance(&mut self, instance: InstanceId) {
         if self.current != Some(instance) {
             self.current = Some(instance);
@@ -32,7 +36,8 @@
         }
     }
 
-    /// Adds one action of the current instance.
+    /// Adds one action of the current instance. The reasons of [`Action::Reject`] and
+    /// [`Action::Fail`] are not written.
     pub fn push_action(&mut self, action: &Action) {
         match action {
             Action::StartAttempt {
@@ -76,12 +81,12 @@
         }
     }
 
-    /// Reports that the current instance's decision code has failed.
+    /// Adds a record that the current instance's balancer has panicked with this message.
     pub fn push_decision_failure(&mut self, message: &str) {
         self.push_text(action::DECISION_FAILURE, message);
     }
 
-    /// The whole frame: header, records and tail.
+    /// Returns the whole frame: header, records and tail.
     pub fn to_bytes(&self) -> Vec<u8> {
         let length = ACTION_HEADER_BYTES + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(length);
@@ -92,6 +97,7 @@
         frame
     }
 
+    /// Adds a record with this code and these fields, filled up with zeros to its fixed size.
     fn push_record(&mut self, code: u8, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code);
@@ -102,6 +108,7 @@
         self.count += 1;
     }
 
+    /// Adds a record that refers to a text, and the text to the tail.
     fn push_text(&mut self, code: u8, text: &str) {
         let offset = self.tail.len() as u32;
         let length = text.len() as u32;
@@ -110,7 +117,7 @@
     }
 }
 
-/// A duration on the wire, where 0 stands for none.
+/// Returns a duration as it is written: in nanoseconds, where 0 stands for `None`.
 fn nanoseconds(duration: Option<Duration>) -> [u8; 8] {
     let nanoseconds = duration.map_or(0, |duration| duration.as_nanos() as u64);
     nanoseconds.to_be_bytes()
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -1,52 +1,59 @@
-//! The codes of records and of the values in them, with the wire's name where it differs.
+//! Codes of records and of values in them, with the wire protocol's name where it differs.
 
 /// Codes of event records.
 pub(super) mod event {
-    /// `membership`.
+    /// An endpoint list or changes to it, `membership`.
     pub(in crate::wire) const ENDPOINT_LIST: u8 = 16;
-    /// `wake`.
+    /// A timer fired, `wake`.
     pub(in crate::wire) const TIMER_FIRED: u8 = 17;
+    /// The instance is killed.
     pub(in crate::wire) const POWER_OFF: u8 = 18;
-    /// `knock`.
+    /// A request arrived, `knock`.
     pub(in crate::wire) const REQUEST_ARRIVED: u8 = 19;
-    /// `probe_result`.
+    /// A load probe ended, `probe_result`.
     pub(in crate::wire) const LOAD_PROBE_ENDED: u8 = 20;
-    /// `verdict`.
+    /// An attempt ended, `verdict`.
     pub(in crate::wire) const ATTEMPT_ENDED: u8 = 21;
-    /// `timed_out_client`.
+    /// A client disconnected, `timed_out_client`.
     pub(in crate::wire) const CLIENT_DISCONNECTED: u8 = 22;
-    /// `note_from`.
+    /// A message from another instance arrived, `note_from`.
     pub(in crate::wire) const PEER_MESSAGE: u8 = 23;
+    /// The instance starts.
     pub(in crate::wire) const INIT: u8 = 24;
-    /// `begun`.
+    /// A response started, `begun`.
     pub(in crate::wire) const RESPONSE_STARTED: u8 = 25;
+    /// The records that follow concern another instance.
     pub(in crate::wire) const SWITCH_TO: u8 = 26;
 }
 
 /// Codes of action records.
 pub(super) mod action {
-    /// `give_in`.
+    /// The instance's balancer has panicked, `give_in`.
     pub(in crate::wire) const DECISION_FAILURE: u8 = 18;
-    /// `retract`.
+    /// Cancel an attempt, `retract`.
     pub(in crate::wire) const CANCEL_ATTEMPT: u8 = 19;
-    /// `keep_informed`.
+    /// Ask discovery for changes of the endpoint list, `keep_informed`.
     pub(in crate::wire) const REFRESH_ENDPOINT_LIST: u8 = 20;
+    /// Reject a request.
     pub(in crate::wire) const REJECT: u8 = 21;
-    /// `lose`.
+    /// Answer a request with a failure, `lose`.
     pub(in crate::wire) const FAIL: u8 = 22;
-    /// `touch`.
+    /// Send a load probe, `touch`.
     pub(in crate::wire) const SEND_LOAD_PROBE: u8 = 23;
-    /// `on_behalf`.
+    /// The records that follow belong to another instance, `on_behalf`.
     pub(in crate::wire) const SET_INSTANCE: u8 = 24;
-    /// `assign`.
+    /// Start an attempt, `assign`.
     pub(in crate::wire) const START_ATTEMPT: u8 = 25;
-    /// `defer`.
+    /// Set a timer, `defer`.
     pub(in crate::wire) const SET_TIMER: u8 = 26;
+    /// Write a line to the instance's log.
     pub(in crate::wire) const LOG: u8 = 27;
 }
 
-/// `want` of a subscription to the endpoint list.
+/// Value of the field `want` in [`action::REFRESH_ENDPOINT_LIST`] that subscribes to the endpoint
+/// list.
 pub(super) const SUBSCRIBE: u8 = 1;
 
-/// Bit of `bits` in an arriving request: `estimate_ns` is given.
+/// Bit of the field `bits` in [`event::REQUEST_ARRIVED`]: the request's work, `estimate_ns`, is
+/// given.
 pub(super) const WORK_GIVEN: u8 = 1;
--- a/crates/simulator-adapter/src/wire/errors.rs
+++ b/crates/simulator-adapter/src/wire/errors.rs
@@ -1,73 +1,76 @@
-//! What can be wrong with a frame, and where.
+//! Errors in event frames, which name the record and the field at fault.
 
 use std::fmt;
 
-/// What is wrong with a frame, and where. Records are counted from 0.
+/// An error in an event frame. Records are counted from 0.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum WireError {
-    /// The header's length cannot be right.
-    #[error("frame header: length {0} is impossible")]
-    ImpossibleLength(usize),
-    /// The records do not fit into the frame.
+    /// The announced length is below that of a header or above the largest accepted one, or the
+    /// frame has another length than its header announces. Holds the announced or the actual length
+    /// in bytes.
+    #[error("frame header: invalid length {0}")]
+    InvalidLength(usize),
+    /// The announced records do not fit into the frame.
     #[error("frame header: {count} records do not fit into {frame_bytes} bytes")]
     RecordsExceedFrame {
-        /// Records announced.
+        /// Number of records that the header announces.
         count: usize,
         /// Size of the frame, in bytes.
         frame_bytes: usize,
     },
-    /// The input ended inside a frame.
-    #[error("frame: input ends after {read} of {announced} bytes")]
+    /// The input ended inside a frame or its header.
+    #[error("frame: input ended after {read} of {announced} bytes")]
     Truncated {
-        /// Bytes read.
+        /// Number of bytes of the frame that were read.
         read: usize,
-        /// Bytes announced.
+        /// Length of the frame in bytes, or of its header if that is incomplete.
         announced: usize,
     },
-    /// No such event.
+    /// The code of a record is not that of an event.
     #[error("record {record}: unknown event code {code}")]
     UnknownEvent {
         /// Position of the record.
         record: usize,
-        /// Its code.
+        /// The unknown code.
         code: u8,
     },
-    /// A field holds a value that has no meaning.
-    #[error("record {record}: {field} {value} is unknown")]
+    /// A field holds a value without a meaning, or the number of values in a load report is too
+    /// large.
+    #[error("record {record}: field {field} has invalid value {value}")]
     UnknownValue {
         /// Position of the record.
         record: usize,
-        /// Its field.
+        /// The field at fault.
         field: WireField,
-        /// What it holds.
+        /// The value that the field holds.
         value: u64,
     },
-    /// A field points outside the tail.
-    #[error("record {record}: {field} reaches outside the tail")]
+    /// A field refers to bytes that are not all in the tail.
+    #[error("record {record}: field {field} reaches outside the tail")]
     OutsideTail {
         /// Position of the record.
         record: usize,
-        /// Its field.
+        /// The field that holds the offset and the length.
         field: WireField,
     },
 }
 
-/// A field that can be wrong; displayed by its name on the wire.
+/// A field that can be at fault. It is displayed by the wire protocol's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WireField {
-    /// The settings of a started instance.
+    /// The reference to the settings with which an instance starts, `config`.
     Settings,
-    /// A peer's message.
+    /// The reference to a message from another instance, `content`.
     PeerMessage,
-    /// The endpoints of a list.
+    /// The reference to the entries of an endpoint list, `entries`.
     Endpoints,
-    /// What kind of list update it is.
+    /// The kind of a list update, `kind`.
     ListUpdate,
-    /// An endpoint's state.
+    /// The state of an endpoint, `mode`.
     EndpointState,
-    /// An attempt's outcome.
+    /// The outcome of an attempt or a load probe, `how`.
     Outcome,
-    /// The number of figures in a load report.
+    /// The number of values in a load report, `server_stats`.
     LoadReport,
 }
 
--- a/crates/simulator-adapter/src/wire/event_layout.rs
+++ b/crates/simulator-adapter/src/wire/event_layout.rs
@@ -1,133 +1,136 @@
-//! Where the fields of event frames lie, in bytes from the start of the header, the record or the entry.
+//! Offsets of the fields of event frames, in bytes from the start of the header, the record, the
+//! endpoint's entry or the load report. Durations and times are in nanoseconds. A reference to data
+//! in the tail is an offset in the tail followed by a length.
 
-/// The header of a frame.
+/// The header of an event frame.
 pub mod header {
-    /// Length of the whole frame.
+    /// Length of the whole frame in bytes, the header included.
     pub const FRAME_LENGTH: usize = 0;
-    /// The simulator's clock.
+    /// Time on the simulator's clock at which the frame's events happen.
     pub const NOW: usize = 4;
-    /// Number of records.
+    /// Number of records in the frame.
     pub const RECORD_COUNT: usize = 12;
 }
 
-/// Any record.
+/// The field that all records have.
 pub mod record {
-    /// The code of its kind.
+    /// Code of the record's kind, one of [`event`](super::super::codes::event).
     pub const CODE: usize = 0;
 }
 
-/// A switch to another instance.
+/// A record that names the instance that the records after it concern.
 pub mod switch_to {
-    /// The instance.
+    /// Id of the instance.
     pub const INSTANCE: usize = 1;
 }
 
-/// An instance's start.
+/// A record that starts an instance.
 pub mod init {
-    /// Seed of its random numbers.
+    /// Seed of the instance's random numbers.
     pub const SEED: usize = 1;
-    /// Where its settings lie in the tail.
+    /// Reference to its JSON settings in the tail, their length in bytes.
     pub const SETTINGS: usize = 9;
 }
 
-/// A message from a peer.
+/// A message from another instance.
 pub mod peer_message {
-    /// Where it lies in the tail.
+    /// Reference to the message in the tail, its length in bytes.
     pub const MESSAGE: usize = 5;
 }
 
 /// An endpoint list.
 pub mod endpoint_list {
-    /// What the list holds.
+    /// Kind of the list update.
     pub const UPDATE: usize = 1;
-    /// Where its entries lie in the tail.
+    /// Reference to its entries in the tail, with their number as the length.
     pub const ENTRIES: usize = 10;
 }
 
 /// An entry of an endpoint list.
 pub mod endpoint {
-    /// The backend.
+    /// Id of the backend.
     pub const BACKEND: usize = 0;
-    /// Its zone.
+    /// Position of its zone.
     pub const ZONE: usize = 4;
-    /// Its machine type.
+    /// Position of its machine type.
     pub const MACHINE_TYPE: usize = 5;
-    /// Its cell.
+    /// Id of its cell.
     pub const CELL: usize = 6;
-    /// Its state.
+    /// Code of its state.
     pub const STATE: usize = 8;
-    /// Its weight.
+    /// Its weight, a 32-bit floating-point number.
     pub const WEIGHT: usize = 9;
-    /// When it started, or 0.
+    /// When it started; 0 if that is long ago.
     pub const STARTED_AT: usize = 13;
 }
 
-/// Any record about a request.
+/// The field that all records about a request have.
 pub mod request {
-    /// The request.
+    /// Id of the request.
     pub const ID: usize = 1;
 }
 
 /// A request's arrival.
 pub mod arrival {
-    /// Its tenant.
+    /// Position of its tenant.
     pub const TENANT: usize = 9;
-    /// Its class.
+    /// Position of its class.
     pub const CLASS: usize = 11;
-    /// The time left to its client.
+    /// Time until its client stops waiting.
     pub const REMAINING: usize = 20;
-    /// Its work, where that is given.
+    /// Its work, which counts only if [`FLAGS`] say that it is given.
     pub const WORK: usize = 28;
-    /// What is given.
+    /// Bits that say which of the other fields are given; see
+    /// [`WORK_GIVEN`](super::super::codes::WORK_GIVEN).
     pub const FLAGS: usize = 36;
 }
 
 /// The start of a response.
 pub mod response_started {
-    /// The attempt.
+    /// Number of the attempt within the request.
     pub const ATTEMPT: usize = 9;
-    /// Time since the attempt's start.
+    /// Time from the attempt's start to the start of the response.
     pub const LATENCY: usize = 14;
 }
 
 /// The end of an attempt.
 pub mod attempt_ended {
-    /// The attempt.
+    /// Number of the attempt within the request.
     pub const ATTEMPT: usize = 9;
-    /// Its backend.
+    /// Id of its backend.
     pub const BACKEND: usize = 10;
-    /// Its outcome.
+    /// Code of its outcome.
     pub const OUTCOME: usize = 14;
-    /// Time since its start.
+    /// Time from its start to its end.
     pub const LATENCY: usize = 16;
-    /// Whether its request is closed.
+    /// Whether its request is closed: 0 if not, any other value if so.
     pub const REQUEST_CLOSED: usize = 24;
-    /// The load report that came along.
+    /// The load report that came with the response.
     pub const LOAD_REPORT: usize = 25;
 }
 
-/// A timer.
+/// The firing of a timer.
 pub mod timer_fired {
-    /// The timer.
+    /// Id of the timer.
     pub const TIMER: usize = 1;
 }
 
 /// The end of a load probe.
 pub mod load_probe_ended {
-    /// Time since its start.
+    /// Time from sending the probe to its end.
     pub const LATENCY: usize = 1;
-    /// Its backend.
+    /// Id of its backend.
     pub const BACKEND: usize = 9;
-    /// Its outcome.
+    /// Code of its outcome.
     pub const OUTCOME: usize = 13;
-    /// The load report that came along.
+    /// The load report that came with the answer.
     pub const LOAD_REPORT: usize = 15;
 }
 
 /// A load report within a record.
 pub mod load_report {
-    /// Number of its figures.
+    /// Number of its values; 0 if there is no report.
     pub const COUNT: usize = 0;
-    /// The first of its figures.
-    pub const FIGURES: usize = 1;
+    /// The first of its values, each a 32-bit floating-point number.
+    pub const VALUES: usize = 1;
 }
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -1,4 +1,4 @@
-//! Event frames: what the simulator sends to instances.
+//! Decodes event frames, in which the simulator sends events to instances.
 
 use super::codes::{event, WORK_GIVEN};
 use super::errors::{WireError, WireField};
@@ -18,51 +18,54 @@
 };
 use settings::LoadReportField;
 
-/// Size of a load report in a record: the number of figures and the figures, in bytes.
+/// Size of a load report in a record, in bytes: the number of values and the values.
 const LOAD_REPORT_BYTES: usize = 1 + MAX_LOAD_REPORT_FIELDS * size_of::<f32>();
 
-/// One frame of events, checked for size.
+/// An event frame whose length and number of records have been checked.
 #[derive(Debug)]
 pub struct EventFrame<'a> {
-    /// The simulator's clock at which all events of the frame happen.
+    /// Time on the simulator's clock at which all events of the frame happen.
     pub now: Time,
+    /// Number of records.
     count: usize,
+    /// The records, each of [`EVENT_RECORD_BYTES`].
     records: &'a [u8],
+    /// The data of variable size to which records refer.
     tail: &'a [u8],
 }
 
-/// A record of an event frame.
+/// A decoded record of an event frame.
 #[derive(Debug)]
 pub enum EventRecord<'a> {
-    /// The records after it concern this instance.
+    /// The records that follow concern this instance.
     SwitchTo(InstanceId),
-    /// The instance starts, empty.
+    /// The instance starts with an empty state.
     Init {
         /// Seed of its random numbers.
         seed: u64,
-        /// JSON settings.
+        /// Its settings as JSON text.
         settings: &'a [u8],
     },
-    /// The instance is killed.
+    /// The instance is killed and loses its state.
     PowerOff,
-    /// A message from a peer; the balancer sends none and reads none.
+    /// A message from another instance. It is ignored: balancers neither send nor read any.
     PeerMessage,
     /// An event for the balancer.
     Event(Event),
 }
 
-/// The length announced by an event frame's header, in bytes.
+/// Returns the length of an event frame that its header announces, in bytes.
 ///
 /// # Errors
 ///
-/// [`WireError::ImpossibleLength`] where it is shorter than the header or longer than
+/// [`WireError::InvalidLength`] if it is shorter than the header or longer than
 /// [`MAX_FRAME_BYTES`].
 pub fn frame_length(bytes: &[u8; EVENT_HEADER_BYTES]) -> Result<usize, WireError> {
     let length = FieldReader(bytes).u32(header::FRAME_LENGTH) as usize;
     if (EVENT_HEADER_BYTES..=MAX_FRAME_BYTES).contains(&length) {
         Ok(length)
     } else {
-        Err(WireError::ImpossibleLength(length))
+        Err(WireError::InvalidLength(length))
     }
 }
 
@@ -71,13 +74,14 @@
     ///
     /// # Errors
     ///
-    /// A frame that is not as long as its header says, or too short for its records.
+    /// [`WireError::InvalidLength`] if the frame is not as long as its header announces, and
+    /// [`WireError::RecordsExceedFrame`] if it is too short for its records.
     pub fn parse(frame: &'a [u8]) -> Result<Self, WireError> {
         let fields = FieldReader(frame);
         if frame.len() < EVENT_HEADER_BYTES
             || fields.u32(header::FRAME_LENGTH) as usize != frame.len()
         {
-            return Err(WireError::ImpossibleLength(frame.len()));
+            return Err(WireError::InvalidLength(frame.len()));
         }
         let count = fields.u32(header::RECORD_COUNT) as usize;
         let body = &frame[EVENT_HEADER_BYTES..];
@@ -96,22 +100,26 @@
         })
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// Whether there are none.
+    /// Whether the frame has no records.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Decodes the record at position `index`, which has to be below [`len`](Self::len);
-    /// `load_report_fields` is the order of figures in the current instance's load reports.
+    /// Decodes the record at position `index`. `load_report_fields` are the fields of the current
+    /// instance's load reports, in the order of their values.
     ///
     /// # Errors
     ///
-    /// [`WireError`] names the record and the field that cannot be read.
+    /// [`WireError`] names the record and its unknown code, or the field that cannot be read.
+    ///
+    /// # Panics
+    ///
+    /// If `index` is not below [`len`](Self::len).
     pub fn record(
         &self,
         index: usize,
@@ -136,15 +144,20 @@
     }
 }
 
-/// Decodes one record.
+/// Decodes one record of an event frame.
 struct RecordReader<'a, 'b> {
+    /// Position of the record in the frame, for errors.
     index: usize,
+    /// The bytes of the record.
     fields: FieldReader<'a>,
+    /// The tail of the frame.
     tail: &'a [u8],
+    /// The fields of the instance's load reports, in the order of their values.
     load_report_fields: &'b [LoadReportField],
 }
 
 impl<'a> RecordReader<'a, '_> {
+    /// Decodes the start of an instance.
     fn init(&self) -> Result<EventRecord<'a>, WireError> {
         Ok(EventRecord::Init {
             seed: self.fields.u64(init::SEED),
@@ -152,11 +165,13 @@
         })
     }
 
+    /// Decodes a message from another instance, of which only the reference to the tail is checked.
     fn peer_message(&self) -> Result<EventRecord<'a>, WireError> {
         self.tail_items(WireField::PeerMessage, peer_message::MESSAGE, 1)?;
         Ok(EventRecord::PeerMessage)
     }
 
+    /// Decodes an event for the balancer by its code; a code of no such event is an error.
     fn balancer_event(&self, code: u8) -> Result<Event, WireError> {
         match code {
             event::ENDPOINT_LIST => self.endpoint_list(),
@@ -181,10 +196,13 @@
         }
     }
 
+    /// Returns the id of the request that the record is about.
     fn request(&self) -> RequestId {
         RequestId(self.fields.u64(request::ID))
     }
 
+    /// Decodes the arrival of a request. No record reports the end of a body, so the body counts as
+    /// received.
     fn request_arrival(&self) -> RequestArrival {
         let work_given = self.fields.u8(arrival::FLAGS) & WORK_GIVEN != 0;
         RequestArrival {
@@ -197,6 +215,7 @@
         }
     }
 
+    /// Decodes the end of an attempt.
     fn attempt_result(&self) -> Result<AttemptResult, WireError> {
         Ok(AttemptResult {
             request: self.request(),
@@ -209,6 +228,7 @@
         })
     }
 
+    /// Decodes the end of a load probe.
     fn load_probe_result(&self) -> Result<LoadProbeResult, WireError> {
         Ok(LoadProbeResult {
             latency: self.fields.nanoseconds(load_probe_ended::LATENCY),
@@ -218,6 +238,7 @@
         })
     }
 
+    /// Decodes the code of an outcome at `offset`.
     fn outcome(&self, offset: usize) -> Result<AttemptOutcome, WireError> {
         match self.fields.u16(offset) {
             200 => Ok(AttemptOutcome::Success),
@@ -232,6 +253,8 @@
         }
     }
 
+    /// Decodes the load report at `offset`; `None` if it has no values. It may have fewer values
+    /// than the instance's load reports have fields, but not more.
     fn load_report(&self, offset: usize) -> Result<Option<LoadReport>, WireError> {
         let report = FieldReader(self.fields.slice(offset, LOAD_REPORT_BYTES));
         let count = usize::from(report.u8(load_report::COUNT));
@@ -243,12 +266,13 @@
         }
         let mut decoded = LoadReport::default();
         for (position, field) in self.load_report_fields[..count].iter().enumerate() {
-            let value = report.f32(load_report::FIGURES + position * size_of::<f32>());
+            let value = report.f32(load_report::VALUES + position * size_of::<f32>());
             field.set(&mut decoded, value);
         }
         Ok(Some(decoded))
     }
 
+    /// Decodes an endpoint list with its entries.
     fn endpoint_list(&self) -> Result<Event, WireError> {
         let update = match self.fields.u8(endpoint_list::UPDATE) {
             0 => ListUpdate::Cached,
@@ -265,6 +289,7 @@
         Ok(Event::EndpointList { update, endpoints })
     }
 
+    /// Decodes one entry of an endpoint list.
     fn endpoint(&self, entry: FieldReader<'_>) -> Result<Endpoint, WireError> {
         let state = match entry.u8(endpoint::STATE) {
             0 => EndpointState::Removed,
@@ -286,8 +311,8 @@
         })
     }
 
-    /// The bytes in the tail to which the field at `offset` points: where they start, and how many
-    /// items of `item_bytes` they are.
+    /// Returns the bytes in the tail to which the field at `offset` refers: it holds the offset of
+    /// the first item and the number of items, each of `item_bytes`.
     fn tail_items(
         &self,
         field: WireField,
@@ -304,6 +329,7 @@
             })
     }
 
+    /// Returns the error that a field of this record holds an unknown value.
     fn unknown_value(&self, field: WireField, value: impl Into<u64>) -> WireError {
         WireError::UnknownValue {
             record: self.index,
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,7 +1,8 @@
-//! The simulator's binary frames: big-endian records of fixed size and one shared tail.
+//! The simulator's binary frames: a header, records of fixed size and a tail that the records
+//! share. Numbers are big-endian.
 //!
-//! An event frame comes from the simulator and an action frame answers it. What has no fixed size
-//! stands in the frame's tail, and the record holds its offset and length there.
+//! The simulator sends event frames, and an action frame answers each of them. Data of variable
+//! size is in the frame's tail; the record holds its offset in the tail and its length.
 
 mod actions;
 mod codes;
@@ -26,12 +27,13 @@
 pub const ACTION_RECORD_BYTES: usize = 24;
 /// Size of an endpoint's entry in the tail, in bytes.
 pub const ENDPOINT_BYTES: usize = 21;
-/// Longest frame that is read, in bytes: far above any real one, so that a broken length fails fast.
+/// Largest accepted length of an event frame, in bytes. It is far above that of any real frame, so
+/// that a corrupt length fails at once.
 pub const MAX_FRAME_BYTES: usize = 1 << 30;
-/// Most figures that a load report holds.
+/// Largest number of values in a load report.
 const MAX_LOAD_REPORT_FIELDS: usize = 4;
 
-/// One of the simulated nodes.
+/// Identifies an instance, which is one of the simulated nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct InstanceId(pub u32);
 
--- a/crates/simulator-adapter/tests/adapter/malformed_frames.rs
+++ b/crates/simulator-adapter/tests/adapter/malformed_frames.rs
@@ -1,8 +1,9 @@
-//! Errors name the record and the field that cannot be read.
+//! Tests of the errors of malformed frames, which name the record and the field at fault.
 
 use crate::support::{bytes, decode_event};
 use simulator_adapter::wire::{EventFrame, WireError, WireField};
 
+/// Returns the error that a field of the first record holds this unknown value.
 fn unknown_value(field: WireField, value: u64) -> WireError {
     WireError::UnknownValue {
         record: 0,
@@ -56,6 +57,6 @@
     );
     assert!(matches!(
         EventFrame::parse(&short[..20]),
-        Err(WireError::ImpossibleLength(20))
+        Err(WireError::InvalidLength(20))
     ));
 }
