--- a/crates/simulator-adapter/tests/adapter/action_records.rs
+++ b/crates/simulator-adapter/tests/adapter/action_records.rs
@@ -1,4 +1,4 @@
-//! Actions as the wire page writes them.
+//! Tests that actions are encoded as in the byte examples of the wire protocol's documentation.
 
 use crate::support::{bytes, padded_record};
 use balancer::{Action, BackendId, GiveUpReason, RequestId, Time, TimerId};
@@ -10,7 +10,7 @@
 const BACKEND: BackendId = BackendId(0x0312_4a07);
 
 #[test]
-fn actions_of_two_instances_are_written_as_on_the_wire_page() {
+fn actions_of_two_instances_are_written_as_documented() {
     let mut frame = ActionFrame::default();
     frame.set_instance(InstanceId(3));
     frame.push_action(&Action::StartAttempt {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_action_is_written_as_on_the_wire_page() {
+fn each_action_is_written_as_documented() {
     let mut frame = ActionFrame::default();
     for (action, record) in [
         (Action::RefreshEndpointList, "14 01"),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn decision_failure_is_written_as_on_the_wire_page() {
+fn decision_failure_is_written_as_documented() {
     let mut frame = ActionFrame::default();
     frame.push_decision_failure("index out of range");
     let expected = [
--- a/crates/simulator-adapter/tests/adapter/event_records.rs
+++ b/crates/simulator-adapter/tests/adapter/event_records.rs
@@ -1,4 +1,4 @@
-//! Events as the wire page writes them.
+//! Tests that events are decoded as in the byte examples of the wire protocol's documentation.
 
 use crate::support::{bytes, decode_event, event_frame, event_record};
 use balancer::{
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn request_arrival_is_read_as_on_the_wire_page() {
+fn request_arrival_is_read_as_documented() {
     let event = decode_event(
         "13 00068b685d3a91c4 0000 00 91f03b7c55d20a64 000000000e4e1c00 0000000000b71b00 01",
         &[],
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn attempt_result_is_read_as_on_the_wire_page() {
+fn attempt_result_is_read_as_documented() {
     let event = decode_event(
         "15 00068b685d3a91c4 00 03124a07 00c8 00000000011a49a0 01 04 3f1eb852 430c0000 40400000 40e00000",
         &[],
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn load_probe_result_is_read_as_on_the_wire_page() {
+fn load_probe_result_is_read_as_documented() {
     let event = decode_event(
         "14 0000000000155cc0 2c9011f2 00c8 04 3f1eb852 430c0000 40400000 40e00000",
         &[],
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn response_start_is_read_as_on_the_wire_page() {
+fn response_start_is_read_as_documented() {
     let event = decode_event("19 00068b685d3a91c4 00 03124a07 00000000008d24d0", &[]).unwrap();
     let Event::ResponseStarted {
         attempt, latency, ..
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn timer_is_read_as_on_the_wire_page() {
+fn timer_is_read_as_documented() {
     let event = decode_event("11 0000004d", &[]).unwrap();
     let Event::TimerFired { timer } = event else {
         panic!("{event:?}")
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn client_disconnect_is_read_as_on_the_wire_page() {
+fn client_disconnect_is_read_as_documented() {
     let event = decode_event("16 00058cb70e6f2b19", &[]).unwrap();
     let Event::ClientDisconnected { request } = event else {
         panic!("{event:?}")
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn endpoint_list_is_read_as_on_the_wire_page() {
+fn endpoint_list_is_read_as_documented() {
     let tail = bytes(
         "03124a07 00 00 0000 01 3f800000 0000000000000000
          2c9011f2 01 02 0000 01 3fc00000 000000016b969d00",
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn peer_message_is_read_as_on_the_wire_page() {
+fn peer_message_is_read_as_documented() {
     let record = event_record("17 00000002 00000000 00000004");
     let frame = event_frame(1, &[record], &bytes("68692037"));
     let frame = EventFrame::parse(&frame).unwrap();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn power_off_is_read_as_on_the_wire_page() {
+fn power_off_is_read_as_documented() {
     let frame = event_frame(1, &[event_record("12")], &[]);
     let frame = EventFrame::parse(&frame).unwrap();
     assert!(matches!(
--- a/crates/simulator-adapter/tests/adapter/instances.rs
+++ b/crates/simulator-adapter/tests/adapter/instances.rs
@@ -1,21 +1,24 @@
-//! Instances start, are killed and start again, and share nothing.
+//! Tests that instances start, are killed and start again with an empty state.
 
 use crate::support::{event_frame, event_record, init, switch_to, SETTINGS};
 use simulator_adapter::instances::{FrameError, InstanceTable};
 use simulator_adapter::wire::{InstanceId, ACTION_HEADER_BYTES, ACTION_RECORD_BYTES};
 
+/// The record that kills an instance, in hexadecimal.
 const POWER_OFF: &str = "12";
-/// Action codes in the replies.
+/// Code of the action record that names an instance.
 const SET_INSTANCE: u8 = 24;
+/// Code of the action record that rejects a request.
 const REJECT: u8 = 21;
 
+/// Returns the record of a request of class 0 that arrives with 240 ms left and without work.
 fn request_arrival(request: u64) -> Vec<u8> {
     event_record(&format!(
         "13 {request:016x} 0000 00 0000000000000000 000000000e4e1c00"
     ))
 }
 
-/// The table's reply to one frame of these records.
+/// Returns the table's reply to one frame of these records, whose tail is [`SETTINGS`].
 fn handle(
     instances: &mut InstanceTable,
     now: u64,
@@ -25,7 +28,7 @@
 }
 
 #[test]
-fn instances_start_die_and_share_nothing() {
+fn instances_start_are_killed_and_start_again() {
     let instances = &mut InstanceTable::default();
     assert!(matches!(
         handle(instances, 1, &[request_arrival(1)]),
@@ -42,7 +45,7 @@
         ),
         "{error}"
     );
-    // Started without endpoints: the request is rejected.
+    // The instance is started and has no endpoints: it rejects the request.
     let records = [switch_to(3), init(SETTINGS), request_arrival(1)];
     let reply = handle(instances, 2, &records).unwrap();
     let codes = (
@@ -50,7 +53,7 @@
         reply[ACTION_HEADER_BYTES + ACTION_RECORD_BYTES],
     );
     assert_eq!(codes, (SET_INSTANCE, REJECT));
-    // Killed: no further event for it.
+    // The instance is killed: further events for it are an error.
     let records = [switch_to(3), event_record(POWER_OFF), request_arrival(2)];
     let error = handle(instances, 3, &records).unwrap_err();
     assert!(
@@ -63,7 +66,7 @@
         ),
         "{error}"
     );
-    // Killed and started anew in one frame: it is empty again.
+    // Within one frame the instance is started, killed and started again, with an empty state.
     let records = [
         switch_to(3),
         init(SETTINGS),
--- a/crates/simulator-adapter/tests/adapter/main.rs
+++ b/crates/simulator-adapter/tests/adapter/main.rs
@@ -1,5 +1,5 @@
-//! The adapter on frames written by hand: the wire page's byte examples, malformed frames, the table of
-//! instances and the program itself.
+//! Tests of the adapter with frames written by hand: the byte examples of the wire protocol's
+//! documentation, malformed frames, settings, the table of instances and the program itself.
 
 mod action_records;
 mod event_records;
--- a/crates/simulator-adapter/tests/adapter/program.rs
+++ b/crates/simulator-adapter/tests/adapter/program.rs
@@ -1,16 +1,20 @@
-//! The program: its standard input and output, and its exit code.
+//! Tests of the program: its standard input, output and error, and its exit code.
 
 use crate::support::bytes;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// What came of one run of the program.
+/// The result of one run of the program.
 struct Run {
+    /// Whether the exit code was 0.
     success: bool,
+    /// What it wrote to standard output.
     output: Vec<u8>,
+    /// What it wrote to standard error.
     errors: String,
 }
 
+/// Runs the program with this standard input until it exits.
 fn run(input: &[u8]) -> Run {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -35,7 +39,7 @@
 }
 
 #[test]
-fn broken_input_ends_the_program_with_one_line_of_error() {
+fn malformed_input_ends_the_program_with_one_line_of_error() {
     for (input, message) in [
         (&bytes("00000010 000000")[..], "7 of 16"),
         (&bytes("00000004 0000000000000001 00000000"), "length 4"),
--- a/crates/simulator-adapter/tests/adapter/settings_record.rs
+++ b/crates/simulator-adapter/tests/adapter/settings_record.rs
@@ -1,4 +1,4 @@
-//! The settings that an instance is started with.
+//! Tests of the settings with which an instance starts, and of their errors.
 
 use crate::support::{event_frame, init, switch_to, SETTINGS};
 use balancer::{Idempotency, KeyScope, MachineTypeId, ZoneId};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn unreadable_settings_are_named() {
+fn errors_name_the_key_of_unreadable_settings() {
     let error_with = |from: &str, to: &str| {
         let text = SETTINGS.replace(from, to);
         parse(text.as_bytes()).unwrap_err().to_string()
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn invalid_settings_are_named() {
+fn errors_name_the_key_of_invalid_settings() {
     let text = SETTINGS.replace("\"zone\": 1", "\"zone\": 7");
     let frame = event_frame(1, &[switch_to(1), init(&text)], text.as_bytes());
     let error = InstanceTable::default().handle_frame(&frame).unwrap_err();
--- a/crates/simulator-adapter/tests/adapter/support.rs
+++ b/crates/simulator-adapter/tests/adapter/support.rs
@@ -1,4 +1,4 @@
-//! Frames and settings from which the tests are made.
+//! Settings, and helpers that build frames and decode events, for the other modules.
 
 use balancer::Event;
 use settings::LoadReportField;
@@ -6,7 +6,7 @@
     EventFrame, EventRecord, WireError, EVENT_HEADER_BYTES, EVENT_RECORD_BYTES,
 };
 
-/// The figures of load reports in the tests' frames.
+/// The fields of the load reports in the tests' frames, in the order of their values.
 pub const LOAD_REPORT_FIELDS: [LoadReportField; 4] = [
     LoadReportField::Utilization,
     LoadReportField::Throughput,
@@ -14,7 +14,7 @@
     LoadReportField::InFlight,
 ];
 
-/// Settings of one instance.
+/// The JSON settings of an instance, with a key that is not known and must be skipped.
 pub const SETTINGS: &str = r#"{"balancers": 4, "unheard_of": {"a": 1},
  "limits": {"may_cancel": true, "may_probe": false, "max_retry_after_ns": 1500000000, "retry_after": true,
             "second_copies": false, "try_limit": 6},
@@ -28,7 +28,7 @@
  "tenants": [{"name": "t", "quota_per_s": 100.0, "share": 1.0}], "weights": "silent", "worth_by": "request",
  "zone": 1, "zones": ["x", "y"]}"#;
 
-/// The bytes of hexadecimal digits; anything else in `text` is skipped.
+/// Returns the bytes that the hexadecimal digits of `text` stand for; other characters are skipped.
 pub fn bytes(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits
@@ -37,19 +37,21 @@
         .collect()
 }
 
-/// The bytes of hexadecimal digits, filled up with zeros.
+/// Returns the bytes that the hexadecimal digits of `text` stand for, filled up with zeros to
+/// `size` bytes.
 pub fn padded_record(text: &str, size: usize) -> Vec<u8> {
     let mut record = bytes(text);
     record.resize(size, 0);
     record
 }
 
-/// An event record of hexadecimal digits, filled up with zeros.
+/// Returns an event record given in hexadecimal digits, filled up with zeros.
 pub fn event_record(text: &str) -> Vec<u8> {
     padded_record(text, EVENT_RECORD_BYTES)
 }
 
-/// A frame of event records at this reading of the clock, in nanoseconds.
+/// Returns an event frame with these records and this tail; `now` is the time on the simulator's
+/// clock in nanoseconds.
 pub fn event_frame(now: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = records.concat();
     let length = EVENT_HEADER_BYTES + body.len() + tail.len();
@@ -61,7 +63,8 @@
     frame
 }
 
-/// The event for the balancer in a frame of one record.
+/// Decodes a frame of one record, given in hexadecimal digits, and returns its event for the
+/// balancer. Fails if the record is not such an event.
 pub fn decode_event(record: &str, tail: &[u8]) -> Result<Event, WireError> {
     let frame = event_frame(1, &[event_record(record)], tail);
     match EventFrame::parse(&frame)?.record(0, &LOAD_REPORT_FIELDS)? {
@@ -70,12 +73,12 @@
     }
 }
 
-/// A record by which the following ones concern this instance.
+/// Returns a record after which the following ones concern this instance.
 pub fn switch_to(instance: u32) -> Vec<u8> {
     event_record(&format!("1a{instance:08x}"))
 }
 
-/// A record that starts an instance with settings that begin the tail.
+/// Returns a record that starts an instance with the settings at the beginning of the tail.
 pub fn init(settings: &str) -> Vec<u8> {
     event_record(&format!(
         "18 0000000000000007 00000000 {:08x}",
