--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -1,4 +1,5 @@
-//! Accepting connections, with the time that they may have waited in the accept queue.
+//! Accepts connections and records since when each may have waited in the accept queue, so that
+//! this time counts towards the client's timeout for the first request.
 
 use crate::downstream::close_reason::CloseReason;
 use crate::requests::dispatcher::Dispatcher;
@@ -8,26 +9,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// Pause after an accept that failed for want of resources.
+/// Pause after an accept that failed for lack of a resource, such as descriptors or memory: the
+/// next one would fail as well.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A listening socket and its accept queue.
+/// A listening socket, with what is known about the age of the connections in its accept queue.
 pub struct AcceptQueue {
     listener: TcpListener,
-    /// When the queue was last known to be empty.
+    /// When the queue was last known to be empty; at first, when the socket may have begun to
+    /// listen.
     empty_at: Instant,
 }
 
 /// A connection taken from the accept queue.
 pub struct QueuedConnection {
-    /// The connection.
+    /// The accepted connection.
     pub stream: TcpStream,
-    /// The earliest instant at which it may have entered the queue.
+    /// The earliest instant at which the connection may have entered the queue.
     pub queued_since: Instant,
 }
 
 impl AcceptQueue {
-    /// The queue of a listener that may have received connections since `listening_since`.
+    /// Creates the queue of a listener that may have received connections since `listening_since`.
     pub fn new(listener: TcpListener, listening_since: Instant) -> Self {
         AcceptQueue {
             listener,
@@ -35,16 +38,18 @@
         }
     }
 
-    /// Accepts a connection. One that is there at once may have entered the queue as soon as it was
-    /// last empty.
+    /// Accepts the next connection. One that is available at once may have entered the queue at any
+    /// time since the queue was last known to be empty; one that had to be waited for entered it
+    /// just now.
     ///
     /// # Errors
     ///
-    /// Returns the system's error, after which the next call may succeed.
+    /// Returns the error of the system call. The queue stays usable, and the next call may succeed;
+    /// see [`handle_accept_error`].
     ///
     /// # Cancellation
     ///
-    /// Cancel safe: no connection is lost.
+    /// Cancel safe: a cancelled call takes no connection from the queue.
     pub async fn accept(&mut self) -> std::io::Result<QueuedConnection> {
         let mut was_empty = false;
         poll_fn(|cx| {
@@ -62,7 +67,11 @@
     }
 }
 
-/// Logs a failed accept, and pauses if the next one would fail as well.
+/// Handles a failed accept, after which the caller accepts again.
+///
+/// A failure of one connection is counted as [`CloseReason::ClosedBeforeAccept`]. Any other is
+/// logged after the name of the `operation`, and followed by a pause, since the next accept would
+/// fail as well.
 pub async fn handle_accept_error(dispatcher: &Dispatcher, operation: &str, error: &std::io::Error) {
     if transient_errors::is_single_connection_error(error) {
         dispatcher
--- a/crates/proxy/src/downstream/close_reason.rs
+++ b/crates/proxy/src/downstream/close_reason.rs
@@ -1,19 +1,23 @@
-//! Why a connection ended without a request, for the log.
+//! Why a connection ended while it had no complete request; counted by reason in the log.
 
 use std::fmt;
 
-/// Why a connection ended although its client had no response.
+/// Why a connection ended while it had no complete request, so that no response tells its client
+/// why.
+///
+/// The text is the reason under which [`Metrics`](crate::metrics::Metrics) counts the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it while it was in the accept queue.
+    /// The client closed the connection, or the network failed it, while it was in the accept
+    /// queue.
     ClosedBeforeAccept,
-    /// No request was received in time.
+    /// Nothing was received within the timeout for the first request.
     NoRequest,
-    /// Its slot was needed before any request was received.
+    /// Its slot was needed for another connection before anything was received.
     EvictedBeforeRequest,
-    /// Its slot was needed while a head was incomplete.
+    /// Its slot was needed for another connection while a request's head was incomplete.
     EvictedWithIncompleteHead,
-    /// Its slot was needed while it was idle.
+    /// Its slot was needed for another connection while it was idle between two requests.
     EvictedIdle,
 }
 
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,4 +1,5 @@
-//! One client connection: its state, its timeouts, and the policy for the messages on it.
+//! One client connection: its state, its timeouts, and the policy by which the head filter accepts
+//! or rejects requests on it.
 
 use crate::downstream::close_reason::CloseReason;
 use crate::downstream::connection_state::ConnectionState;
@@ -18,58 +19,65 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long a connection may wait for its first request, and how long a head may take; for the
-/// first head both count from the accept. The protocol requires a response or a close within 3 s.
+/// How long a connection may wait for its first request, and how long a head may take to be
+/// complete; for the first head both count from the accept. The protocol requires a response or a
+/// close within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2600);
 
-/// How long a connection may wait for its next request.
+/// How long a connection may wait for its next request while the process is serving.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a connection may wait for its next request at the least, when connections are scarce or
-/// are being drained.
+/// How long a connection may wait for its next request at least: it is not evicted earlier, and
+/// this is the idle timeout in every phase between [`ShutdownPhase::Serving`] and
+/// [`ShutdownPhase::Closing`].
 pub const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// How long a request sent right after the handshake may take to arrive, once the node no longer
-/// accepts connections.
+/// Minimum age at which a connection without any request is closed in [`ShutdownPhase::Closing`]: a
+/// request that the client sent right after the handshake may take that long to arrive.
 const FIRST_BYTES_GRACE: Duration = Duration::from_millis(100);
 
-/// Size of the socket's send buffer for a streamed response, which a slow client fills.
+/// Size of the socket's send buffer, in bytes, once a response is streamed: a slow client fills
+/// all of it.
 const STREAMING_SEND_BUFFER_BYTES: usize = 256 << 10;
 
 /// The method of the request that hyper reads in place of a rejected one, so that the rejection
 /// keeps its position among pipelined responses. No client can send it: the head filter rejects
 /// every method but GET and POST.
 pub const REJECTED_METHOD: &str = "REJECTED";
+/// The request with [`REJECTED_METHOD`], as hyper reads it.
 const REJECTED_HEAD: &[u8] = b"REJECTED / HTTP/1.1\r\n\r\n";
 
-/// A client connection, shared by the task that serves it, its response bodies and the table of
-/// connections.
+/// A client connection: its socket and its state. Shared by the task that serves it, its response
+/// bodies and the table of connections.
 pub struct ClientConnection {
     socket: Rc<TcpStream>,
     state: Cell<ConnectionState>,
-    /// Why the head that was read last is rejected, if it is.
+    /// Why the head that was read last is rejected; `None` if it is not.
     rejection: Cell<Option<MessageError>>,
-    /// The request that hyper has, until its response is dropped. Pipelined requests wait for it.
+    /// The request whose head went to hyper, until its response is dropped. Pipelined requests wait
+    /// for that.
     accepted_request: Cell<Option<AcceptedRequest>>,
-    /// The earliest instant at which the connection may have entered the accept queue, if bytes
-    /// had been received by the time of the accept. Consumed by the first request.
+    /// The earliest instant at which the connection may have entered the accept queue; `None` if no
+    /// bytes had been received by the time of the accept. Taken by the first request.
     queued_since: Cell<Option<Instant>>,
-    /// Whether the last request was rejected: more of it may still arrive.
+    /// Whether the last request was rejected, so that more of it may still arrive.
     last_request_rejected: Cell<bool>,
     /// Whether a response was complete before all of its request was read.
     upload_unfinished: Cell<bool>,
+    /// Notified when the state changes from outside the task that serves the connection.
     state_changed: Notify,
 }
 
 /// A request whose head went to hyper.
 #[derive(Clone, Copy, Debug)]
 struct AcceptedRequest {
-    /// When its last byte was received, if it was received together with its head.
+    /// When its last byte was received; `None` unless it was received together with the head.
     complete_at: Option<Instant>,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted, and may have waited for that since `queued_since`.
+    /// Wraps a connection that was just accepted, and may have waited in the accept queue since
+    /// `queued_since`.
     pub fn new(socket: TcpStream, queued_since: Instant) -> Self {
         let has_unread_bytes = !is_open_and_drained(&socket);
         ClientConnection {
@@ -86,48 +94,51 @@
         }
     }
 
-    /// The socket.
+    /// Returns the socket, which the head filter and the request in flight share.
     pub fn socket(&self) -> &Rc<TcpStream> {
         &self.socket
     }
 
-    /// The state at this moment.
+    /// Returns the present state.
     pub fn state(&self) -> ConnectionState {
         self.state.get()
     }
 
-    /// Waits until the state was changed from outside the task that serves the connection.
+    /// Waits until the state has been changed from outside the task that serves the connection, by
+    /// a timeout or an eviction.
     pub async fn state_changed(&self) {
         self.state_changed.notified().await;
     }
 
     // ---- requests and responses ----
 
-    /// Records that a request goes from hyper to its handler. Returns when its head began.
+    /// Records that hyper hands a request to its handler, and returns when the head of that request
+    /// began; for the first request of the connection, the time of the accept.
     pub fn start_request(&self) -> Instant {
-        let head_since = self.state.get().since();
+        let head_started_at = self.state.get().since();
         let since = Instant::now();
         self.state.set(ConnectionState::RequestInFlight { since });
-        head_since
+        head_started_at
     }
 
-    /// When the last byte of the request in flight was received, if it was received together with
-    /// its head.
+    /// Returns when the last byte of the request in flight was received; `None` unless it was
+    /// received together with the head.
     pub fn request_complete_at(&self) -> Option<Instant> {
         self.accepted_request.get()?.complete_at
     }
 
-    /// Why the head that was read last is rejected, if it is.
+    /// Returns why the head that was read last is rejected; `None` if it is not.
     pub fn rejection(&self) -> Option<MessageError> {
         self.rejection.get()
     }
 
-    /// Records whether the last request was rejected.
+    /// Records whether the last request was rejected. If it was, what the client still sends of it
+    /// is read before the connection is closed.
     pub fn set_last_request_rejected(&self, rejected: bool) {
         self.last_request_rejected.set(rejected);
     }
 
-    /// Whether the last request was rejected: more of it may still arrive.
+    /// Whether the last request was rejected, so that more of it may still arrive.
     pub fn last_request_rejected(&self) -> bool {
         self.last_request_rejected.get()
     }
@@ -142,7 +153,8 @@
         self.upload_unfinished.get()
     }
 
-    /// Records that the response in flight is streamed, and bounds the socket's send buffer.
+    /// Records that the response to the request in flight is streamed, and bounds the socket's send
+    /// buffer to [`STREAMING_SEND_BUFFER_BYTES`].
     pub fn start_streaming(&self) {
         let last_progress = Instant::now();
         self.state
@@ -151,13 +163,15 @@
         let _ = socket.set_send_buffer_size(STREAMING_SEND_BUFFER_BYTES);
     }
 
-    /// Records that a part of the streamed response, or its end, is ready for the client.
+    /// Records that a part of the streamed response, or its end, is ready for the client, which
+    /// restarts the stall timeout.
     pub fn record_progress(&self) {
         let state = self.state.get().restarted_at(Instant::now());
         self.state.set(state);
     }
 
-    /// Records that hyper has read all of the response, or dropped it.
+    /// Records that hyper has read all of the response, or dropped it. The connection is idle from
+    /// now on, unless it is to be closed.
     pub fn finish_response(&self) {
         self.accepted_request.set(None);
         if self.state.get().is_request_in_flight() {
@@ -168,25 +182,27 @@
 
     // ---- timeouts and closing ----
 
-    /// Checks whether it may be closed at this moment for want of a request.
+    /// Checks whether the connection may be closed at this moment: no request is in flight, and the
+    /// socket has no unread bytes.
     ///
     /// # Errors
     ///
-    /// Returns the invariant that forbids it.
+    /// Returns [`Invariant::ConnectionClose`] if it may not be closed.
     pub fn may_close(&self) -> Result<(), Invariant> {
         let is_request_in_flight = self.state.get().is_request_in_flight();
         let has_unread_bytes = !is_open_and_drained(&self.socket);
         send_invariants::may_close(is_request_in_flight, has_unread_bytes)
     }
 
-    /// Asks the task that serves the connection to close it.
+    /// Asks the task that serves the connection to close it. The task may still take that back, see
+    /// [`ClientConnection::resume_if_readable`].
     pub fn close(&self) {
         self.state.set(self.state.get().closing(Instant::now()));
         self.state_changed.notify_one();
     }
 
-    /// Takes back the decision to close it if bytes have been received since, and returns whether
-    /// that is so.
+    /// Takes back the decision to close the connection if unread bytes have been received and its
+    /// state was one that allows that. Returns whether it was taken back.
     pub fn resume_if_readable(&self) -> bool {
         let Some(resumed) = self.state.get().resumed() else {
             return false;
@@ -198,14 +214,16 @@
         must_resume
     }
 
-    /// Ends whatever has exceeded its timeout.
+    /// Ends what has exceeded its timeout: closes the connection, or marks its incomplete head as
+    /// timed out. Also notices that the client of a request in flight has disconnected. `phase`
+    /// shortens the timeouts; `metrics` counts connections without any request.
     pub fn close_expired(&self, phase: ShutdownPhase, metrics: &Metrics) {
         let state = self.state.get();
         let since = state.since();
         let age = since.elapsed();
         match state {
-            // A request sent right after the handshake may still arrive. One that has begun is
-            // answered, with `Connection: close`.
+            // A request that was sent right after the handshake may still arrive. One that has
+            // begun to arrive is answered, with `Connection: close`.
             ConnectionState::AwaitingFirstRequest { .. }
                 if phase == ShutdownPhase::Closing
                     && age >= FIRST_BYTES_GRACE
@@ -213,14 +231,14 @@
             {
                 self.close();
             }
-            // Unread bytes are not checked here: if there are any, the task that serves the
+            // Unread bytes need no check here: if there are any, the task that serves the
             // connection resumes it.
             ConnectionState::AwaitingFirstRequest { .. } if age >= HEAD_TIMEOUT => {
                 metrics.count_rejected_message(CloseReason::NoRequest);
                 self.close();
             }
-            // A client that has closed waits for no response. Hyper notices that only if no unread
-            // bytes precede it.
+            // A client that has closed the connection waits for no response. Hyper notices the
+            // close only if no unread bytes precede it.
             ConnectionState::RequestInFlight { .. } | ConnectionState::StreamingResponse { .. }
                 if is_closed_by_peer(&self.socket) =>
             {
@@ -243,12 +261,12 @@
     }
 }
 
-/// How long a connection may wait for its next request.
+/// Returns how long a connection may wait for its next request in a phase.
 fn idle_timeout(phase: ShutdownPhase) -> Duration {
     match phase {
         ShutdownPhase::Serving => IDLE_TIMEOUT,
-        // While draining, every response has `Connection: close`: a connection that is idle has
-        // been so since before.
+        // In these phases every response has `Connection: close`: a connection that is idle has
+        // been idle since before they began.
         ShutdownPhase::Draining | ShutdownPhase::ShuttingDown | ShutdownPhase::HandingOver => {
             MIN_IDLE_TIME
         }
@@ -270,7 +288,7 @@
 
     fn head_started(&self) -> Result<(), MessageError> {
         match self.state.get() {
-            // The first head counts from the accept.
+            // The timeout of the first head counts from the accept.
             ConnectionState::AwaitingFirstRequest { since } => {
                 self.state.set(ConnectionState::ReadingHead { since });
             }
@@ -289,8 +307,8 @@
     }
 
     fn head_accepted(&self, complete_at: Option<Instant>) {
-        // What had been received before the accept may have been received as early as the
-        // connection may have entered the queue.
+        // Bytes that were received before the accept may have been received as early as the
+        // connection may have entered the accept queue.
         let queued_since = self.queued_since.take();
         let complete_at = complete_at.map(|at| queued_since.unwrap_or(at));
         self.accepted_request
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -1,34 +1,37 @@
-//! The states of a client connection.
+//! The states of a client connection, and how it leaves and re-enters them when it is closed.
 
 use tokio::time::Instant;
 
 /// What a client connection is doing, and since when.
+///
+/// The normal cycle is `AwaitingFirstRequest`, `ReadingHead`, `RequestInFlight`, perhaps
+/// `StreamingResponse`, then `Idle` and `ReadingHead` again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Nothing has been received yet.
+    /// No bytes have been received yet.
     AwaitingFirstRequest {
         /// When the connection was accepted.
         since: Instant,
     },
-    /// A head is incomplete.
+    /// The head of a request is being received and is not complete.
     ReadingHead {
-        /// When the connection was accepted, for its first head; when the first bytes of the head
-        /// were received, for later ones.
+        /// For the connection's first head, when the connection was accepted; for a later one, when
+        /// its first bytes were received.
         since: Instant,
     },
-    /// The head took too long, and is rejected.
+    /// The head was not complete in time, and is rejected.
     HeadTimedOut {
         /// When the head began, as in [`ConnectionState::ReadingHead`].
         since: Instant,
     },
-    /// A request is in flight: its body is read, or it waits for its response.
+    /// A request is in flight: its body is being received, or it waits for its response.
     RequestInFlight {
-        /// When its head was complete.
+        /// When hyper handed the request to its handler, with a complete head.
         since: Instant,
     },
-    /// A large response is streamed.
+    /// A response that is large, or of unknown length and slow, is being streamed to the client.
     StreamingResponse {
-        /// When a part of it was last ready for the client.
+        /// When a part of the response was last ready for the client.
         last_progress: Instant,
     },
     /// The response is complete, and the next request has not begun.
@@ -38,7 +41,7 @@
     },
     /// The connection is to be closed.
     Closing {
-        /// When that was decided.
+        /// When the close was decided.
         since: Instant,
         /// The state to return to if bytes were received before the close took effect; `None` if
         /// it is closed in any case.
@@ -46,12 +49,13 @@
     },
     /// The client has closed the connection while a request was in flight.
     ClientDisconnected {
-        /// When the state before this one began.
+        /// When the state before this one began, or last made progress.
         since: Instant,
     },
 }
 
-/// A state in which a connection is closed only for want of a request.
+/// A state in which a connection is closed only because no request is in flight, so that bytes
+/// which arrive in time keep it open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumableState {
     /// See [`ConnectionState::AwaitingFirstRequest`].
@@ -63,6 +67,7 @@
 }
 
 impl ResumableState {
+    /// Returns the state, with its timeouts counting from `since`.
     fn resume(self, since: Instant) -> ConnectionState {
         match self {
             ResumableState::AwaitingFirstRequest => ConnectionState::AwaitingFirstRequest { since },
@@ -73,12 +78,12 @@
 }
 
 impl ConnectionState {
-    /// The instant from which the timeouts of the state count.
+    /// Returns the instant from which the timeouts of the state count.
     pub fn since(mut self) -> Instant {
         *self.since_mut()
     }
 
-    /// The same state with its timeouts counting from `at`.
+    /// Returns the same state with its timeouts counting from `at`.
     pub fn restarted_at(mut self, at: Instant) -> Self {
         *self.since_mut() = at;
         self
@@ -99,7 +104,7 @@
         }
     }
 
-    /// Whether a request has no complete response yet.
+    /// Whether a request was handed to its handler and its response is not complete yet.
     pub fn is_request_in_flight(self) -> bool {
         matches!(
             self,
@@ -107,7 +112,8 @@
         )
     }
 
-    /// The state once the connection is to be closed.
+    /// Returns the state after the decision, at `now`, to close the connection. It can be resumed
+    /// unless a request is in flight, its head timed out, or it is ending already.
     pub fn closing(self, now: Instant) -> Self {
         let resumable = match self {
             ConnectionState::AwaitingFirstRequest { .. } => {
@@ -127,8 +133,9 @@
         }
     }
 
-    /// The state to which a closing connection returns if bytes were received meanwhile, with its
-    /// timeouts counting from the decision to close it.
+    /// Returns the state to which a closing connection returns if bytes were received meanwhile,
+    /// with its timeouts counting from the decision to close it; `None` if it is closed in any
+    /// case.
     pub fn resumed(self) -> Option<Self> {
         match self {
             ConnectionState::Closing {
--- a/crates/proxy/src/downstream/connection_table.rs
+++ b/crates/proxy/src/downstream/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open client connections, and the slots that bound their number.
+//! The table of open client connections, and the slots that bound their number.
 
 use crate::downstream::connection::ClientConnection;
 use crate::downstream::connection_state::ConnectionState;
@@ -13,16 +13,18 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 use tokio::time::timeout;
 
-/// How often eviction is repeated while no slot is free and no connection can be closed yet.
+/// Interval at which eviction is repeated while no slot is free and no connection can be closed
+/// yet.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One eviction frees up to one in this many slots, since more connections are likely to wait.
+/// One eviction closes up to the capacity divided by this, rounded up. It closes more than one
+/// connection because more clients are likely to be waiting for a slot.
 const EVICTION_DIVISOR: usize = 8;
 
-/// Slots are scarce when fewer than one in this many are free.
+/// Slots are scarce when fewer are free than the capacity divided by this.
 const SCARCITY_DIVISOR: usize = 4;
 
-/// The right to hold one client connection.
+/// The permit to hold one client connection open; dropping it frees the slot.
 pub struct ConnectionSlot {
     _permit: OwnedSemaphorePermit,
 }
@@ -30,17 +32,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ConnectionId(u64);
 
-/// All open client connections.
+/// Holds all open client connections, and hands out the slots for them.
 pub struct ConnectionTable {
     slots: ResizableSemaphore,
     connections: RefCell<FxHashMap<ConnectionId, Rc<ClientConnection>>>,
     next_id: Cell<u64>,
+    /// Notified whenever a connection is removed.
     connection_closed: Notify,
     metrics: Rc<Metrics>,
 }
 
 impl ConnectionTable {
-    /// An empty table for this many connections.
+    /// Creates an empty table for at most `capacity` connections.
     pub fn new(capacity: usize, metrics: Rc<Metrics>) -> Rc<Self> {
         Rc::new(ConnectionTable {
             slots: ResizableSemaphore::new(capacity),
@@ -51,7 +54,7 @@
         })
     }
 
-    /// Changes the number of slots, and evicts connections if more are open.
+    /// Changes the number of slots to `capacity`, and evicts connections if more are open.
     pub fn resize(&self, capacity: usize) {
         self.slots.resize(capacity);
         if self.slots.is_over_capacity() {
@@ -59,8 +62,8 @@
         }
     }
 
-    /// Waits for a slot. If none is free, connections without a request are evicted, so that they
-    /// don't keep others out.
+    /// Waits for a free slot. While there is none, connections without a request in flight are
+    /// evicted, at each [`EVICTION_RETRY_INTERVAL`], so that they do not keep new ones out.
     pub async fn acquire_slot(&self) -> ConnectionSlot {
         loop {
             if self.slots.available() == 0 {
@@ -75,12 +78,12 @@
         }
     }
 
-    /// Whether so few slots are free that clients should not keep their connections.
-    pub fn is_scarce(&self) -> bool {
+    /// Whether so few slots are free that clients should be asked to close their connections.
+    pub fn slots_are_scarce(&self) -> bool {
         self.slots.available() < self.slots.capacity() / SCARCITY_DIVISOR
     }
 
-    /// Adds a connection; dropping the returned value removes it and returns its slot.
+    /// Adds a connection. Dropping the returned value removes it and frees its slot.
     pub fn insert(
         self: &Rc<Self>,
         connection: ClientConnection,
@@ -97,14 +100,15 @@
         }
     }
 
-    /// Ends whatever has exceeded its timeout, on all connections.
+    /// Calls [`ClientConnection::close_expired`] on every connection; the timeouts depend on the
+    /// `phase`.
     pub fn close_expired(&self, phase: ShutdownPhase) {
         for connection in self.connections.borrow().values() {
             connection.close_expired(phase, &self.metrics);
         }
     }
 
-    /// Whether a request is being read or is in flight.
+    /// Whether any connection is reading the head of a request or has a request in flight.
     pub fn has_requests_in_progress(&self) -> bool {
         self.connections.borrow().values().any(|connection| {
             let state = connection.state();
@@ -123,28 +127,29 @@
         }
     }
 
+    /// Evicts connections, up to the limit that [`EVICTION_DIVISOR`] sets.
     fn evict(&self) {
         let limit = self.slots.capacity().div_ceil(EVICTION_DIVISOR);
         evict(self.connections.borrow().values(), limit, &self.metrics);
     }
 }
 
-/// A connection in the table, with the slot that it holds.
+/// A connection in the table, with its slot. Dropping it removes the connection from the table.
 pub struct OpenConnection {
     table: Rc<ConnectionTable>,
     id: ConnectionId,
     connection: Rc<ClientConnection>,
-    /// `None` only while the value is dropped.
+    /// `None` only once the value is being dropped.
     slot: Option<ConnectionSlot>,
 }
 
 impl OpenConnection {
-    /// The connection itself.
+    /// Returns the connection, which the table shares.
     pub fn connection(&self) -> &Rc<ClientConnection> {
         &self.connection
     }
 
-    /// The table that holds it.
+    /// Returns the table that holds the connection.
     pub fn table(&self) -> &ConnectionTable {
         &self.table
     }
--- a/crates/proxy/src/downstream/connection_task.rs
+++ b/crates/proxy/src/downstream/connection_task.rs
@@ -1,4 +1,5 @@
-//! The task that serves one client connection: runs hyper on it, and closes it.
+//! The task that serves one client connection: runs hyper's HTTP/1 server on it, and closes it when
+//! its state asks for that.
 
 use crate::downstream::connection::REJECTED_METHOD;
 use crate::downstream::connection_state::ConnectionState;
@@ -23,10 +24,11 @@
 use tokio::sync::watch;
 use tokio::time::{timeout, Instant};
 
-/// How long a connection that ends has for what is still to be written, if no request is in flight.
+/// How long a closing connection has for the output that is still to be written. The time starts
+/// anew if a request is still in flight at its end.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Serves one client connection.
+/// Serves one client connection, from its accept until it ends.
 pub struct ConnectionTask {
     open_connection: OpenConnection,
     handler: Rc<RequestHandler>,
@@ -35,7 +37,8 @@
 }
 
 impl ConnectionTask {
-    /// A task for an accepted connection.
+    /// Creates the task of an accepted connection. `phase` decides whether responses ask the client
+    /// to close.
     pub fn new(
         open_connection: OpenConnection,
         handler: Rc<RequestHandler>,
@@ -50,14 +53,15 @@
         }
     }
 
-    /// Serves the connection until it ends.
+    /// Serves the connection until the client or the node ends it.
     pub async fn run(self) {
         let connection = self.open_connection.connection();
         let service = service_fn(|request| async {
             let response = self.respond(request).await;
             Ok::<_, Infallible>(response)
         });
-        // Timeouts are checked for all connections together at intervals, not by a timer on each.
+        // The listener checks the timeouts of all connections at intervals, so hyper needs no timer
+        // for each.
         let http = http1::Builder::new()
             .header_read_timeout(None)
             .max_buf_size(MAX_WRITE_BUFFER)
@@ -72,7 +76,8 @@
         loop {
             tokio::select! {
                 biased;
-                // Its errors are the client's, which has disconnected or does not speak HTTP.
+                // The error is dropped: the client has disconnected or does not speak HTTP, or a
+                // streamed response ended early, which its `StreamOutcome` reports.
                 _ = http.as_mut() => break,
                 () = connection.state_changed() => {}
             }
@@ -85,8 +90,8 @@
                 }
                 ConnectionState::Closing { .. } => {
                     http.as_mut().graceful_shutdown();
-                    // The last response may not be written yet, and a request that was read
-                    // meanwhile is answered.
+                    // The last response may not be completely written yet, and a request that hyper
+                    // has read since the decision to close is answered.
                     while timeout(FINAL_WRITE_TIMEOUT, http.as_mut()).await.is_err()
                         && connection.state().is_request_in_flight()
                     {}
@@ -98,22 +103,23 @@
         linger(connection).await;
     }
 
+    /// Returns the response to a request from hyper, and records both in the connection's state.
     async fn respond(&self, request: Request<Incoming>) -> Response<ClientBody> {
         let connection = self.open_connection.connection();
-        let head_since = connection.start_request();
+        let head_started_at = connection.start_request();
         let mut response = match connection.rejection() {
             Some(error) if request.method() == REJECTED_METHOD => rejection(error.into()),
-            _ => self.handle(request, head_since).await,
+            _ => self.handle(request, head_started_at).await,
         };
         connection.set_last_request_rejected(response.status().is_client_error());
         if let Some(error) = rejection_reason(&response) {
             self.metrics.count_rejected_message(error);
         }
-        // A client that is asked to close goes elsewhere next. While slots are scarce every client
-        // is asked: many send one request and keep their connection, and until those may be closed
-        // no other client would get in.
+        // A client that is asked to close its connection sends its next request to another node.
+        // While slots are scarce every client is asked: many send a single request and keep their
+        // connection, and no other client would get a slot until those connections may be closed.
         let is_shutting_down = *self.phase.borrow() > ShutdownPhase::Serving;
-        if is_shutting_down || self.open_connection.table().is_scarce() {
+        if is_shutting_down || self.open_connection.table().slots_are_scarce() {
             self.metrics.count(|c| c.connection_close_sent += 1);
             set_connection_close(&mut response);
         }
@@ -124,15 +130,20 @@
         response
     }
 
+    /// Handles a request whose head was valid. A chunked request is the last one of its connection.
     async fn handle(
         &self,
         request: Request<Incoming>,
-        head_since: Instant,
+        head_started_at: Instant,
     ) -> Response<ClientBody> {
-        // Only hyper knows where chunks end: what follows them is never read.
+        // Only hyper finds the end of a chunked body, so the head filter cannot tell where the next
+        // request would begin: what follows the body is never read as a request.
         let is_last_request = request.headers().contains_key(header::TRANSFER_ENCODING);
         let connection = self.open_connection.connection();
-        let mut response = self.handler.handle(request, head_since, connection).await;
+        let mut response = self
+            .handler
+            .handle(request, head_started_at, connection)
+            .await;
         if is_last_request {
             set_connection_close(&mut response);
         }
--- a/crates/proxy/src/downstream/eviction.rs
+++ b/crates/proxy/src/downstream/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction: which connections are closed when others need their slots.
+//! Eviction: selects the connections that are closed when new connections need their slots.
 
 use crate::downstream::close_reason::CloseReason;
 use crate::downstream::connection::{ClientConnection, MIN_IDLE_TIME};
@@ -7,14 +7,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a new connection is safe: a request sent right after the handshake may still arrive.
+/// Minimum age of a new connection that is evicted: a request that the client sent right after the
+/// handshake may still arrive.
 const MIN_TIME_FOR_FIRST_BYTES: Duration = Duration::from_millis(10);
 
-/// How long a connection with an incomplete head is safe.
+/// Minimum age of an incomplete head whose connection is evicted, counted as in
+/// [`ConnectionState::ReadingHead`].
 const MIN_TIME_FOR_HEAD: Duration = Duration::from_millis(200);
 
-/// Closes up to `limit` connections without a request, those first that have been silent for the
-/// longest.
+/// Closes up to `limit` connections that have no request in flight and no unread bytes, starting
+/// with those that have been in their state for the longest ([`ConnectionState::since`]).
+/// Connections younger than the minimum age for their state are kept.
 pub fn evict<'c>(
     connections: impl Iterator<Item = &'c Rc<ClientConnection>>,
     limit: usize,
--- a/crates/proxy/src/downstream/lingering_close.rs
+++ b/crates/proxy/src/downstream/lingering_close.rs
@@ -1,7 +1,7 @@
-//! Reading what a client still sends before its connection is closed.
+//! Lingering close: reads what a client still sends before its connection is closed.
 //!
-//! Closing a socket with unread bytes resets the connection, and the reset may overtake the
-//! response that explains what was wrong with them.
+//! Closing a socket with unread bytes resets the connection. The reset may overtake the response
+//! that says what was wrong with those bytes, and the client would lose that response.
 
 use crate::downstream::connection::ClientConnection;
 use crate::http1::limits::MAX_BODY_BYTES;
@@ -9,19 +9,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Most that is read after a request was rejected.
+/// Maximum number of bytes that are read and discarded after a request was rejected.
 pub const MAX_LINGER_BYTES: usize = 256 << 10;
 
-/// How long input is read after a request was rejected.
+/// How long input is read and discarded after a request was rejected.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest pause between two reads, after which the client counts as having stopped writing.
+/// Longest wait for more input, after which the client counts as having stopped writing.
 const MAX_WRITE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Reads what the client still sends, if it was sent a response before all of its request was read.
+/// Reads and discards what the client still sends, if it was sent a response before all of its
+/// request was read. The caller closes the connection afterwards.
 ///
-/// Any other connection is closed at once, and reset if it has unread bytes: the client sent them
-/// before it noticed the close; they were not processed, and the client may send them again.
+/// Returns at once for any other connection, whose close then resets it if it has unread bytes: the
+/// client sent them before it noticed the close. They were not processed, and the client may send
+/// them again.
 pub async fn linger(connection: &ClientConnection) {
     let socket = connection.socket();
     if connection.last_request_rejected() {
@@ -33,7 +35,8 @@
     }
 }
 
-/// Reads and discards what still arrives, until the end of the connection, a pause, or `max_bytes`.
+/// Reads and discards input until the peer ends the connection, an error, a pause of
+/// [`MAX_WRITE_PAUSE`], or `max_bytes`, which the last read may exceed.
 pub async fn discard_input(socket: &TcpStream, max_bytes: usize) {
     let mut buffer = [0; 4096];
     let mut discarded = 0;
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listener: accepts connections and starts a task for each.
+//! The listener for clients: accepts connections, bounds their number, and starts a task for each.
 
 use crate::downstream::accept::{handle_accept_error, AcceptQueue, QueuedConnection};
 use crate::downstream::connection::ClientConnection;
@@ -16,26 +16,27 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// How often the timeouts of all connections are checked.
+/// Interval at which the timeouts of all connections are checked.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long connections are still accepted in [`ShutdownPhase::Closing`]: a client that sends a
-/// request while its idle connection is being closed connects again, and finds a listener.
+/// How long connections are still accepted in [`ShutdownPhase::Closing`]. A client that sends a
+/// request while its idle connection is being closed connects again, and must find a listener.
 const RECONNECT_GRACE: Duration = Duration::from_millis(100);
 
-/// Accepts client connections, and owns them.
+/// Accepts client connections, checks their timeouts, and owns the table that holds them.
 pub struct Listener {
     dispatcher: Rc<Dispatcher>,
     handler: Rc<RequestHandler>,
     phase: watch::Receiver<ShutdownPhase>,
     connections: Rc<ConnectionTable>,
-    /// Connections may have entered the accept queue since then.
+    /// The earliest instant at which a connection may have entered the accept queue.
     listening_since: Instant,
 }
 
 impl Listener {
-    /// A listener for at most `max_connections` at a time, which may have been made since
-    /// `listening_since`.
+    /// Creates a listener that holds at most `max_connections` at a time. Its socket, which
+    /// [`Listener::serve`] gets, may have received connections since `listening_since`.
+    /// `idempotency_by_class` is indexed by class.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         endpoint_updates: Rc<EndpointUpdates>,
@@ -60,7 +61,8 @@
         })
     }
 
-    /// Accepts connections until the process closes, then waits until the last of them has ended.
+    /// Accepts connections until the process closes or hands its listener over, then waits until
+    /// the last connection has ended.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let timeouts = spawn_local(self.clone().check_timeouts());
         let queue = AcceptQueue::new(listener, self.listening_since);
@@ -69,16 +71,18 @@
         timeouts.abort();
     }
 
-    /// Whether a request is being read or is in flight.
+    /// Whether any connection is reading the head of a request or has a request in flight.
     pub fn has_requests_in_progress(&self) -> bool {
         self.connections.has_requests_in_progress()
     }
 
-    /// Changes the greatest number of connections.
+    /// Changes the maximum number of connections. If more are open, those without a request in
+    /// flight are evicted.
     pub fn resize(&self, max_connections: usize) {
         self.connections.resize(max_connections);
     }
 
+    /// Closes connections whose timeouts have expired, at each [`TIMEOUT_CHECK_INTERVAL`].
     async fn check_timeouts(self: Rc<Self>) {
         let mut interval = tokio::time::interval(TIMEOUT_CHECK_INTERVAL);
         loop {
@@ -88,20 +92,20 @@
         }
     }
 
-    /// Accepts connections until the process closes or hands its listener over, and closes the
-    /// listener.
+    /// Accepts connections until the process closes or hands its listener over. Returning closes
+    /// this process's descriptor of the listening socket.
     async fn accept_until_closing(&self, mut queue: AcceptQueue) {
         let mut closing = std::pin::pin!(self.closing());
         loop {
-            // Not interrupted when the process closes: connections in the accept queue may hold
-            // requests, and would be lost with the socket. A listener that is handed over lives on,
-            // and so does its queue.
+            // The end of accepting does not interrupt the wait for a slot: connections in the
+            // accept queue may hold requests and would be lost when the socket closes. A listener
+            // that is handed over stays open in the peer process, and so does its queue.
             let slot = self.connections.acquire_slot().await;
             if *self.phase.borrow() == ShutdownPhase::HandingOver {
                 return;
             }
             tokio::select! {
-                biased; // For the same reason the queue is emptied before the listener closes.
+                biased; // Empties the queue before the listener closes, for the same reason.
                 accepted = queue.accept() => match accepted {
                     Ok(connection) => self.start_connection(connection, slot),
                     Err(error) => handle_accept_error(&self.dispatcher, "accept", &error).await,
@@ -111,7 +115,8 @@
         }
     }
 
-    /// Waits until no more connections are to be accepted.
+    /// Waits until no more connections are to be accepted: until [`ShutdownPhase::HandingOver`], or
+    /// until [`RECONNECT_GRACE`] after [`ShutdownPhase::Closing`].
     async fn closing(&self) {
         let mut phases = self.phase.clone();
         let phase = phases
@@ -123,13 +128,15 @@
         }
     }
 
+    /// Starts the task that serves an accepted connection, which holds `slot` until it ends.
     fn start_connection(&self, accepted: QueuedConnection, slot: ConnectionSlot) {
         let _ = accepted.stream.set_nodelay(true);
         let connection = ClientConnection::new(accepted.stream, accepted.queued_since);
         let metrics = self.dispatcher.metrics();
         metrics.count(|c| c.connections_accepted += 1);
-        // Inserted before its task runs: a burst may take all slots within one turn of the runtime,
-        // and only connections in the table can be evicted.
+        // The connection is inserted before its task first runs: a burst of connections may take
+        // all slots before the runtime polls their tasks, and only connections in the table can be
+        // evicted.
         let open_connection = self.connections.insert(connection, slot);
         let task = ConnectionTask::new(
             open_connection,
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,4 +1,5 @@
-//! Client connections: accepting, reading requests, writing final responses.
+//! The client side of the proxy: accepts connections, reads and validates requests, hands them to
+//! the dispatcher, and writes final responses.
 
 pub mod accept;
 mod close_reason;
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -1,4 +1,5 @@
-//! Handling one request: health checks, and requests that go to the dispatcher.
+//! Handles one client request: answers health checks, and submits every other request to the
+//! dispatcher and waits for its final response.
 
 use crate::downstream::connection::ClientConnection;
 use crate::downstream::request_head::{RequestError, RequestHead, MAX_TIMEOUT};
@@ -23,43 +24,47 @@
 use tokio::sync::watch;
 use tokio::time::{timeout_at, Instant};
 
-/// Most of a client's timeout that is reserved for the network transit between client and node, in
-/// both directions.
+/// Upper bound of the transit margin: the part of a client's timeout that is reserved for the
+/// network transit between client and node, in both directions.
 const MAX_TRANSIT_MARGIN: Duration = Duration::from_millis(20);
 
-/// The margin is at most the timeout divided by this.
+/// The transit margin is at most the client's timeout divided by this.
 const TRANSIT_MARGIN_DIVISOR: u32 = 8;
 
-/// After the deadline the balancer's response is still awaited for the margin divided by this.
+/// After the deadline the balancer's final response is still awaited for the transit margin divided
+/// by this.
 const OVERDUE_DIVISOR: u32 = 4;
 
-/// How long a request with a buffered body may take from the beginning of its head, in addition to
-/// the time that the received part of the body takes at [`MIN_BODY_BYTES_PER_SECOND`].
+/// How long a request may take from the beginning of its head until its body is buffered, in
+/// addition to the time that the received part of the body takes at [`MIN_BODY_BYTES_PER_SECOND`].
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
 
-/// Rate of a buffered body that is still acceptable.
+/// Lowest rate at which a client may send a body that is buffered.
 const MIN_BODY_BYTES_PER_SECOND: f64 = (32 << 10) as f64;
 
-/// Handles the requests of all client connections.
+/// Handles the requests of all client connections of a node.
 pub struct RequestHandler {
     dispatcher: Rc<Dispatcher>,
     endpoint_updates: Rc<EndpointUpdates>,
+    /// Indexed by class.
     idempotency_by_class: Vec<Idempotency>,
     phase: watch::Receiver<ShutdownPhase>,
 }
 
-/// A request that was read as far as it is buffered.
+/// A request whose body was read as far as it is buffered.
 struct ReceivedRequest {
     body: RequestBody,
-    /// When its final response is due. For a streamed body, whose last byte is not here yet, only an
-    /// upper bound.
+    /// When the final response is due. Only an upper bound for a streamed body, whose last byte has
+    /// not been received yet.
     due: Instant,
-    /// What is left of its timeout, counted from its last byte.
+    /// What is left of the client's timeout, which counts from the request's last byte, after the
+    /// transit margin.
     remaining: Duration,
 }
 
 impl RequestHandler {
-    /// A handler for the classes with these idempotencies.
+    /// Creates a handler. `idempotency_by_class` is indexed by class; `phase` decides whether the
+    /// node reports that it is ready.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         endpoint_updates: Rc<EndpointUpdates>,
@@ -74,21 +79,23 @@
         }
     }
 
-    /// Handles a request whose head began at `head_since`.
+    /// Returns the response to a request whose head began at `head_started_at`, which is a
+    /// rejection if the request is invalid.
     pub async fn handle(
         &self,
         request: Request<Incoming>,
-        head_since: Instant,
+        head_started_at: Instant,
         connection: &ClientConnection,
     ) -> Response<ClientBody> {
         if let Some(response) = self.health_response(request.method(), request.uri()) {
             return response;
         }
-        self.forward(request, head_since, connection)
+        self.forward(request, head_started_at, connection)
             .await
             .unwrap_or_else(rejection)
     }
 
+    /// Returns the response to a health check; `None` if the request is none.
     fn health_response(&self, method: &Method, uri: &Uri) -> Option<Response<ClientBody>> {
         match (method, uri.path()) {
             (&Method::GET, "/health/ready") => {
@@ -109,11 +116,16 @@
         }
     }
 
-    /// Hands a request to the dispatcher, and waits for the final response.
+    /// Submits a request to the dispatcher, and waits for the final response.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the request is rejected: its head or body is invalid or was received too slowly,
+    /// or another request with the same ID is in flight.
     async fn forward(
         &self,
         request: Request<Incoming>,
-        head_since: Instant,
+        head_started_at: Instant,
         connection: &ClientConnection,
     ) -> Result<Response<ClientBody>, RequestError> {
         let (parts, body) = request.into_parts();
@@ -121,7 +133,7 @@
         let head = RequestHead::parse(&parts, names, &self.idempotency_by_class)?;
         let margin = MAX_TRANSIT_MARGIN.min(head.timeout / TRANSIT_MARGIN_DIVISOR);
         let timeout = head.timeout.saturating_sub(margin);
-        let received = receive(body, head_since, timeout, connection).await?;
+        let received = receive(body, head_started_at, timeout, connection).await?;
         let (due, remaining) = (received.due, received.remaining);
         let upload = received.body.upload().cloned();
         let pending = self
@@ -133,7 +145,7 @@
                 deadline: due,
                 remaining,
                 id: head.id,
-                first_byte_at: head_since,
+                first_byte_at: head_started_at,
                 request: outgoing_request(parts, head.target, received.body),
                 client: Rc::downgrade(connection.socket()),
             })
@@ -158,8 +170,8 @@
         Ok(response)
     }
 
-    /// Waits until the response to a streamed request is overdue, by the end of its upload, and
-    /// reports that end to the dispatcher.
+    /// Waits until the response to a request with a streamed body is overdue: until `time_limit`
+    /// after the end of the upload. Reports a complete upload to the dispatcher as soon as it ends.
     async fn streaming_overdue(&self, id: RequestId, upload: &Upload, time_limit: Duration) {
         upload.ended().await;
         if upload.is_complete() {
@@ -169,12 +181,13 @@
     }
 }
 
-/// Checks whether a streamed request was read completely by the time of its response, and marks its
-/// connection if not.
+/// Checks whether a streamed request body was read completely by the time of the response, and
+/// marks the connection as having an unfinished upload if not. `None` stands for a buffered body.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the upload, for which the request is rejected instead.
+/// Returns why the upload failed, for which the request is rejected instead of getting its
+/// response.
 fn check_upload(
     upload: Option<&Upload>,
     connection: &ClientConnection,
@@ -188,18 +201,23 @@
     }
 }
 
-/// Reads a request's body as far as it is buffered. `timeout` is the client's, less the margin.
+/// Reads a request's body as far as it is buffered. `timeout` is the client's timeout less the
+/// transit margin.
+///
+/// # Errors
+///
+/// Returns the error of [`buffer_in_time`].
 async fn receive(
     mut body: Incoming,
-    head_since: Instant,
+    head_started_at: Instant,
     timeout: Duration,
     connection: &ClientConnection,
 ) -> Result<ReceivedRequest, MessageError> {
     let length = body.size_hint().exact();
     let mut buffer = BytesMut::new();
-    let part = buffer_in_time(&mut buffer, &mut body, head_since).await?;
-    // The timeout counts from the last byte: for a streamed body that one has not been received,
-    // and all of the timeout is left.
+    let part = buffer_in_time(&mut buffer, &mut body, head_started_at).await?;
+    // The timeout counts from the request's last byte. That of a streamed body has not been
+    // received yet, so that all of the timeout is left.
     let complete_at = connection
         .request_complete_at()
         .unwrap_or_else(Instant::now);
@@ -219,27 +237,34 @@
     })
 }
 
-/// Buffers a body as long as it is received at [`MIN_BODY_BYTES_PER_SECOND`] or faster.
+/// Buffers a body, as long as it is received within [`REQUEST_TIMEOUT`] plus the time that its
+/// received part takes at [`MIN_BODY_BYTES_PER_SECOND`].
+///
+/// # Errors
+///
+/// Returns [`MessageError::IncompleteBody`] if the body is malformed or ends early, and
+/// [`MessageError::BodyTimeout`] if it is received too slowly.
 async fn buffer_in_time(
     buffer: &mut BytesMut,
     body: &mut Incoming,
-    head_since: Instant,
+    head_started_at: Instant,
 ) -> Result<BufferedPart, MessageError> {
     loop {
         let length = buffer.len();
         let body_time = Duration::from_secs_f64(length as f64 / MIN_BODY_BYTES_PER_SECOND);
-        let deadline = head_since + REQUEST_TIMEOUT + body_time;
+        let deadline = head_started_at + REQUEST_TIMEOUT + body_time;
         match timeout_at(deadline, buffer_body(buffer, body)).await {
             Ok(Ok(part)) => return Ok(part),
             Ok(Err(_)) => return Err(MessageError::IncompleteBody),
-            // What was received meanwhile has moved the deadline.
+            // The bytes received meanwhile have moved the deadline.
             Err(_) if buffer.len() > length => {}
             Err(_) => return Err(MessageError::BodyTimeout),
         }
     }
 }
 
-/// The request as backends get it.
+/// Returns the request as backends get it: without the headers that belong to the client's
+/// connection.
 fn outgoing_request(parts: Parts, target: Uri, body: RequestBody) -> Request<RequestBody> {
     let mut request = Request::new(body);
     *request.method_mut() = parts.method;
--- a/crates/proxy/src/downstream/request_head.rs
+++ b/crates/proxy/src/downstream/request_head.rs
@@ -1,4 +1,4 @@
-//! Parsing and validation of the head of a client's request.
+//! Parses and validates the head of a client's request: its class, and the headers of the protocol.
 
 use crate::http1::error::MessageError;
 use balancer::{ClassId, Idempotency, TenantId};
@@ -9,65 +9,67 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest timeout that a client may ask for.
+/// Longest timeout that a client may state in `X-Timeout`.
 pub const MAX_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Upper bound of the expected work that a client may announce, in microseconds.
+/// Exclusive upper bound of the expected work that a client may state in `X-Cost`, in microseconds.
 const WORK_LIMIT_US: f64 = 1e12;
 const MICROS_PER_SECOND: f64 = 1e6;
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
 const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
-/// The expected work, in microseconds.
+/// States the expected work, in microseconds.
 const COST: HeaderName = HeaderName::from_static("x-cost");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// Why a client's request is rejected.
 ///
-/// The text goes into the log and into the body of the response.
+/// The text is counted in the log and sent to the client as the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The message itself is invalid, or was received too slowly.
+    /// The message is not valid HTTP for this proxy, or was received too slowly.
     #[error(transparent)]
     Message(#[from] MessageError),
-    /// The first segment of the path is no class.
+    /// The first segment of the path does not name a request class.
     #[error("unknown class of requests")]
     UnknownClass,
-    /// The class exists, but has a number that the balancer does not support.
+    /// The class is configured, but its index exceeds the balancer's [`ClassId`].
     #[error("unknown class of requests")]
     UnsupportedClass,
-    /// It would be ambiguous which of the values counts.
+    /// A header that the proxy reads occurs more than once, so that it is ambiguous which value
+    /// counts.
     #[error("a header that counts once came twice")]
     RepeatedHeader,
-    /// No `X-Request-ID`.
+    /// `X-Request-ID` is missing, empty or not text.
     #[error("X-Request-ID is missing")]
     MissingRequestId,
-    /// No `X-Timeout`, or none that can be parsed.
+    /// `X-Timeout` is missing, cannot be parsed, is zero or exceeds [`MAX_TIMEOUT`].
     #[error("X-Timeout is missing or makes no sense")]
     InvalidTimeout,
-    /// No `Idempotency-Key`, though the class needs one.
+    /// The class is keyed, and `Idempotency-Key` is missing, empty or not text.
     #[error("Idempotency-Key is missing")]
     MissingIdempotencyKey,
-    /// GET goes with idempotent classes, POST with the others.
+    /// The method does not fit the class: idempotent classes take GET, the others take POST.
     #[error("another method goes with this class")]
     WrongMethod,
-    /// `X-Tenant-ID` names no tenant.
+    /// The settings have tenants, and `X-Tenant-ID` is missing or names none of them.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// The target of the request is not a path.
+    /// The target of the request has no path.
     #[error("the target has no path")]
     TargetWithoutPath,
-    /// `X-Cost` is not a number of microseconds within bounds.
+    /// `X-Cost` is not a number of microseconds from 0 to below 10^12.
     #[error("X-Cost makes no sense")]
     InvalidCost,
-    /// Another request with the same ID is in flight.
+    /// Another request with the same `X-Request-ID` is in flight; backends would take this one for
+    /// a retry of it.
     #[error("a request of this X-Request-ID is open")]
     DuplicateRequestId,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status of the response that rejects the request, always 4xx.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::Message(error) => error.status(),
@@ -86,28 +88,30 @@
     }
 }
 
-/// The head of a request, in the proxy's terms.
+/// The head of a valid request: what the proxy needs to know to forward it.
 pub struct RequestHead {
-    /// Its class.
+    /// The request class, which the first segment of the path names.
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant, from `X-Tenant-ID`.
     pub tenant: TenantId,
-    /// The expected work, if the client announced it.
+    /// The expected work, from `X-Cost`; `None` if the client did not state it.
     pub work: Option<Duration>,
-    /// How long the client waits.
+    /// How long the client waits for the response, from `X-Timeout`; at most [`MAX_TIMEOUT`].
     pub timeout: Duration,
-    /// `X-Request-ID`, unique among the requests in flight.
+    /// The value of `X-Request-ID`, which has to be unique among the requests in flight.
     pub id: Box<[u8]>,
-    /// The path and query that are forwarded.
+    /// The path and query, which are forwarded unchanged.
     pub target: Uri,
 }
 
 impl RequestHead {
-    /// Parses a head by the names of classes and tenants, and the idempotency of each class.
+    /// Parses and validates a head by the `names` of classes and tenants, and the idempotency of
+    /// each class, which is indexed as the names are.
     ///
     /// # Errors
     ///
-    /// Returns the first thing that is wrong with the head.
+    /// Returns the first of the [`RequestError`]s that applies, except [`RequestError::Message`]
+    /// and [`RequestError::DuplicateRequestId`], which are found elsewhere.
     pub fn parse(
         parts: &Parts,
         names: &SettingNames,
@@ -140,7 +144,7 @@
     }
 }
 
-/// The class that the first segment of a path names.
+/// Returns the index of the class that the first segment of a path names.
 fn class_index(path: &str, classes: &[String]) -> Result<usize, RequestError> {
     let segment = path
         .trim_start_matches('/')
@@ -153,6 +157,7 @@
         .ok_or(RequestError::UnknownClass)
 }
 
+/// Checks that none of the headers that the proxy reads occurs more than once.
 fn check_single_headers(headers: &HeaderMap) -> Result<(), RequestError> {
     let single = [&REQUEST_ID, &TENANT, &TIMEOUT, &COST, &IDEMPOTENCY_KEY];
     let is_repeated = |name: &HeaderName| headers.get_all(name).iter().nth(1).is_some();
@@ -162,6 +167,7 @@
     Ok(())
 }
 
+/// Checks that a request has the method and, if need be, the key that its class requires.
 fn check_idempotency(
     idempotency: Idempotency,
     method: &Method,
@@ -177,7 +183,7 @@
     Ok(())
 }
 
-/// The tenant that a request names; the first one where the settings have no tenants.
+/// Returns the index of the tenant that a request names; 0 if the settings have no tenants.
 fn tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<usize, RequestError> {
     if tenants.is_empty() {
         return Ok(0);
@@ -189,6 +195,7 @@
         .ok_or(RequestError::UnknownTenant)
 }
 
+/// Parses the expected work that the client states; `None` if it states none.
 fn expected_work(headers: &HeaderMap) -> Result<Option<Duration>, RequestError> {
     let Some(cost) = headers.get(COST) else {
         return Ok(None);
@@ -202,12 +209,15 @@
     }
 }
 
+/// Returns a header's value without surrounding whitespace; `None` if it is missing or not visible
+/// ASCII.
 fn header_text<'h>(headers: &'h HeaderMap, name: &HeaderName) -> Option<&'h str> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.trim())
 }
 
-/// Parses a timeout: digits and a unit, `m` for milliseconds or `u` for microseconds.
+/// Parses a timeout: digits and a unit, `m` for milliseconds or `u` for microseconds. Returns
+/// `None` if the text is not of that form, or the timeout is zero or exceeds [`MAX_TIMEOUT`].
 fn parse_timeout(text: &str) -> Option<Duration> {
     let digits = text.get(..text.len().checked_sub(1)?)?;
     if !digits.bytes().all(|b| b.is_ascii_digit()) {
--- a/crates/proxy/src/downstream/request_head_tests.rs
+++ b/crates/proxy/src/downstream/request_head_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn timeouts_are_a_number_and_a_unit() {
+fn timeout_is_digits_and_a_unit_within_bounds() {
     assert_eq!(parse_timeout("480m"), Some(Duration::from_millis(480)));
     assert_eq!(parse_timeout("1500u"), Some(Duration::from_micros(1500)));
     for invalid in [
--- a/crates/proxy/src/downstream/responses.rs
+++ b/crates/proxy/src/downstream/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to clients, and the body that notifies its connection of its progress and end.
+//! Builds responses to clients, whose body notifies the connection of its progress and its end.
 
 use crate::downstream::connection::ClientConnection;
 use crate::downstream::request_head::RequestError;
@@ -15,10 +15,11 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// The body of a response to a client. When it is dropped, its connection waits for the next
-/// request.
+/// The body of a response to a client. Dropping it finishes the response on its connection, which
+/// then waits for the next request.
 pub struct ClientBody {
     body: ResponseBody,
+    /// The connection to notify; `None` until the body is attached to it.
     connection: Option<Rc<ClientConnection>>,
 }
 
@@ -35,7 +36,7 @@
         self.connection = Some(connection);
     }
 
-    /// Whether it is streamed.
+    /// Whether the body is still being received from the backend, and streamed to the client.
     pub fn is_streaming(&self) -> bool {
         matches!(self.body, ResponseBody::Streaming(_))
     }
@@ -82,11 +83,11 @@
     }
 }
 
-/// Why a request was rejected, as an extension of its response.
+/// The extension of a response that holds why its request was rejected.
 #[derive(Clone, Copy)]
 struct RejectedRequest(RequestError);
 
-/// A response of plain text.
+/// Returns a response with a body of plain text.
 pub fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<ClientBody> {
     let body = ResponseBody::Buffered(text.into());
     let mut response = Response::new(ClientBody::new(body));
@@ -97,10 +98,10 @@
     response
 }
 
-/// The response that rejects a request.
+/// Returns the response that rejects a request, with the text of the error as its body.
 ///
-/// It closes the connection: where one message is malformed, the next one may not begin where it
-/// seems to.
+/// It closes the connection: after a malformed message, the next one may not begin where it seems
+/// to.
 pub fn rejection(error: RequestError) -> Response<ClientBody> {
     let mut response = plain_text(error.status(), error.to_string());
     response.extensions_mut().insert(RejectedRequest(error));
@@ -108,17 +109,19 @@
     response
 }
 
-/// Why the request of this response was rejected, if it was.
+/// Returns why the request of a response was rejected; `None` unless [`rejection`] made the
+/// response.
 pub fn rejection_reason(response: &Response<ClientBody>) -> Option<RequestError> {
     let RejectedRequest(error) = response.extensions().get()?;
     Some(*error)
 }
 
-/// The response to a request that the dispatcher has accepted.
+/// Returns the response to a request that the dispatcher has accepted: the backend's if it was
+/// served, else 503 if the client may safely retry, and 504 if the request may have been executed.
 pub fn final_response(response: FinalResponse) -> Response<ClientBody> {
     match response {
         FinalResponse::Served(response) => forwarded(response),
-        FinalResponse::Rejected { retry_after } => load_shed(retry_after),
+        FinalResponse::Rejected { retry_after } => service_unavailable(retry_after),
         FinalResponse::Failed => plain_text(
             StatusCode::GATEWAY_TIMEOUT,
             "failed: the request may have been carried out",
@@ -126,15 +129,16 @@
     }
 }
 
-/// Asks the client to close its connection.
+/// Sets the header by which a response asks the client to close its connection; hyper closes it as
+/// well after that response.
 pub fn set_connection_close(response: &mut Response<ClientBody>) {
     response
         .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// Makes the client's response of a backend's. Only responses with status 200 are forwarded, so the
-/// status is not copied.
+/// Makes the client's response from a backend's. Only responses with status 200 are forwarded, so
+/// the status is not copied.
 fn forwarded(response: Response<ResponseBody>) -> Response<ClientBody> {
     let (head, body) = response.into_parts();
     let mut response = Response::new(ClientBody::new(body));
@@ -142,7 +146,9 @@
     response
 }
 
-fn load_shed(retry_after: Option<Duration>) -> Response<ClientBody> {
+/// Returns the response to a request that the client may safely retry, after `retry_after` if that
+/// is known. `Retry-After` is in seconds, with three decimals.
+fn service_unavailable(retry_after: Option<Duration>) -> Response<ClientBody> {
     let mut response = plain_text(
         StatusCode::SERVICE_UNAVAILABLE,
         "refused: trying again is harmless",
