--- a/crates/proxy/src/http1/body.rs
+++ b/crates/proxy/src/http1/body.rs
@@ -1,4 +1,4 @@
-//! Reading bodies frame by frame.
+//! Types for reading a body frame by frame, and the buffering of small bodies.
 
 use crate::http1::limits::MAX_BUFFERED_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
@@ -8,30 +8,33 @@
 use std::pin::Pin;
 use std::task::Poll;
 
-/// What goes wrong with a body in transit.
+/// An error of a body that is being received or sent: hyper's, a
+/// [`MessageError`](crate::http1::error::MessageError), or a read by an attempt that is not the
+/// latest one.
 pub type BodyError = Box<dyn Error + Send + Sync>;
 
-/// What polling a body for its next frame yields.
+/// The result of polling a body for its next frame; `None` at the end of the body.
 pub type PolledFrame = Poll<Option<Result<Frame<Bytes>, BodyError>>>;
 
-/// How much of a body is in the buffer.
+/// How much of a body is in the buffer after [`buffer_body`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferedPart {
-    /// All of it.
+    /// All of the body.
     Complete,
-    /// Its beginning only.
+    /// Only its beginning; the rest is still to be read from the body.
     Incomplete,
 }
 
-/// Reads a body into `buffer` until it is complete or exceeds [`MAX_BUFFERED_BODY_BYTES`].
+/// Reads a body into `buffer` until the body is complete or the buffer exceeds
+/// [`MAX_BUFFERED_BODY_BYTES`]. Trailers are discarded.
 ///
 /// # Errors
 ///
-/// Returns the error of the body, which was malformed or ended early.
+/// Returns hyper's error if the body is malformed or ends early.
 ///
 /// # Cancellation
 ///
-/// Cancel safe: whatever was read is in `buffer`, and the next call continues from there.
+/// Cancel safe: everything that was read is in `buffer`, and the next call continues from there.
 pub async fn buffer_body(
     buffer: &mut BytesMut,
     body: &mut Incoming,
--- a/crates/proxy/src/http1/download.rs
+++ b/crates/proxy/src/http1/download.rs
@@ -1,4 +1,5 @@
-//! Responses too large to buffer, which are streamed to the client at its pace.
+//! Responses that are too large or too slow to buffer, which are streamed to the client at its
+//! pace.
 
 use crate::http1::body::{BodyError, PolledFrame};
 use crate::http1::error::MessageError;
@@ -9,26 +10,29 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::oneshot;
 
-/// How a streamed response ended. If none is sent the client has disconnected.
+/// How a streamed response ended. If the channel closes without an outcome, the client has
+/// disconnected.
 pub enum StreamOutcome {
-    /// All of it was read.
+    /// All of the response was read from the backend.
     Complete,
-    /// It broke, for this reason.
+    /// The response failed before its end, for this reason.
     Broken(String),
 }
 
-/// A backend's response on its way to the client.
+/// The body of a backend's response on its way to the client.
 pub struct StreamingResponse {
-    /// What was buffered before it was found to be large.
+    /// The beginning, which was buffered before the response turned out to be streamed.
     buffered: Bytes,
     rest: Incoming,
+    /// Bytes of the body read so far, including the buffered ones.
     bytes_read: u64,
+    /// `None` once the outcome was sent.
     outcome: Option<oneshot::Sender<StreamOutcome>>,
 }
 
 impl StreamingResponse {
-    /// Continues a response of which `buffered` was read already. Its outcome is sent on the
-    /// channel.
+    /// Continues a response of which `buffered` was read already and `rest` is to be read. The
+    /// receiver gets its outcome.
     pub fn new(buffered: Bytes, rest: Incoming) -> (Self, oneshot::Receiver<StreamOutcome>) {
         let (sender, receiver) = oneshot::channel();
         let bytes_read = buffered.len() as u64;
@@ -41,13 +45,15 @@
         (response, receiver)
     }
 
+    /// Sends the outcome, unless one was sent before.
     fn finish(&mut self, outcome: StreamOutcome) {
         if let Some(sender) = self.outcome.take() {
             let _ = sender.send(outcome);
         }
     }
 
-    /// Accounts for a frame of data, which may be too much or the last one.
+    /// Counts a frame of data, which may be the last one, and fails the response if its body
+    /// exceeds [`MAX_BODY_BYTES`].
     fn accept(&mut self, data: Bytes) -> Result<Frame<Bytes>, BodyError> {
         self.bytes_read += data.len() as u64;
         if self.bytes_read > MAX_BODY_BYTES {
@@ -59,6 +65,7 @@
         Ok(Frame::data(data))
     }
 
+    /// Sends the error, with its source, as the outcome, and returns it.
     fn fail(&mut self, error: BodyError) -> BodyError {
         let source = error
             .source()
--- a/crates/proxy/src/http1/framing_tests.rs
+++ b/crates/proxy/src/http1/framing_tests.rs
@@ -14,7 +14,7 @@
     );
     assert_eq!(
         next("POST / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n"),
-        Ok(Some(Expected::Chunked))
+        Ok(Some(Expected::Unsized))
     );
     assert_eq!(
         next("POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n.GET / HT"),
@@ -69,7 +69,7 @@
         next("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"),
         Ok(Some(Expected::Head))
     );
-    assert_eq!(next("HTTP/1.1 200 OK\r\n\r\n"), Ok(Some(Expected::Chunked)));
+    assert_eq!(next("HTTP/1.1 200 OK\r\n\r\n"), Ok(Some(Expected::Unsized)));
     assert_eq!(
         next("HTTP/1.1 204 No Content\r\n\r\n"),
         Ok(Some(Expected::Body(0)))
--- a/crates/proxy/src/http1/head_filter.rs
+++ b/crates/proxy/src/http1/head_filter.rs
@@ -1,10 +1,10 @@
-//! Stands between a socket and hyper: parses the head of each message itself, and lets exactly that
-//! one message through.
+//! The filter between a socket and hyper: parses the head of each message itself, and passes
+//! exactly that one message to hyper.
 //!
 //! Hyper drops a `Content-Length` beside a `Transfer-Encoding`, reads a response without a length
-//! to the end of the connection, and buffers bytes that follow a message before anyone can ask
-//! about them. All of that is decided here, on the raw bytes: what follows a message reaches hyper
-//! only once it is expected, and an invalid head never does.
+//! to the end of the connection, and buffers the bytes that follow a message before the proxy can
+//! inspect them. The filter decides all of that on the raw bytes: what follows a message reaches
+//! hyper only once it is expected, and an invalid head never does.
 
 use crate::http1::error::MessageError;
 use crate::http1::framing::{may_begin_request, Expected, Head};
@@ -27,88 +27,94 @@
 /// Buffer space reserved for one read of a large body.
 const MAX_READ_BYTES: usize = 16 << 10;
 
-/// Decides about the messages on one side of the proxy, and observes them.
+/// Decides which messages a [`HeadFilter`] accepts, and observes them. Each side of the proxy has a
+/// policy of its own: requests from clients, and responses from backends.
 pub trait MessagePolicy {
-    /// What is expected first, and after each message.
+    /// What is expected at first, and after each message.
     const BETWEEN_MESSAGES: Expected;
 
-    /// Parses a head; `None` if more of it is still to come.
+    /// Parses the head at the beginning of `bytes`; `None` if it is not complete yet.
     ///
     /// # Errors
     ///
     /// Returns why the message has to be rejected.
     fn parse_head(&self, bytes: &[u8]) -> Result<Option<Head>, MessageError>;
 
-    /// Returns what hyper reads in place of a rejected message.
+    /// Returns what hyper reads in place of a rejected message. The rest of the connection's input
+    /// is ignored.
     ///
     /// # Errors
     ///
-    /// An error ends the connection.
+    /// Returns the error that ends the connection, if nothing is to be read instead.
     fn reject(&self, error: MessageError) -> io::Result<&'static [u8]>;
 
-    /// The first bytes of a head were received.
+    /// Called when bytes of a head have been received, before each attempt to parse it until it is
+    /// complete.
     ///
     /// # Errors
     ///
-    /// Returns why the message has to be rejected, even though its head is not complete.
+    /// Returns why the message has to be rejected, even if its head is not complete.
     fn head_started(&self) -> Result<(), MessageError> {
         Ok(())
     }
 
-    /// Bytes are about to be written.
+    /// Called immediately before bytes are written.
     ///
-    /// Whether a message begins with them only the policy can know: the filter doesn't see the end
+    /// Only the policy can know whether a message begins with them: the filter does not see the end
     /// of a chunked response, after which the next request is written.
     ///
     /// # Errors
     ///
-    /// An error ends the connection before anything is written.
+    /// Returns the error that ends the connection before those bytes are written.
     fn may_write(&self) -> io::Result<()> {
         Ok(())
     }
 
-    /// More than the message was received together with it. Hyper notices only when it reads on,
-    /// which may be too late.
+    /// Called when bytes were received together with a message that do not belong to it. Hyper
+    /// would notice them only when it reads on, which may be too late.
     fn bytes_follow_message(&self) {}
 
-    /// A head was accepted and goes to hyper. If its message is complete already, its last byte was
-    /// read at `complete_at`.
+    /// Called when a head is accepted and goes to hyper. `complete_at` is when the last byte of its
+    /// message was read; `None` if the message is not known to be complete yet.
     fn head_accepted(&self, complete_at: Option<Instant>) {
         let _ = complete_at;
     }
 
-    /// Whether the last accepted message has no complete response yet. Nothing more goes to hyper
-    /// until then, since hyper would not see the end of the connection behind it.
+    /// Whether the last accepted message still waits for a complete response. The next message does
+    /// not go to hyper until then, since hyper would not see the end of the connection behind it.
     fn awaits_response(&self) -> bool {
         false
     }
 }
 
-/// The stream that hyper reads and writes in place of the socket.
+/// The stream that hyper reads and writes in place of the socket, under the policy `P`.
 pub struct HeadFilter<P> {
     socket: Rc<TcpStream>,
     policy: P,
+    /// Bytes that were read from the socket and not yet passed to hyper.
     buffer: BytesMut,
-    /// How many bytes of the buffer may go to hyper.
+    /// How many bytes at the beginning of the buffer may go to hyper.
     readable: usize,
+    /// What is expected behind the readable bytes.
     expected: Expected,
     /// When bytes were last read from the socket.
     read_at: Instant,
-    /// Bytes of interim heads since something was written.
+    /// Total length of the interim heads since the last final head or, if later, since a request
+    /// was written.
     interim_bytes: usize,
 }
 
-/// What one step of reading led to.
+/// The result of one step of reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadStep {
-    /// Another step may follow.
+    /// Bytes were read or made readable; another step may follow.
     Progress,
     /// The peer has closed its side of the connection.
     EndOfStream,
 }
 
 impl<P: MessagePolicy> HeadFilter<P> {
-    /// Wraps a socket from which nothing was read yet.
+    /// Wraps a socket from which nothing has been read yet.
     pub fn new(socket: Rc<TcpStream>, policy: P) -> Self {
         HeadFilter {
             socket,
@@ -121,12 +127,13 @@
         }
     }
 
-    /// Advances the reading by one step.
+    /// Reads from the socket or makes buffered bytes readable, as far as one step goes. No bytes
+    /// may be readable when it is called.
     fn poll_step(&mut self, cx: &mut Context) -> Poll<io::Result<ReadStep>> {
         match self.expected {
             Expected::Head if self.policy.awaits_response() => self.poll_read_ahead(cx),
             Expected::Head => self.poll_head(cx),
-            Expected::Body(_) | Expected::Chunked if self.buffer.is_empty() => self.poll_fill(cx),
+            Expected::Body(_) | Expected::Unsized if self.buffer.is_empty() => self.poll_fill(cx),
             Expected::Body(remaining) => {
                 self.readable = self
                     .buffer
@@ -135,21 +142,21 @@
                 self.expected = Expected::Body(remaining - self.readable as u64);
                 Poll::Ready(Ok(ReadStep::Progress))
             }
-            Expected::Chunked => {
+            Expected::Unsized => {
                 self.readable = self.buffer.len();
                 Poll::Ready(Ok(ReadStep::Progress))
             }
-            Expected::Nothing => self.poll_unexpected(cx),
+            Expected::Nothing => self.poll_end_of_stream(cx),
             Expected::Closed => Poll::Pending,
         }
     }
 
-    /// Reads more into the buffer.
+    /// Reads once from the socket into the buffer.
     fn poll_fill(&mut self, cx: &mut Context) -> Poll<io::Result<ReadStep>> {
         loop {
             ready!(self.socket.poll_read_ready(cx))?;
             self.buffer.reserve(match self.expected {
-                Expected::Chunked => MAX_READ_BYTES,
+                Expected::Unsized => MAX_READ_BYTES,
                 Expected::Body(remaining) => {
                     remaining.clamp(MIN_READ_BYTES as u64, MAX_READ_BYTES as u64) as usize
                 }
@@ -170,8 +177,9 @@
 
     /// Reads while the last request is in flight, only to notice the end of the connection.
     ///
-    /// Up to a head's length is buffered, in which pipelined requests wait. Anything else beyond
-    /// that is discarded, or the end of the connection would never be reached.
+    /// Pipelined requests wait in the buffer, and reading pauses once they fill [`MAX_HEAD_BYTES`].
+    /// If the buffered bytes are no request, what exceeds that length is discarded, since the end
+    /// of the connection would never be reached otherwise.
     fn poll_read_ahead(&mut self, cx: &mut Context) -> Poll<io::Result<ReadStep>> {
         if self.buffer.len() >= MAX_HEAD_BYTES {
             if may_begin_request(&self.buffer) {
@@ -182,7 +190,8 @@
         self.poll_fill(cx)
     }
 
-    /// Reads until a head is complete, or has to be rejected.
+    /// Accepts the buffered head if it is complete, replaces it if it has to be rejected, and
+    /// otherwise reads more of it.
     fn poll_head(&mut self, cx: &mut Context) -> Poll<io::Result<ReadStep>> {
         match self.accept_head() {
             Ok(true) => Poll::Ready(Ok(ReadStep::Progress)),
@@ -198,7 +207,8 @@
         }
     }
 
-    /// Looks for a head in the buffer, and returns whether it is complete.
+    /// Parses the head in the buffer, and makes it readable if it is complete. Returns whether it
+    /// is.
     fn accept_head(&mut self) -> Result<bool, MessageError> {
         if self.buffer.is_empty() {
             return Ok(false);
@@ -229,8 +239,8 @@
         Ok(true)
     }
 
-    /// Waits for the end of the connection; any byte before that is an error.
-    fn poll_unexpected(&mut self, cx: &mut Context) -> Poll<io::Result<ReadStep>> {
+    /// Waits for the end of the connection. Any byte before that is an error.
+    fn poll_end_of_stream(&mut self, cx: &mut Context) -> Poll<io::Result<ReadStep>> {
         if self.buffer.is_empty() && ready!(self.poll_fill(cx))? == ReadStep::EndOfStream {
             return Poll::Ready(Ok(ReadStep::EndOfStream));
         }
@@ -240,7 +250,7 @@
         )))
     }
 
-    /// Expects the next message, if the last byte of the current one was let through.
+    /// Goes on to expect the next message, if the last byte of the current one was made readable.
     fn finish_message(&mut self) {
         if self.expected != Expected::Body(0) {
             return;
@@ -250,11 +260,11 @@
         }
         self.expected = P::BETWEEN_MESSAGES;
         if self.buffer.is_empty() {
-            self.buffer = BytesMut::new(); // Connections stay idle for long between messages.
+            self.buffer = BytesMut::new(); // Frees the memory of connections that stay idle for long.
         }
     }
 
-    /// Hands to hyper what it may read.
+    /// Copies readable bytes to hyper's buffer, as many as fit.
     fn copy_readable(&mut self, buf: &mut ReadBuf) {
         let length = self.readable.min(buf.remaining());
         buf.put_slice(&self.buffer[..length]);
@@ -284,7 +294,8 @@
 }
 
 impl<P: MessagePolicy + Unpin> HeadFilter<P> {
-    /// Writes for hyper. What is received after that may be the response.
+    /// Writes for hyper, if the policy allows it. Where nothing was expected, the head of a
+    /// response is expected from then on, unless bytes were received before the write.
     fn poll_write_with(
         self: Pin<&mut Self>,
         cx: &mut Context,
--- a/crates/proxy/src/http1/hop_by_hop.rs
+++ b/crates/proxy/src/http1/hop_by_hop.rs
@@ -1,8 +1,8 @@
-//! Removal of the headers that belong to one connection.
+//! Removes the hop-by-hop headers of a message before it is forwarded.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Headers that belong to one connection, not to the message.
+/// Headers that concern one connection rather than the message, and are not forwarded.
 const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -14,8 +14,8 @@
     header::EXPECT,
 ];
 
-/// Returns the end-to-end headers of a message: without the hop-by-hop ones, those that
-/// `Connection` names, and the length, which is written again with the body.
+/// Returns the end-to-end headers of a message: all but the hop-by-hop ones, those that
+/// `Connection` names, and `Content-Length`, which hyper writes anew by the body that is sent.
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     let named_by_connection: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/proxy/src/http1/hop_by_hop_tests.rs
+++ b/crates/proxy/src/http1/hop_by_hop_tests.rs
@@ -5,10 +5,10 @@
 fn hop_by_hop_headers_are_removed() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
-        ("connection", "X-Mine, close"),
-        ("x-mine", "1"),
+        ("connection", "X-Per-Connection, close"),
+        ("x-per-connection", "1"),
         ("te", "trailers"),
-        ("x-all", "2"),
+        ("x-end-to-end", "2"),
     ] {
         headers.insert(
             HeaderName::from_static(name),
@@ -18,6 +18,6 @@
     let forwarded = end_to_end_headers(headers);
     assert_eq!(
         forwarded.keys().map(HeaderName::as_str).collect::<Vec<_>>(),
-        ["x-all"]
+        ["x-end-to-end"]
     );
 }
--- a/crates/proxy/src/http1/mod.rs
+++ b/crates/proxy/src/http1/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 on raw sockets: message framing, the filter between a socket and hyper, and bodies that
-//! are streamed.
+//! What the proxy adds to hyper's HTTP/1.1, for both directions: strict message framing, the filter
+//! between a socket and hyper, limits on messages, and streamed bodies.
 
 pub mod body;
 pub mod download;
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -1,4 +1,4 @@
-//! Request bodies: those that are buffered, and those too large for it, which are streamed to a
+//! Request bodies: those that are buffered, and those too large to buffer, which are streamed to a
 //! backend at its pace.
 
 use crate::http1::body::{BodyError, PolledFrame};
@@ -15,23 +15,25 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A client that sends nothing of its body for this long, while it is waited for, is given up.
+/// An upload fails if the client sends none of its body for this long while a backend waits for
+/// more.
 const CLIENT_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often both timeouts of a streamed body are checked.
+/// Interval at which [`CLIENT_SILENCE_TIMEOUT`] and [`STALL_TIMEOUT`] of an upload are checked.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The body of a client's request.
+/// The body of a client's request, from which each attempt gets a stream of its own.
 #[derive(Clone)]
 pub enum RequestBody {
-    /// All of it was received.
+    /// A body that was received completely.
     Buffered(Bytes),
-    /// The rest of it is still to come.
+    /// A body of which a part is still to be received.
     Streaming(Rc<Upload>),
 }
 
 impl RequestBody {
-    /// The body for one more attempt; `None` if a part of it was already consumed by another one.
+    /// Returns the body for one more attempt, after which earlier attempts can no longer read a
+    /// streamed body; `None` if a part of it was already consumed by an earlier attempt.
     pub fn new_stream(&self) -> Option<RequestBodyStream> {
         match self {
             RequestBody::Buffered(body) => {
@@ -46,7 +48,7 @@
         }
     }
 
-    /// The body, if it is streamed.
+    /// Returns the upload; `None` if the body is buffered.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -57,29 +59,33 @@
 
 /// A streamed request body, shared by the attempts of its request.
 ///
-/// Its first part stays buffered until an attempt reads beyond it: up to then another attempt can
+/// Its first part stays buffered until an attempt reads beyond it. Until then another attempt can
 /// start from the beginning.
 pub struct Upload {
+    /// The first part; empty once an attempt has read beyond it.
     buffered: RefCell<Bytes>,
+    /// What follows the first part, as hyper receives it from the client.
     rest: RefCell<Incoming>,
-    /// Length in bytes, if it is declared.
+    /// Length in bytes of the whole body; `None` if the client did not declare it.
     length: Option<u64>,
+    /// Bytes received so far, including the buffered part.
     bytes_read: Cell<u64>,
     /// Whether an attempt has read beyond the buffered part.
     is_consumed: Cell<bool>,
-    /// The attempt that may read; earlier ones no longer may, since what one reads is lost to the
-    /// others.
+    /// The attempt that may read the body. Earlier ones no longer may, since what one attempt reads
+    /// is lost to the others.
     current_reader: Cell<ReaderId>,
     state: Cell<UploadState>,
+    /// Notified when the state becomes complete or failed.
     ended: Notify,
     activity: Cell<Activity>,
 }
 
-/// Identifies the attempt that reads an upload.
+/// Identifies an attempt that reads an upload; later attempts have greater numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReaderId(u32);
 
-/// The progress of an upload.
+/// Whether an upload has ended, and how. An ended upload keeps its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UploadState {
     Receiving,
@@ -91,11 +97,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Activity {
     at: Instant,
-    /// Whether more was requested of the client since then, and has not been received.
+    /// Whether a backend has asked for more of the body and the client has not sent any since.
     waiting_for_client: bool,
 }
 
 impl Activity {
+    /// Activity at this moment.
     fn now(waiting_for_client: bool) -> Self {
         Activity {
             at: Instant::now(),
@@ -105,7 +112,8 @@
 }
 
 impl Upload {
-    /// A body of which `buffered` was received already, and of this length if it is declared.
+    /// Creates an upload of which `buffered` was received already and `rest` is to be received.
+    /// `length` is the declared length of both together, in bytes.
     pub fn new(buffered: Bytes, rest: Incoming, length: Option<u64>) -> Rc<Self> {
         Rc::new(Upload {
             bytes_read: Cell::new(buffered.len() as u64),
@@ -120,7 +128,7 @@
         })
     }
 
-    /// Why it failed, if it has.
+    /// Returns why the upload failed; `None` if it has not.
     pub fn error(&self) -> Option<MessageError> {
         match self.state.get() {
             UploadState::Failed { error, .. } => Some(error),
@@ -128,12 +136,12 @@
         }
     }
 
-    /// Whether all of it was received.
+    /// Whether all of the body was received.
     pub fn is_complete(&self) -> bool {
         matches!(self.state.get(), UploadState::Complete { .. })
     }
 
-    /// When it was complete or failed, if it is by now.
+    /// Returns when the upload was complete or failed; `None` while it lasts.
     pub fn ended_at(&self) -> Option<Instant> {
         match self.state.get() {
             UploadState::Receiving => None,
@@ -141,7 +149,7 @@
         }
     }
 
-    /// Waits until it is complete or has failed.
+    /// Waits until the upload is complete or has failed.
     pub async fn ended(&self) {
         loop {
             let ended = self.ended.notified();
@@ -152,8 +160,10 @@
         }
     }
 
-    /// Waits until neither side has made progress for [`STALL_TIMEOUT`], or the client has been
-    /// silent for so long that the upload fails. Pending for ever once the upload has ended.
+    /// Waits until neither the client nor the backend has made progress for [`STALL_TIMEOUT`], or
+    /// until the client has been silent for [`CLIENT_SILENCE_TIMEOUT`] while the backend waited for
+    /// it, which fails the upload with [`MessageError::BodyTimeout`]. Never completes if the upload
+    /// ends before that.
     pub async fn stalled(&self) {
         loop {
             tokio::time::sleep(STALL_CHECK_INTERVAL).await;
@@ -171,6 +181,7 @@
         }
     }
 
+    /// Lets a new attempt read the body, and no earlier one.
     fn new_reader(&self) -> ReaderId {
         let reader = ReaderId(self.current_reader.get().0 + 1);
         self.current_reader.set(reader);
@@ -187,6 +198,7 @@
         self.end(UploadState::Failed { at, error });
     }
 
+    /// Sets the final state, unless the upload has ended already.
     fn end(&self, state: UploadState) {
         if self.state.get() == UploadState::Receiving {
             self.state.set(state);
@@ -194,7 +206,8 @@
         }
     }
 
-    /// Reads beyond the buffered part.
+    /// Reads the next frame beyond the buffered part. Fails with the error of the upload once it
+    /// has failed.
     fn poll_rest(&self, cx: &mut Context) -> PolledFrame {
         loop {
             match self.state.get() {
@@ -223,7 +236,8 @@
         }
     }
 
-    /// Accounts for received data, which may be the last or, returning `None`, too much.
+    /// Counts received data, which may be the last. Returns it, or `None` if the body now exceeds
+    /// [`MAX_BODY_BYTES`], which fails the upload.
     fn accept(&self, data: Bytes) -> Option<Bytes> {
         self.is_consumed.set(true);
         *self.buffered.borrow_mut() = Bytes::new();
@@ -240,17 +254,17 @@
     }
 }
 
-/// A request's body on its way to one backend, for one attempt.
+/// The body of a request as one attempt sends it to a backend.
 pub enum RequestBodyStream {
-    /// All of it was received.
+    /// A body that was received completely.
     Buffered(Full<Bytes>),
-    /// The rest of it is still to come.
+    /// A body of which a part was still to be received when the attempt started.
     Streaming {
-        /// Where it is read from.
+        /// The upload that the body is read from.
         upload: Rc<Upload>,
-        /// The attempt that it is for.
+        /// The attempt that reads it; reading fails once a later attempt does.
         reader: ReaderId,
-        /// Whether the buffered part was sent.
+        /// Whether this attempt has sent the buffered part.
         buffered_part_sent: bool,
     },
 }
@@ -273,7 +287,9 @@
             RequestBodyStream::Streaming { upload, reader, .. }
                 if *reader != upload.current_reader.get() =>
             {
-                Poll::Ready(Some(Err("another attempt reads the request body".into())))
+                Poll::Ready(Some(Err(
+                    "the request body is read by a later attempt".into()
+                )))
             }
             RequestBodyStream::Streaming {
                 upload,
