--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,6 +1,7 @@
-//! Calls to discovery: one that fetches a snapshot of the endpoint list, and one that watches it.
+//! HTTP calls to discovery: one fetches a snapshot of the endpoint list, the other one opens a
+//! watch.
 
-use super::json_lines::{DecodeError, JsonLineDecoder, MAX_OBJECT_BYTES};
+use super::json_lines::{DecodeError, JsonObjectDecoder, MAX_OBJECT_BYTES};
 use super::state::DiscoveryState;
 use super::wire::{EndpointList, InvalidList};
 use crate::socket::Socket;
@@ -18,77 +19,81 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Path of the endpoint list.
+/// Path of the endpoint list at discovery.
 const LIST_PATH: &str = "/registry/instances";
-/// A watch that receives nothing for this long is given up. Discovery sends an empty line every 2 s.
+/// A watch that receives nothing for this long has timed out. Discovery sends an empty line every
+/// 2 s.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// For the connection and the head of the response, where discovery may queue calls; and for a whole
-/// snapshot.
+/// Limit on the time to connect and to receive the head of a watch's response, before which
+/// discovery may queue calls. Also the limit on the time to receive a whole snapshot.
 pub const OPENING_TIMEOUT: Duration = SILENCE_TIMEOUT;
-/// The same for the first attempt where lists are pushed. Each further attempt has twice as long, up
-/// to [`OPENING_TIMEOUT`].
+/// Limit on the time to open a watch at the first attempt where lists are pushed. Each further
+/// attempt has twice as long, up to [`OPENING_TIMEOUT`].
 pub const INITIAL_OPENING_TIMEOUT: Duration = Duration::from_millis(300);
-/// For the connection alone.
+/// Limit on the time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// After a timeout, for data that arrived while the whole process was suspended.
+/// Time after a timeout in which data is still read that arrived while the whole process was
+/// suspended.
 const RESUME_GRACE: Duration = Duration::from_millis(5);
 
 /// Why a call to discovery failed or ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WatchError {
-    /// There is no connection.
-    #[error("no connection: {0}")]
+    /// The connection could not be established.
+    #[error("cannot connect: {0}")]
     Connect(std::io::Error),
-    /// Nothing was received for too long, not even an empty line.
+    /// Connecting took longer than [`CONNECT_TIMEOUT`], or nothing was received for too long, not
+    /// even an empty line.
     #[error("silent for too long")]
     Silent,
     /// The connection broke, or the peer does not speak HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The call was rejected.
-    #[error("rejected with {0}")]
+    /// Discovery answered with a status other than 200.
+    #[error("rejected with status {0}")]
     Status(StatusCode),
-    /// Discovery ended the watch.
+    /// Discovery ended the response of the watch.
     #[error("ended by discovery")]
     Ended,
-    /// The data received cannot be split into lists.
+    /// The data received cannot be split into JSON objects.
     #[error("invalid list: {0}")]
     Decode(#[from] DecodeError),
-    /// An object received is not an endpoint list.
+    /// A JSON object received is not a valid endpoint list.
     #[error("invalid list: {0}")]
     List(#[from] InvalidList),
-    /// A snapshot could not be read to its end.
+    /// The body of a snapshot's response failed, or exceeds [`MAX_OBJECT_BYTES`].
     #[error("invalid list: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// A delta was received where a snapshot was requested.
-    #[error("invalid list: the list is not complete")]
+    /// A delta was received in response to a request for a snapshot.
+    #[error("invalid list: a delta was received instead of a snapshot")]
     NotSnapshot,
 }
 
 impl WatchError {
-    /// Whether nobody is there to answer calls.
+    /// Returns whether the call failed without a response or a timeout: the connection could not be
+    /// established, broke, or does not speak HTTP. Then no server is there to be overloaded.
     pub fn is_unreachable(&self) -> bool {
         matches!(self, WatchError::Connect(_) | WatchError::Http(_))
     }
 }
 
-/// Opens one watch, from the revision held on, and publishes the lists it receives. Returns why it
-/// ended.
+/// Opens one watch at `address` that starts from the current list's revision, and publishes the
+/// lists it receives. Fetches a snapshot first if the state needs one. Returns why the watch ended.
 ///
-/// `opening_timeout` is for the connection and the head of the response.
+/// `opening_timeout` limits the time to connect and to receive the head of the watch's response.
 ///
 /// # Cancellation
 ///
-/// Dropping the future ends the call, except for one that was given up as unanswered:
-/// [`DiscoveryState`] keeps that for a while.
+/// Dropping the future ends the call, except for one that timed out: [`DiscoveryState`] keeps that
+/// running for a while.
 pub async fn watch(
     state: &Rc<DiscoveryState>,
     address: SocketAddr,
     opening_timeout: Duration,
 ) -> WatchError {
     if state.needs_snapshot() {
-        // The revision held comes from another address and may mean anything here, also one that is
-        // newer.
+        // The current revision comes from another address. It has no meaning at this one, where it
+        // may even be newer than the list.
         let call = DiscoveryCall::new(state, address, OPENING_TIMEOUT);
         if let Err(error) = call.clone().drive(fetch_snapshot(call)).await {
             return error;
@@ -101,51 +106,57 @@
     }
 }
 
-/// One call to discovery. Clones are of the same call.
+/// One call to discovery. Clones refer to the same call.
 #[derive(Clone)]
 struct DiscoveryCall {
     state: Rc<DiscoveryState>,
     address: SocketAddr,
-    /// By when data has to be received.
+    /// When the call times out unless data is received.
     deadline: Rc<Cell<Instant>>,
-    /// Whether the call was given up as unanswered. It may still receive lists, beside other calls.
-    is_given_up: Rc<Cell<bool>>,
+    /// Whether the call has timed out. It may still receive lists, in parallel with other calls.
+    has_timed_out: Rc<Cell<bool>>,
 }
 
 impl DiscoveryCall {
-    /// A call that is given up unless it receives data within `response_timeout`.
+    /// Creates a call that times out unless it receives data within `response_timeout`.
     fn new(state: &Rc<DiscoveryState>, address: SocketAddr, response_timeout: Duration) -> Self {
         DiscoveryCall {
             state: state.clone(),
             address,
             deadline: Rc::new(Cell::new(Instant::now() + response_timeout)),
-            is_given_up: Rc::default(),
+            has_timed_out: Rc::default(),
         }
     }
 
-    /// Notes that data was received. More has to follow within [`SILENCE_TIMEOUT`].
+    /// Moves the deadline after data was received: more has to follow within [`SILENCE_TIMEOUT`].
     fn extend_deadline(&self) {
         self.deadline.set(Instant::now() + SILENCE_TIMEOUT);
     }
 
-    /// Publishes a list that was received.
+    /// Publishes a list that was received, unless the call has timed out and the list is out of
+    /// date.
     fn publish(&self, list: &EndpointList) {
-        // A list of a call that was given up counts if it is not older than the list held. One of
-        // the same revision counts: a snapshot may name fewer endpoints, since it omits those that
-        // drain.
+        // A list of a call that has timed out is used if it is a needed snapshot or no older than
+        // the current list. One of the same revision is used: a snapshot may name fewer endpoints,
+        // since it omits draining ones.
         let is_awaited = self.state.needs_snapshot() && list.is_snapshot;
         let is_current = list.revision >= self.state.revision();
-        if !self.is_given_up.get() || is_awaited || is_current {
+        if !self.has_timed_out.get() || is_awaited || is_current {
             self.state.publish(list, self.address);
         }
-        if !self.is_given_up.get() {
+        if !self.has_timed_out.get() {
             self.state.drop_unanswered_call();
         }
     }
 
-    /// Runs the call's exchange to its end, or until nothing is received for too long. The exchange
-    /// goes on beside the next call then: what discovery has sent has to be applied, whether or not
-    /// the proxy still waits for it.
+    /// Runs the call's exchange to its end, or until the call times out.
+    ///
+    /// An exchange that times out continues in parallel with the next call: what discovery has sent
+    /// must be applied, whether or not the proxy still waits for it.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of the exchange, or [`WatchError::Silent`] after a timeout.
     async fn drive(
         self,
         exchange: impl Future<Output = Result<(), WatchError>> + 'static,
@@ -167,13 +178,13 @@
                 break;
             }
         }
-        self.is_given_up.set(true);
+        self.has_timed_out.set(true);
         self.state.keep_unanswered_call(self.address, exchange);
         Err(WatchError::Silent)
     }
 }
 
-/// Fetches a snapshot.
+/// Fetches a snapshot of the endpoint list and publishes it.
 async fn fetch_snapshot(call: DiscoveryCall) -> Result<(), WatchError> {
     let (mut sender, connection) = open_connection(call.address).await?;
     let exchange = async {
@@ -192,13 +203,13 @@
     drive_connection(connection, exchange).await
 }
 
-/// Watches the list from the revision held on, until discovery ends the watch.
+/// Watches the list from the current revision on, until discovery ends the watch.
 async fn run_watch(call: DiscoveryCall) -> Result<(), WatchError> {
     let (mut sender, connection) = open_connection(call.address).await?;
     let exchange = async {
         let query = format!("?follow=1&since={}", call.state.revision());
         let response = send_request(&mut sender, call.address, &query).await?;
-        if !call.is_given_up.get() {
+        if !call.has_timed_out.get() {
             call.state.watch_opened();
         }
         call.extend_deadline();
@@ -207,20 +218,20 @@
     drive_connection(connection, exchange).await
 }
 
-/// Publishes the lists of a watch, until discovery ends it.
+/// Publishes the lists that a watch receives, until discovery ends the watch.
 async fn receive_lists(call: &DiscoveryCall, mut body: Incoming) -> Result<(), WatchError> {
-    let mut decoder = JsonLineDecoder::default();
+    let mut decoder = JsonObjectDecoder::default();
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        // A list that has begun has to end in time, however much of it arrives meanwhile.
+        // A list that has begun must end before the deadline, however much of it arrives meanwhile.
         if !decoder.is_mid_object() {
             call.extend_deadline();
         }
         decoder.extend(&data);
-        // An invalid list ends the watch, since the next one may build on it: a new watch starts
-        // from the last valid one.
+        // An invalid list ends the watch, since the next list may be a delta to it. A new watch
+        // starts from the last valid list.
         while let Some(object) = decoder.next_object()? {
             call.publish(&EndpointList::parse(&object)?);
             call.extend_deadline();
@@ -229,8 +240,9 @@
     Ok(())
 }
 
-/// A connection to discovery, which does nothing unless it is driven.
+/// The future of a connection to discovery. The connection makes progress only while it is polled.
 type Connection = http1::Connection<TokioIo<Socket>, Empty<Bytes>>;
+/// Sends requests on a connection to discovery.
 type RequestSender = http1::SendRequest<Empty<Bytes>>;
 
 async fn open_connection(address: SocketAddr) -> Result<(RequestSender, Connection), WatchError> {
@@ -241,7 +253,13 @@
     Ok(http1::handshake(TokioIo::new(Socket(stream))).await?)
 }
 
-/// Asks for the endpoint list, and returns the response once its head is there.
+/// Requests the endpoint list, and returns the response once its head has been received. `query` is
+/// empty or begins with `?`.
+///
+/// # Errors
+///
+/// Returns [`WatchError::Http`] if the connection fails, and [`WatchError::Status`] for a status
+/// other than 200.
 async fn send_request(
     sender: &mut RequestSender,
     address: SocketAddr,
@@ -258,8 +276,9 @@
     }
 }
 
-/// Drives a connection and an exchange on it. The connection is polled first: data that has arrived
-/// is read before any of the exchange's timers, and before the connection's end is noticed.
+/// Polls a connection and an exchange on it, until the exchange ends. The connection is polled
+/// first: data that has arrived is read before any timer of the exchange fires, and before the end
+/// of the connection is noticed.
 async fn drive_connection<T>(
     connection: impl Future,
     exchange: impl Future<Output = Result<T, WatchError>>,
--- a/crates/proxy/src/discovery/json_lines_tests.rs
+++ b/crates/proxy/src/discovery/json_lines_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn decode(parts: &[&[u8]]) -> Result<Vec<String>, String> {
-    let mut decoder = JsonLineDecoder::default();
+    let mut decoder = JsonObjectDecoder::default();
     let mut objects = Vec::new();
     for part in parts {
         decoder.extend(part);
@@ -31,7 +31,8 @@
     assert_eq!(decode(&bytes).expect("objects"), expected);
 }
 
-/// Also where braces are missing: otherwise the objects that follow would be taken for parts of it.
+/// An object that lacks closing braces is an error as well: otherwise the objects that follow would
+/// be taken for parts of it.
 #[test]
 fn invalid_object_is_an_error_before_its_end() {
     for invalid in [
@@ -63,12 +64,12 @@
     assert!(decode(&bytes).is_err());
 }
 
-/// An object that comes a byte at a time is valid at every byte, also where a number is cut.
+/// The part of an object received so far is accepted wherever it ends, also inside a number.
 #[test]
 fn object_that_is_cut_inside_a_number_is_valid() {
     let list = br#"{"revision":1,"complete":true,"members":[{"id":"s","host_port":"127.0.0.1:1","phase":"active","size":1.25e-1}]}"#;
     for cut in 1..list.len() {
-        let mut decoder = JsonLineDecoder::default();
+        let mut decoder = JsonObjectDecoder::default();
         decoder.extend(&list[..cut]);
         assert!(matches!(decoder.next_object(), Ok(None)), "cut at {cut}");
         decoder.extend(&list[cut..]);
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! The discovery client: endpoint lists on the wire, and the watch that follows their changes.
+//! The discovery client: parses endpoint lists and keeps the current list up to date by a watch, a
+//! long-lived response on which discovery sends changes.
 
 mod client;
 mod json_lines;
--- a/crates/proxy/src/discovery/watch_loop.rs
+++ b/crates/proxy/src/discovery/watch_loop.rs
@@ -1,5 +1,5 @@
-//! Keeps an endpoint list up to date: opens watches, again and again where lists are pushed, and one
-//! at the balancer's request where they are polled.
+//! Keeps the endpoint list up to date. Where lists are pushed, a watch is opened whenever the
+//! previous one has ended; where they are polled, one is opened at each request of the balancer.
 
 use super::client::{self, WatchError, INITIAL_OPENING_TIMEOUT, OPENING_TIMEOUT};
 use super::state::{DiscoveryEvent, DiscoveryMode, DiscoveryState};
@@ -13,47 +13,51 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
-/// Pause before a broken watch is opened again, the first time.
+/// Pause before a watch is opened again after the first failure, and the shortest one before
+/// jitter.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// Longest pause before a broken watch is opened again.
+/// Longest pause before a watch is opened again after a failure.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Fraction of a pause that is random, so that many nodes do not come back in step.
+/// Largest random fraction by which a pause is shortened, so that many nodes do not reconnect at
+/// the same time.
 const BACKOFF_JITTER: f64 = 0.5;
 
-// Two watches in a row may be silent, and the third still has most of a second to answer before the
-// node has to know what the first one missed.
+// Two watches in a row may time out, and the third one still has most of a second to be answered
+// before the node has to know the changes that the first one missed.
 const _: () =
     assert!(2 * (client::SILENCE_TIMEOUT.as_millis() + INITIAL_BACKOFF.as_millis()) <= 5300);
 
-/// Owner of the watch on the endpoint list.
+/// Opens and owns the watch on the endpoint list.
 pub struct EndpointWatcher {
-    /// Itself, for the tasks it starts.
-    this: Weak<EndpointWatcher>,
+    /// Reference to this watcher for the tasks that it starts.
+    weak_self: Weak<EndpointWatcher>,
     state: Rc<DiscoveryState>,
     rng: RefCell<Xoshiro256PlusPlus>,
-    /// The watch, or the loop that keeps one open.
+    /// The task of the latest watch, or of the loop that keeps a watch open.
     watch: RefCell<Option<AbortHandle>>,
 }
 
 impl EndpointWatcher {
-    /// A watcher that does nothing until it is started. `seed` is that of the process.
+    /// Creates a watcher that does nothing until it is started. `seed` is the seed of the process.
     pub fn new(mode: DiscoveryMode, address: SocketAddr, seed: u64, log: EventLog) -> Rc<Self> {
-        Rc::new_cyclic(|this| EndpointWatcher {
-            this: this.clone(),
+        Rc::new_cyclic(|weak_self| EndpointWatcher {
+            weak_self: weak_self.clone(),
             state: Rc::new(DiscoveryState::new(mode, address, log)),
-            // The balancer has the same seed and its own numbers.
+            // Inverted, since the balancer's generator has the same seed and must draw other
+            // numbers.
             rng: RefCell::new(Xoshiro256PlusPlus::seed_from_u64(!seed)),
             watch: RefCell::default(),
         })
     }
 
-    /// Sets the receiver of events. Only the first call has an effect.
+    /// Sets the handler of events. Only the first call has an effect; events before it are dropped.
     pub fn set_event_handler(&self, handler: impl Fn(DiscoveryEvent) + 'static) {
         self.state.set_event_handler(handler);
     }
 
-    /// Starts to watch where lists are pushed, from a list of this revision on. Where lists are
-    /// polled the balancer asks for the first one.
+    /// Starts watching, where lists are pushed, for changes since `revision`, that of the
+    /// configured list. Where lists are polled, only sets the revision: the balancer requests the
+    /// first watch.
     pub fn start(&self, revision: u64) {
         self.state.set_revision(revision);
         if self.state.mode() == DiscoveryMode::Pushed {
@@ -61,15 +65,15 @@
         }
     }
 
-    /// Starts a watch, unless one is being opened or is open already.
+    /// Starts a watch, unless one is open or being opened.
     pub fn refresh(&self) {
         let mut watch = self.watch.borrow_mut();
         if watch.as_ref().is_some_and(|task| !task.is_finished()) {
             return;
         }
-        let (this, address) = (self.this.clone(), self.state.address());
+        let (weak_self, address) = (self.weak_self.clone(), self.state.address());
         let task = spawn_local(async move {
-            let Some(watcher) = this.upgrade() else {
+            let Some(watcher) = weak_self.upgrade() else {
                 return;
             };
             match watcher.state.mode() {
@@ -80,8 +84,9 @@
         *watch = Some(task.abort_handle());
     }
 
-    /// Watches another address from now on. Until the new address has sent a snapshot, lists from the
-    /// previous address are still applied and the endpoints last known stay.
+    /// Watches another address from now on; does nothing if `address` is the current one. Until the
+    /// new address has sent a snapshot, lists from the previous address are still applied and the
+    /// endpoints last known stay.
     pub fn change_address(&self, address: SocketAddr) {
         if self.state.address() != address {
             self.state
@@ -91,13 +96,14 @@
         }
     }
 
-    /// Whether there is no first list to wait for before requests are accepted: one has been
-    /// received, discovery is unavailable, or lists are polled.
-    pub fn is_settled(&self) -> bool {
-        self.state.is_settled()
+    /// Returns whether there is no first list to wait for before requests are accepted: one has
+    /// been received, discovery is unavailable, or lists are polled.
+    pub fn is_first_list_settled(&self) -> bool {
+        self.state.is_first_list_settled()
     }
 
-    /// Runs one watch and emits its end as a failed call.
+    /// Runs one watch, logs why it ended and emits [`DiscoveryEvent::WatchFailed`], unless the
+    /// address has changed since.
     async fn watch_once(&self, address: SocketAddr) {
         let error = client::watch(&self.state, address, OPENING_TIMEOUT).await;
         if self.state.address() == address {
@@ -106,7 +112,8 @@
         }
     }
 
-    /// Opens watch after watch. Ends once the address has changed.
+    /// Opens a watch whenever the previous one has ended, after a pause. Returns once a watch has
+    /// ended after the address was changed.
     async fn run_watch_loop(&self, address: SocketAddr) {
         let mut backoff = INITIAL_BACKOFF;
         let mut opening_timeout = INITIAL_OPENING_TIMEOUT;
@@ -124,7 +131,7 @@
             if !matches!(error, WatchError::Silent) {
                 self.state.stop_awaiting_first_list();
             }
-            // The time that an unanswered call took counts as a pause.
+            // The time that the call took is part of the pause.
             let pause = backoff
                 .saturating_sub(began_at.elapsed())
                 .max(INITIAL_BACKOFF)
@@ -134,7 +141,7 @@
                 pause.as_millis()
             ));
             tokio::time::sleep(pause).await;
-            // Refused connections cost discovery nothing, while calls that it answers and can't
+            // Refused connections cost discovery nothing, while calls that it accepts and cannot
             // serve show that it is overloaded.
             backoff = if error.is_unreachable() {
                 INITIAL_BACKOFF
@@ -144,7 +151,7 @@
         }
     }
 
-    /// Uniform in [0, 1).
+    /// Draws a random number, uniform in [0, 1).
     fn random(&self) -> f64 {
         (self.rng.borrow_mut().next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -363,7 +363,7 @@
     /// connections to an inherited listener, for a list that names an active endpoint.
     async fn wait(&self) {
         let deadline = Instant::now() + FIRST_LIST_TIMEOUT;
-        while !self.endpoint_watcher.is_settled() && Instant::now() < deadline {
+        while !self.endpoint_watcher.is_first_list_settled() && Instant::now() < deadline {
             sleep(READINESS_POLL_INTERVAL).await;
         }
         while self.inherits_listener
