--- a/crates/proxy/src/admin/commands.rs
+++ b/crates/proxy/src/admin/commands.rs
@@ -1,43 +1,44 @@
-//! The commands that operators send and the replies to them, as they appear on the wire.
+//! The HTTP format of operators' commands and of the replies to them.
 
 use crate::http1::error::MessageError;
 use hyper::StatusCode;
 use std::fmt;
 
-/// Path of the process's health check.
+/// Path of the health check of the process.
 const HEALTH_CHECK_PATH: &str = "/healthcheck";
-/// Path that starts a drain.
+/// Path of the command that starts a drain.
 const START_DRAIN_PATH: &str = "/healthcheck/fail";
-/// Path that ends a drain.
+/// Path of the command that ends a drain.
 const END_DRAIN_PATH: &str = "/healthcheck/ok";
-/// Beginning of the paths of backends, which go on with a name and an action.
+/// Prefix of the paths of commands for a backend. The backend's name, a slash and an action follow.
 const BACKENDS_PREFIX: &str = "/backends/";
-/// Action that starts a backend's maintenance.
+/// Last segment of the path of the command that starts a backend's maintenance.
 const START_MAINTENANCE_ACTION: &str = "maint";
-/// Action that ends a backend's maintenance.
+/// Last segment of the path of the command that ends a backend's maintenance.
 const END_MAINTENANCE_ACTION: &str = "ready";
 
-/// What an operator asks for.
+/// A command of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCommand<'a> {
-    /// Whether this process can serve.
+    /// Report whether this process can serve.
     CheckHealth,
-    /// Drain the node.
+    /// Start a drain of the node.
     StartDrain,
-    /// End the node's drain.
+    /// End the drain of the node.
     EndDrain,
-    /// Send no new requests to the backend of this name.
+    /// Start maintenance of the backend of this name: send it no new requests.
     StartMaintenance(&'a str),
-    /// Put the backend of this name back into use.
+    /// End maintenance of the backend of this name: put it back into use.
     EndMaintenance(&'a str),
 }
 
 impl<'a> AdminCommand<'a> {
-    /// The command that a request's method and path stand for.
+    /// Parses the command from a request's method and path.
     ///
     /// # Errors
     ///
-    /// Returns the reply to a request that stands for none.
+    /// Returns the reply to send instead: [`AdminReply::UnknownCommand`] for an unknown path, or
+    /// [`AdminReply::MethodNotAllowed`] for a method that the path does not allow.
     pub fn parse(method: &str, path: &'a str) -> Result<Self, AdminReply> {
         let (command, expected_method) = Self::from_path(path).ok_or(AdminReply::UnknownCommand)?;
         if method == expected_method {
@@ -47,7 +48,8 @@
         }
     }
 
-    /// The command of a path, and the method that goes with it.
+    /// Returns the command of a path and the method that it requires, or `None` for an unknown
+    /// path. A backend's name may contain slashes and may be empty.
     fn from_path(path: &'a str) -> Option<(Self, &'static str)> {
         match path {
             HEALTH_CHECK_PATH => return Some((AdminCommand::CheckHealth, "GET")),
@@ -64,41 +66,41 @@
     }
 }
 
-/// The reply to an operator's request.
+/// The reply to an operator's request. Its `Display` text is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminReply {
-    /// The process can serve.
+    /// The process can serve, and the node is not drained.
     Ready,
-    /// The process can serve, and the node is drained.
+    /// The process can serve, and the node is being drained.
     ReadyDraining,
-    /// No endpoint list has named an active endpoint yet.
+    /// The process cannot serve, since no endpoint list has named an active endpoint yet.
     NoEndpointList,
-    /// The process is shutting down.
+    /// The process is shutting down: the reply to a health check.
     ShuttingDown,
-    /// The node is drained.
+    /// The drain has been started, or was in progress.
     DrainStarted,
-    /// The node is not drained any more.
+    /// The drain has been ended, or there was none.
     DrainEnded,
-    /// The drain can be neither started nor ended: the process is shutting down.
+    /// A drain can be neither started nor ended, since the process is shutting down.
     DrainRefused,
-    /// The backend gets no new requests.
+    /// The backend is in maintenance and receives no new requests.
     MaintenanceStarted,
-    /// The backend is in use.
+    /// The backend is not in maintenance.
     MaintenanceEnded,
-    /// No list names the backend.
+    /// The backend is neither listed nor in maintenance.
     UnknownBackend,
-    /// The change could not be stored, so that nothing has changed.
+    /// The change could not be stored, so nothing has changed.
     NotStored,
-    /// The path exists, with another method.
+    /// The path requires another method.
     MethodNotAllowed,
-    /// There is no such path.
+    /// The path is not that of a command.
     UnknownCommand,
-    /// The request is not valid HTTP.
+    /// The request is not valid HTTP, or exceeds a limit.
     MalformedRequest(MessageError),
 }
 
 impl AdminReply {
-    /// Status of the response.
+    /// Returns the status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             AdminReply::Ready
@@ -118,7 +120,7 @@
         }
     }
 
-    /// The response on the wire, after which the connection ends.
+    /// Formats the whole HTTP response. It announces that the connection is closed.
     pub fn to_http(self) -> String {
         let text = format!("{self}\n");
         let allow = if self.status() == StatusCode::METHOD_NOT_ALLOWED {
--- a/crates/proxy/src/admin/commands_tests.rs
+++ b/crates/proxy/src/admin/commands_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn paths_and_methods_stand_for_commands() {
+fn methods_and_paths_are_parsed_as_commands() {
     for (method, path, command) in [
         ("GET", "/healthcheck", AdminCommand::CheckHealth),
         ("POST", "/healthcheck/fail", AdminCommand::StartDrain),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn every_reply_of_method_not_allowed_lists_the_methods() {
+fn every_405_response_has_an_allow_header() {
     for reply in [
         AdminReply::MethodNotAllowed,
         AdminReply::MalformedRequest(MessageError::UnsupportedMethod),
--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The server for operators: its commands, and what they change.
+//! The admin server: accepts operators' commands and changes the operator state accordingly.
 
 mod commands;
 pub mod operator_control;
--- a/crates/proxy/src/admin/operator_control.rs
+++ b/crates/proxy/src/admin/operator_control.rs
@@ -1,4 +1,4 @@
-//! Carries out operators' commands: changes the stored operator state and applies it.
+//! Executes operators' commands: changes the stored operator state and applies it to this process.
 
 use super::commands::{AdminCommand, AdminReply};
 use crate::endpoint_updates::EndpointUpdates;
@@ -9,29 +9,32 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 
-/// Applies the operator state to this process, whichever process of the node has changed it.
+/// Executes operators' commands, and applies the operator state to this process, whichever process
+/// of the node has changed it.
 pub struct OperatorControl {
     log: EventLog,
     endpoint_updates: Rc<EndpointUpdates>,
     shutdown: Rc<ShutdownController>,
     store: Rc<OperatorStateStore>,
+    /// Length of a backend's slow start after its return from maintenance.
     slow_start_duration: Duration,
-    /// Whether the latest refresh has failed.
+    /// Whether the latest refresh failed.
     refresh_failed: Cell<bool>,
-    /// Restrictions that are being stored: in force at once, since storing may take long.
+    /// Restrictions that are being stored. They are already in force, since storing may take long.
     pending: RefCell<Vec<Restriction>>,
 }
 
-/// What an operator's command forbids the node.
+/// Something that an operator's command forbids the node to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Restriction {
-    /// To ask for new clients.
+    /// Being available to new clients: the node is drained.
     Drain,
-    /// To send requests to a backend.
+    /// Sending new requests to the backend of this name: it is in maintenance.
     Maintenance(String),
 }
 
 impl Restriction {
+    /// Changes an operator state so that it contains this restriction.
     fn add_to(&self, state: &mut OperatorState) {
         match self {
             Restriction::Drain => state.draining = true,
@@ -42,7 +45,8 @@
     }
 }
 
-/// A restriction in force while it is stored. Dropping it leaves what is stored in force.
+/// Keeps a restriction in force while it is being stored. Once the value is dropped, only the
+/// stored state is in force.
 struct PendingRestriction<'a> {
     control: &'a OperatorControl,
     restriction: Restriction,
@@ -61,8 +65,8 @@
 }
 
 impl OperatorControl {
-    /// Applies what the store holds. Backends warm up for `slow_start_duration` after their return
-    /// from maintenance.
+    /// Creates the control and applies the state in `store`. `slow_start_duration` is the length of
+    /// a backend's slow start after its return from maintenance.
     pub fn new(
         log: EventLog,
         endpoint_updates: Rc<EndpointUpdates>,
@@ -83,10 +87,11 @@
         control
     }
 
-    /// Applies what a peer process has stored, and forgets returns from maintenance of backends that
-    /// have warmed up.
+    /// Applies what a peer process has stored, and removes backends that have finished their slow
+    /// start from the stored returns from maintenance. Failures are logged, of those to read the
+    /// stored state only the first in a row.
     pub async fn refresh(&self) {
-        self.forget_warmed_up().await;
+        self.remove_warmed_up().await;
         let refreshed = self.store.refresh();
         let failed_before = self.refresh_failed.replace(refreshed.is_err());
         match refreshed {
@@ -100,14 +105,15 @@
                     state.in_maintenance.len()
                 ));
             }
-            Err(_) if failed_before => {} // Only the first failure in a row is logged.
+            Err(_) if failed_before => {} // Only the first of several failures in a row is logged.
             Err(error) => self.log.log(format_args!("{error}")),
         }
     }
 
-    /// Forgets returns from maintenance of backends that have warmed up: the next process could not
-    /// tell how long ago they were.
-    async fn forget_warmed_up(&self) {
+    /// Removes backends that have finished their slow start from the stored returns from
+    /// maintenance. The next process could not tell how long ago they returned, and would start
+    /// them slowly again.
+    async fn remove_warmed_up(&self) {
         let has_warmed_up = |name: &String| {
             self.endpoint_updates
                 .has_warmed_up(name, self.slow_start_duration)
@@ -121,17 +127,18 @@
         if !any_warmed_up || !self.store.may_write() {
             return;
         }
-        let forget = |state: &mut OperatorState| {
+        let remove_returned = |state: &mut OperatorState| {
             state
                 .returned_from_maintenance
                 .retain(|name, _| !has_warmed_up(name));
         };
-        // A failure is logged, and the change is tried again later.
-        let _ = self.change(forget).await;
+        // A failure is logged by `change`, and a later refresh tries again.
+        let _ = self.change(remove_returned).await;
     }
 
-    /// Carries out a command. The change is stored and in force when this returns; what it forbids is
-    /// in force at once.
+    /// Executes a command and returns the reply. When this returns, a change is stored and in
+    /// force, unless the reply is [`AdminReply::NotStored`]. A restriction is in force from the
+    /// start, even before it is stored.
     pub async fn execute(&self, command: AdminCommand<'_>) -> AdminReply {
         let result = match command {
             AdminCommand::CheckHealth => Ok(self.check_health()),
@@ -143,6 +150,7 @@
         result.unwrap_or(AdminReply::NotStored)
     }
 
+    /// Returns the reply to a health check, without changing anything.
     fn check_health(&self) -> AdminReply {
         match self.shutdown.phase() {
             ShutdownPhase::Serving | ShutdownPhase::Draining
@@ -158,6 +166,7 @@
         }
     }
 
+    /// Starts or ends a drain, unless the process is shutting down.
     async fn set_draining(&self, draining: bool) -> Result<AdminReply, NotStored> {
         if self.shutdown.phase() > ShutdownPhase::Draining {
             return Ok(AdminReply::DrainRefused);
@@ -171,6 +180,7 @@
         })
     }
 
+    /// Starts maintenance of a backend that is listed or already in maintenance.
     async fn start_maintenance(&self, backend: &str) -> Result<AdminReply, NotStored> {
         let is_listed = self.endpoint_updates.is_listed(backend);
         let restriction = || Restriction::Maintenance(backend.to_owned());
@@ -186,6 +196,7 @@
         Ok(reply_if_known(is_known, AdminReply::MaintenanceStarted))
     }
 
+    /// Ends maintenance of a backend. A listed backend that is not in maintenance stays as it is.
     async fn end_maintenance(&self, backend: &str) -> Result<AdminReply, NotStored> {
         let is_listed = self.endpoint_updates.is_listed(backend);
         let end = |state: &mut OperatorState| {
@@ -199,8 +210,13 @@
         Ok(reply_if_known(is_known, AdminReply::MaintenanceEnded))
     }
 
-    /// Changes the operator state for every process of the node, and applies it to this one: with
-    /// the change, this process takes in what a peer process has stored before. A failure is logged.
+    /// Changes the operator state for every process of the node, and applies the new state to this
+    /// one, including what a peer process has stored before.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`NotStored`] if the change cannot be stored, after logging why. Nothing has changed
+    /// then.
     async fn change<T>(
         &self,
         change: impl FnOnce(&mut OperatorState) -> T,
@@ -217,7 +233,8 @@
         }
     }
 
-    /// Puts a restriction into force until the returned value is dropped.
+    /// Puts a restriction into force at once. It stays in force, stored or not, until the returned
+    /// value is dropped.
     fn restrict(&self, restriction: Restriction) -> PendingRestriction<'_> {
         self.pending.borrow_mut().push(restriction.clone());
         self.apply();
@@ -227,7 +244,7 @@
         }
     }
 
-    /// Applies the state to this process, with the restrictions that are being stored.
+    /// Applies the stored state and the restrictions that are being stored to this process.
     fn apply(&self) {
         let mut state = self.store.state().clone();
         for restriction in self.pending.borrow().iter() {
@@ -238,9 +255,10 @@
     }
 }
 
-/// A change could not be stored.
+/// Error of a change that could not be stored.
 struct NotStored;
 
+/// Returns `reply`, or [`AdminReply::UnknownBackend`] if the backend of the command is not known.
 fn reply_if_known(is_known: bool, reply: AdminReply) -> AdminReply {
     if is_known {
         reply
--- a/crates/proxy/src/admin/server.rs
+++ b/crates/proxy/src/admin/server.rs
@@ -1,5 +1,5 @@
-//! The server for operators' commands: a listener and connections of its own, so that clients cannot
-//! exhaust what operators need.
+//! The HTTP server for operators' commands. It has its own listener and its own connections, so
+//! that clients cannot use up what operators need.
 
 use super::commands::{AdminCommand, AdminReply};
 use super::operator_control::OperatorControl;
@@ -22,35 +22,37 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// Connections at a time. Accepting a further one closes the oldest.
+/// Largest number of connections at a time. Accepting a further one closes the oldest.
 const MAX_CONNECTIONS: usize = 16;
-/// Descriptors that the server holds at most: the connections, the listener and one that is being
-/// accepted.
+/// Largest number of descriptors that the server holds: those of the connections, of the listener
+/// and of one connection that is being accepted.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
-/// For a complete request to be received.
+/// Limit on the time to receive a request's complete head.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// For the response to be written, and for what an operator still sends behind the request.
+/// Limit on the time to write the response and to read what the operator's client still sends after
+/// the request's head.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes of a request's method and path that are logged at most.
+/// Largest number of bytes of a request's method and path that are logged.
 const MAX_LOGGED_BYTES: usize = 128;
-/// Capacity of the buffer that a request's head is first read to.
+/// Initial capacity in bytes of the buffer for a request's head.
 const HEAD_BUFFER_BYTES: usize = 1 << 10;
 
-/// Accepts operators' commands, one per connection.
+/// Accepts operators' connections and serves one command on each.
 pub struct AdminServer {
     log: EventLog,
     dispatcher: Rc<Dispatcher>,
     control: Rc<OperatorControl>,
 }
 
-/// The first line of a request's head.
+/// The method and path in the first line of a request's head.
 struct RequestLine {
     method: String,
     path: String,
 }
 
 impl AdminServer {
-    /// A server whose commands `control` carries out.
+    /// Creates a server that executes commands by `control`. `dispatcher` logs and counts failed
+    /// accepts.
     pub fn new(
         log: EventLog,
         dispatcher: Rc<Dispatcher>,
@@ -63,7 +65,7 @@
         })
     }
 
-    /// Accepts connections for as long as the process runs.
+    /// Accepts connections on `listener` and serves each in its own task. Never returns.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
@@ -83,11 +85,11 @@
         }
     }
 
-    /// Serves the one request of a connection.
+    /// Serves the only request of a connection and closes the connection.
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut stream = Socket(stream);
-        // A client that disconnects or sends no complete request in time gets no response.
+        // A client that disconnects, or sends no complete head in time, receives no response.
         let Ok(Some(request)) = timeout(REQUEST_TIMEOUT, read_request(&mut stream)).await else {
             return;
         };
@@ -95,7 +97,7 @@
         let _ = timeout(CLOSE_TIMEOUT, respond(stream, reply)).await;
     }
 
-    /// Carries out the command of a request, and logs it with the reply.
+    /// Executes the command of a request, and logs the request with the reply.
     async fn handle(&self, request: Result<RequestLine, MessageError>) -> AdminReply {
         let (call, reply) = match request {
             Ok(RequestLine { method, path }) => {
@@ -116,8 +118,12 @@
     }
 }
 
-/// Writes the response and ends the connection. What still arrives is read, since closing with unread
-/// bytes would reset the connection, and the operator might lose the response.
+/// Writes the response and shuts down the sending side. Discards what still arrives, since closing
+/// the socket with unread bytes would reset the connection, and the client might lose the response.
+///
+/// # Errors
+///
+/// Returns the error of writing the response or of the shutdown.
 async fn respond(mut stream: Socket, reply: AdminReply) -> std::io::Result<()> {
     stream.write_all(reply.to_http().as_bytes()).await?;
     SockRef::from(&stream.0).shutdown(Shutdown::Write)?;
@@ -125,7 +131,8 @@
     Ok(())
 }
 
-/// Reads a request's head. None: the connection ended before that.
+/// Reads a request's head, and returns its method and path or why it is malformed. Returns `None`
+/// if the connection ended before the head was complete.
 async fn read_request(stream: &mut Socket) -> Option<Result<RequestLine, MessageError>> {
     let mut head = BytesMut::with_capacity(HEAD_BUFFER_BYTES);
     loop {
@@ -142,7 +149,7 @@
     }
 }
 
-/// The method and path of a head that was parsed as valid.
+/// Extracts the method and path from a head that was parsed as valid.
 fn parse_request_line(head: &[u8]) -> RequestLine {
     let line = head
         .trim_ascii_start()
--- a/crates/proxy/src/operator_state/file_lock.rs
+++ b/crates/proxy/src/operator_state/file_lock.rs
@@ -1,38 +1,40 @@
-//! Advisory locks on files, which end with the process that holds them.
+//! Advisory locks on files. The system releases them when the process that holds them ends.
 
 use std::fs::{File, TryLockError};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Pause before a lock that another process holds is tried again.
+/// Pause before the next attempt at a lock that another process holds.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
-/// Attempts at a lock that another process holds. All of them take less time than callers wait.
+/// Number of attempts at a lock that another process holds. Together they take less time than
+/// callers wait.
 const MAX_LOCK_ATTEMPTS: usize = 200;
 
-/// Files of which the processes of a node lock one each while they run.
+/// Names of the presence files. Each process of a node locks one of them for as long as it runs.
 ///
-/// The names stay as they are: during an upgrade the old version and the new one find each other by
+/// The names must not change: during an upgrade the old and the new version detect each other by
 /// them.
 const PRESENCE_FILES: [&str; 2] = ["birchswitch.0", "birchswitch.1"];
 
-/// Files of which the processes of a node lock one each until they are told to end, by their position
-/// among [`PRESENCE_FILES`]. Earlier versions lock none.
+/// Names of the files that show which processes are serving. Each process of a node locks the one
+/// at the index of its presence file in [`PRESENCE_FILES`], until it is told to end. Earlier
+/// versions lock none.
 const SERVING_FILES: [&str; 2] = ["birchswitch.0.serving", "birchswitch.1.serving"];
 
-/// An exclusive lock on a file. Dropping it releases the lock.
+/// An exclusive lock on a file. Dropping the value releases the lock.
 #[derive(Debug)]
 pub struct FileLock {
-    /// Closing the file releases the lock.
+    /// The locked file. Closing it releases the lock.
     _file: File,
 }
 
 /// Why a lock was not acquired.
 #[derive(Debug)]
 pub enum LockError {
-    /// Another process holds it.
+    /// The lock is held already, as a rule by another process.
     Held,
-    /// The file cannot be opened or locked.
+    /// Opening or locking the file failed.
     Io(io::Error),
 }
 
@@ -45,23 +47,25 @@
     }
 }
 
-/// Locks a file, which is created if there is none, without waiting.
+/// Locks a file without waiting. The file is created if it does not exist.
 ///
 /// # Errors
 ///
-/// Fails if another process holds the lock, or with the error of the file system.
+/// Returns [`LockError::Held`] if the lock is held already, or [`LockError::Io`] if the file cannot
+/// be opened or locked.
 pub fn try_lock(path: &Path) -> Result<FileLock, LockError> {
     let file = open(path)?;
     file.try_lock()?;
     Ok(FileLock { _file: file })
 }
 
-/// Locks a file, which is created if there is none, and waits for a process that holds the lock for
-/// a moment.
+/// Locks a file, and waits for a process that holds the lock only briefly. The file is created if
+/// it does not exist.
 ///
 /// # Errors
 ///
-/// Fails if the lock is still held after several attempts, or with the error of the file system.
+/// Returns [`LockError::Held`] if the lock is still held after [`MAX_LOCK_ATTEMPTS`] attempts, or
+/// [`LockError::Io`] if the file cannot be opened or locked.
 pub async fn lock(path: &Path) -> Result<FileLock, LockError> {
     let file = open(path)?;
     for _ in 0..MAX_LOCK_ATTEMPTS {
@@ -83,24 +87,28 @@
         .map_err(LockError::Io)
 }
 
-/// The locks by which a peer process of the same node detects that this process runs, and that it has
-/// not been told to end.
+/// The locks that show a peer process of the same node that this process runs and whether it has
+/// been told to end, and the checks for the peer's locks.
 #[derive(Default)]
 pub struct Presence {
-    /// The index among [`PRESENCE_FILES`] and the lock on that file, once one was acquired.
+    /// Index of this process's file in [`PRESENCE_FILES`] and the lock on it, once one was
+    /// acquired.
     own: Option<(usize, FileLock)>,
-    /// The lock on the file of that index among [`SERVING_FILES`].
+    /// Lock on the file of the same index in [`SERVING_FILES`], once it was acquired and until this
+    /// process is told to end.
     serving: Option<FileLock>,
+    /// Whether this process has been told to end.
     has_stopped_serving: bool,
 }
 
 impl Presence {
-    /// Whether another process of the node runs. Also claims a presence file if this process has
-    /// none yet.
-    pub fn peer_process_running(&mut self, folder: &Path) -> bool {
+    /// Returns whether another process of the node runs; true as well if this process can lock none
+    /// of the presence files. Also acquires the locks that this process does not hold yet: those on
+    /// a presence file and on the serving file that belongs to it.
+    pub fn peer_process_running(&mut self, directory: &Path) -> bool {
         let paths: Vec<PathBuf> = PRESENCE_FILES
             .iter()
-            .map(|name| folder.join(name))
+            .map(|name| directory.join(name))
             .collect();
         if self.own.is_none() {
             self.own = (0..paths.len())
@@ -109,29 +117,30 @@
         let Some((own_index, _)) = self.own else {
             return true;
         };
-        // The peer process may be looking at the file at this moment: then it is tried again.
+        // This fails while the peer process checks the same lock; the next call tries again.
         if self.serving.is_none() && !self.has_stopped_serving {
-            self.serving = try_lock(&folder.join(SERVING_FILES[own_index])).ok();
+            self.serving = try_lock(&directory.join(SERVING_FILES[own_index])).ok();
         }
-        // A lock that can be acquired is released at once.
+        // A lock of another process's file that can be acquired is released at once.
         (0..paths.len()).any(|index| index != own_index && try_lock(&paths[index]).is_err())
     }
 
-    /// Whether another process of the node runs that has not been told to end. Of an earlier version
-    /// that is never known.
-    pub fn peer_process_serving(&mut self, folder: &Path) -> bool {
-        if !self.peer_process_running(folder) {
+    /// Returns whether another process of the node runs that has not been told to end. An earlier
+    /// version counts as told to end, since it locks no serving file; if this process holds no
+    /// presence file, the answer is always yes.
+    pub fn peer_process_serving(&mut self, directory: &Path) -> bool {
+        if !self.peer_process_running(directory) {
             return false;
         }
         let Some((own_index, _)) = self.own else {
             return true;
         };
         (0..SERVING_FILES.len()).any(|index| {
-            index != own_index && try_lock(&folder.join(SERVING_FILES[index])).is_err()
+            index != own_index && try_lock(&directory.join(SERVING_FILES[index])).is_err()
         })
     }
 
-    /// Shows the peer process that this one has been told to end.
+    /// Releases the lock that shows the peer process that this one has not been told to end.
     pub fn stop_serving(&mut self) {
         self.has_stopped_serving = true;
         self.serving = None;
--- a/crates/proxy/src/operator_state/mod.rs
+++ b/crates/proxy/src/operator_state/mod.rs
@@ -1,5 +1,5 @@
-//! Maintenance and drain state that outlives a process, and is shared with a peer process of the same
-//! node during an upgrade.
+//! The stored operator state: maintenance and drain. It outlives a process and is shared with the
+//! peer process of the same node during an upgrade.
 
 mod file_lock;
 pub mod store;
--- a/crates/proxy/src/operator_state/store_tests.rs
+++ b/crates/proxy/src/operator_state/store_tests.rs
@@ -1,38 +1,38 @@
 use super::super::file_lock::try_lock;
 use super::*;
 
-/// An empty folder for one test.
-struct TestFolder(PathBuf);
+/// An empty directory for one test, removed when the test ends.
+struct TestDirectory(PathBuf);
 
-impl std::ops::Deref for TestFolder {
+impl std::ops::Deref for TestDirectory {
     type Target = PathBuf;
     fn deref(&self) -> &PathBuf {
         &self.0
     }
 }
 
-impl Drop for TestFolder {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn test_folder(name: &str) -> TestFolder {
+fn test_directory(name: &str) -> TestDirectory {
     let path = std::env::temp_dir().join(format!("balancer-proxy-{}-{name}", std::process::id()));
-    fs::create_dir_all(&path).expect("a folder");
-    TestFolder(path)
+    fs::create_dir_all(&path).expect("a test directory");
+    TestDirectory(path)
 }
 
-fn open(folder: &Path) -> OperatorStateStore {
-    let (store, problem) = OperatorStateStore::open(Some(folder.to_owned()), "n");
-    assert!(problem.is_none(), "{problem:?}");
+fn open(directory: &Path) -> OperatorStateStore {
+    let (store, load_error) = OperatorStateStore::open(Some(directory.to_owned()), "n");
+    assert!(load_error.is_none(), "{load_error:?}");
     store
 }
 
 #[tokio::test]
 async fn change_is_seen_by_the_peer_process_and_the_next_one() {
-    let folder = test_folder("peer");
-    let (old, new) = (open(&folder), open(&folder));
+    let directory = test_directory("peer");
+    let (old, new) = (open(&directory), open(&directory));
     old.change(|state| state.in_maintenance.insert("a".into()))
         .await
         .expect("a change");
@@ -41,25 +41,25 @@
         !new.refresh().expect("a refresh"),
         "nothing has changed since"
     );
-    // The other process has not read the file since: its change builds on it all the same.
+    // The old process has not read the file since, and yet its change applies to the latest state.
     new.change(|state| state.draining = true)
         .await
         .expect("a change");
     old.change(|state| state.in_maintenance.insert("b".into()))
         .await
         .expect("a change");
-    let third = open(&folder);
+    let third = open(&directory);
     assert!(third.state().draining);
     assert_eq!(
         third.state().in_maintenance.iter().collect::<Vec<_>>(),
         ["a", "b"]
     );
-    assert!(!folder.join(NEW_STATE_FILE).exists());
+    assert!(!directory.join(NEW_STATE_FILE).exists());
 }
 
 #[tokio::test]
 async fn unusable_file_counts_as_empty_and_is_replaced() {
-    let folder = test_folder("unusable");
+    let directory = test_directory("unusable");
     let valid = r#"{"version":1,"node":"n","word":{"draining":true,"out":["a"],"returned":{}}}"#;
     let unusable = [
         "",
@@ -71,16 +71,16 @@
         &valid.replace("\"out\"", "\"in\""),
     ];
     for text in unusable {
-        fs::write(folder.join(STATE_FILE), text).expect("a file");
-        let (store, problem) = OperatorStateStore::open(Some(folder.to_owned()), "n");
-        assert!(problem.is_some(), "{text}");
+        fs::write(directory.join(STATE_FILE), text).expect("a file");
+        let (store, load_error) = OperatorStateStore::open(Some(directory.to_owned()), "n");
+        assert!(load_error.is_some(), "{text}");
         assert_eq!(*store.state(), OperatorState::default(), "{text}");
         store
             .change(|state| state.in_maintenance.insert("b".into()))
             .await
             .expect("a change");
         assert_eq!(
-            open(&folder)
+            open(&directory)
                 .state()
                 .in_maintenance
                 .iter()
@@ -88,15 +88,15 @@
             ["b"]
         );
     }
-    fs::write(folder.join(STATE_FILE), valid).expect("a file");
-    assert!(open(&folder).state().draining);
+    fs::write(directory.join(STATE_FILE), valid).expect("a file");
+    assert!(open(&directory).state().draining);
 }
 
 #[tokio::test(start_paused = true)]
 async fn lock_that_is_never_released_ends_the_change() {
-    let folder = test_folder("lock");
-    let store = open(&folder);
-    let _lock = try_lock(&folder.join(LOCK_FILE)).expect("the lock");
+    let directory = test_directory("lock");
+    let store = open(&directory);
+    let _lock = try_lock(&directory.join(LOCK_FILE)).expect("the lock");
     assert!(matches!(
         store.change(|state| state.draining = true).await,
         Err(StoreError::Locked)
@@ -106,12 +106,12 @@
 
 #[test]
 fn processes_see_each_other_while_they_run() {
-    let folder = test_folder("presence");
-    let old = open(&folder);
+    let directory = test_directory("presence");
+    let old = open(&directory);
     assert!(!old.peer_process_running());
-    let new = open(&folder);
+    let new = open(&directory);
     assert!(new.peer_process_running() && old.peer_process_running());
-    let third = open(&folder);
+    let third = open(&directory);
     assert!(third.peer_process_running());
     drop(old);
     assert!(third.peer_process_running() && new.peer_process_running());
@@ -119,7 +119,8 @@
     assert!(!new.peer_process_running());
 }
 
-/// Written by an older version of the program, which may run beside this one during an upgrade.
+/// A state file as written by an older version of the program, which may run at the same time as
+/// this version during an upgrade.
 const STORED_BY_AN_OLDER_VERSION: &str = r#"{"version":1,"node":"n","word":{"draining":true,"out":["a","c"],"returned":{"b":1796285865475}}}"#;
 
 fn state_of_the_older_version() -> OperatorState {
@@ -132,19 +133,23 @@
 
 #[test]
 fn file_of_an_older_version_is_read() {
-    let folder = test_folder("older-version-read");
-    fs::write(folder.join("birchswitch.json"), STORED_BY_AN_OLDER_VERSION).expect("a file");
-    assert_eq!(*open(&folder).state(), state_of_the_older_version());
+    let directory = test_directory("older-version-read");
+    fs::write(
+        directory.join("birchswitch.json"),
+        STORED_BY_AN_OLDER_VERSION,
+    )
+    .expect("a file");
+    assert_eq!(*open(&directory).state(), state_of_the_older_version());
 }
 
 #[tokio::test]
 async fn file_is_written_byte_for_byte_as_by_an_older_version() {
-    let folder = test_folder("older-version-written");
-    open(&folder)
+    let directory = test_directory("older-version-written");
+    open(&directory)
         .change(|state| *state = state_of_the_older_version())
         .await
         .expect("a change");
-    let written = fs::read_to_string(folder.join("birchswitch.json")).expect("a file");
+    let written = fs::read_to_string(directory.join("birchswitch.json")).expect("a file");
     assert_eq!(written, STORED_BY_AN_OLDER_VERSION);
-    assert!(folder.join("birchswitch.lock").exists());
+    assert!(directory.join("birchswitch.lock").exists());
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,5 +1,5 @@
-//! What the process acquires at its start: signal handlers, listeners and the stored
-//! operator state. Failures that may pass are retried, as [`retry_at_start`] does.
+//! What the process acquires at its start: signal handlers, listeners and the stored operator
+//! state. Transient failures are retried, as [`retry_at_start`] describes.
 
 use crate::config::ListenConfig;
 use crate::listener_inheritance::{inherit_listener, InheritError};
@@ -12,57 +12,57 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::Instant;
 
-/// Connections that the system holds until they are accepted.
+/// Number of connections that the system queues on a listener until they are accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// The variable that names the folder of the stored operator state.
-pub const STATE_FOLDER_VARIABLE: &str = "TMPDIR";
+/// Name of the environment variable that holds the directory of the stored operator state.
+pub const STATE_DIRECTORY_VARIABLE: &str = "TMPDIR";
 
-/// Why the process cannot have what it needs from the system.
+/// Why the process could not acquire what it needs from the system.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
-    /// A signal cannot be handled.
-    #[error("cannot handle signals: {0}")]
+    /// A signal handler could not be installed.
+    #[error("cannot install a signal handler: {0}")]
     Signals(io::Error),
     /// The inherited listener cannot be used.
     #[error("{0}")]
     Inherit(#[from] InheritError),
-    /// An address cannot be bound.
+    /// A listener on a configured address could not be opened.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the system call.
         source: io::Error,
     },
-    /// A listener is open and cannot be used.
-    #[error("unusable listener: {0}")]
+    /// An open listener could not be registered with the runtime, or its address could not be read.
+    #[error("cannot use an open listener: {0}")]
     Listener(io::Error),
 }
 
-/// The signals that the process handles.
+/// Receivers of the signals that the process handles.
 pub struct Signals {
-    /// Those that end the process.
+    /// Signals that end the process.
     pub termination: TerminationSignals,
-    /// SIGHUP, which asks for a reload of the configuration. Without a handler it would end the
-    /// process, so that this one has to stay until the process ends.
+    /// SIGHUP, which requests a reload of the configuration. Without a handler the signal would end
+    /// the process, so this receiver must be kept until the process ends.
     pub hangup: Signal,
 }
 
-/// The signals that end the process.
+/// Receiver of the signals that end the process: SIGTERM and SIGINT.
 pub struct TerminationSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
-    /// Returns the error of the system if one cannot be installed.
+    /// Returns [`StartupError::Signals`] if a handler cannot be installed.
     pub fn install() -> Result<Self, StartupError> {
         let install = |kind| {
-            retry_at_start("the handling of a signal", || signal(kind))
+            retry_at_start("installing a signal handler", || signal(kind))
                 .map_err(StartupError::Signals)
         };
         Ok(Signals {
@@ -76,7 +76,7 @@
 }
 
 impl TerminationSignals {
-    /// Waits for a signal.
+    /// Waits for SIGTERM or SIGINT.
     pub async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -87,20 +87,23 @@
 
 /// The sockets that the process listens on.
 pub struct Listeners {
-    /// For clients.
+    /// Listener for clients.
     pub clients: TcpListener,
-    /// Since when clients may have connected.
+    /// When the process opened or inherited the listener for clients. Connections may have entered
+    /// its accept queue since then.
     pub listening_since: Instant,
-    /// For operators, if configured.
+    /// Listener for operators. `None` if no address is configured for them.
     pub admin: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Binds the configured addresses, or uses an inherited listener.
+    /// Listens on the configured addresses, or takes over an inherited listener for clients.
     ///
     /// # Errors
     ///
-    /// Fails if an address cannot be bound or the inherited listener is not the configured one.
+    /// Returns [`StartupError::Bind`] if an address cannot be listened on,
+    /// [`StartupError::Inherit`] if the inherited descriptor is not a listener on the configured
+    /// address, and [`StartupError::Listener`] if the runtime does not accept it.
     pub fn open(config: &ListenConfig) -> Result<Self, StartupError> {
         let clients = match &config.inherited_descriptor {
             Some(number) => {
@@ -118,13 +121,15 @@
     }
 }
 
+/// Opens a listener on an address, and retries transient failures.
 fn bind(address: SocketAddr) -> Result<TcpListener, StartupError> {
-    retry_at_start(format_args!("the listener at {address}"), || {
+    retry_at_start(format_args!("opening the listener at {address}"), || {
         listen(address)
     })
     .map_err(|source| StartupError::Bind { address, source })
 }
 
+/// Opens a listener that may reuse an address on which earlier connections have not expired yet.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
@@ -136,36 +141,37 @@
     socket.listen(ACCEPT_BACKLOG)
 }
 
-/// The address that a listener is bound to.
+/// Returns the address that a listener is bound to.
 ///
 /// # Errors
 ///
-/// Fails with the error of the system.
+/// Returns [`StartupError::Listener`] with the error of the system call.
 pub fn local_address(listener: &TcpListener) -> Result<SocketAddr, StartupError> {
     listener.local_addr().map_err(StartupError::Listener)
 }
 
-/// The operator state at the process's start.
+/// The store of the operator state as opened at the process's start.
 pub struct OpenedOperatorState {
-    /// Its store.
+    /// The store, with the stored state if that is usable.
     pub store: Rc<OperatorStateStore>,
-    /// Why the stored state is ignored, if it is.
-    pub problem: Option<StoreError>,
-    /// Whether operators may change the state, at this process or at a peer process.
+    /// Why the stored state is ignored. `None` if it is used or there is none.
+    pub load_error: Option<StoreError>,
+    /// Whether operators can change the state, through this process or a peer process.
     pub is_operated: bool,
     /// Whether the state outlives the process.
     pub is_stored: bool,
 }
 
 impl OpenedOperatorState {
-    /// Reads the stored state of `node`, if operators may change it and there is a folder for it.
+    /// Opens the store of `node`. The stored state is read only if operators can change it and
+    /// [`STATE_DIRECTORY_VARIABLE`] is set; otherwise the store has no directory.
     pub fn open(node: &str, is_operated: bool) -> Self {
-        let folder = std::env::var_os(STATE_FOLDER_VARIABLE).filter(|_| is_operated);
-        let is_stored = folder.is_some();
-        let (store, problem) = OperatorStateStore::open(folder.map(Into::into), node);
+        let directory = std::env::var_os(STATE_DIRECTORY_VARIABLE).filter(|_| is_operated);
+        let is_stored = directory.is_some();
+        let (store, load_error) = OperatorStateStore::open(directory.map(Into::into), node);
         OpenedOperatorState {
             store: Rc::new(store),
-            problem,
+            load_error,
             is_operated,
             is_stored,
         }
--- a/crates/proxy/src/startup_log.rs
+++ b/crates/proxy/src/startup_log.rs
@@ -1,18 +1,19 @@
-//! What the process logs at its start.
+//! The log lines that the process writes when it starts.
 
 use crate::event_log::EventLog;
 use crate::resource_limits::PoolSizes;
 use crate::startup::{
-    local_address, Listeners, OpenedOperatorState, StartupError, STATE_FOLDER_VARIABLE,
+    local_address, Listeners, OpenedOperatorState, StartupError, STATE_DIRECTORY_VARIABLE,
 };
 use balancer::Settings;
 use settings::{InstanceSettings, SettingNames};
 
-/// Logs what the process starts with.
+/// Logs the address for clients, the settings, and any reason why the stored operator state is not
+/// used or not kept.
 ///
 /// # Errors
 ///
-/// Fails if a listener's address cannot be read.
+/// Returns [`StartupError::Listener`] if the address of the listener for clients cannot be read.
 pub fn log_start(
     log: &EventLog,
     listeners: &Listeners,
@@ -22,18 +23,18 @@
     let address = local_address(&listeners.clients)?;
     log.log(format_args!("listening on {address}"));
     log.log(format_args!("{settings_summary}"));
-    if let Some(problem) = &operator_state.problem {
-        log.log(format_args!("stored operator state ignored: {problem}"));
+    if let Some(load_error) = &operator_state.load_error {
+        log.log(format_args!("stored operator state ignored: {load_error}"));
     }
     if operator_state.is_operated && !operator_state.is_stored {
         log.log(format_args!(
-            "{STATE_FOLDER_VARIABLE} is not set: maintenance and drain state ends with this process"
+            "{STATE_DIRECTORY_VARIABLE} is not set: maintenance and drain state ends with this process"
         ));
     }
     Ok(())
 }
 
-/// The log line with the settings in force.
+/// Formats the log line with the settings in force and the sizes of the connection pools.
 pub fn settings_summary(instance: &InstanceSettings, pool_sizes: PoolSizes) -> String {
     let settings = &instance.settings;
     let limits = &settings.protocol_limits;
@@ -53,6 +54,7 @@
     )
 }
 
+/// Formats the latency objective and the deadline of each request class.
 fn classes_summary(names: &SettingNames, settings: &Settings) -> String {
     let classes: Vec<String> = names
         .classes
