--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,33 +1,34 @@
-//! The time that the balancer's decisions go by.
+//! The clock that the balancer's decisions are based on.
 
 use balancer::Time;
 use tokio::time::Instant;
 
-/// What the clock shows when the process starts. Not zero, since backends may have started before
-/// the process did.
+/// The time that the clock shows when the process starts: 24 hours. It is not zero, since backends
+/// may have started before the process did.
 const PROCESS_START: Time = Time(24 * 3600 * 1_000_000_000);
 
-/// A monotonic clock that maps [`Instant`]s to the balancer's [`Time`]. It is independent of the
-/// wall clock, which may be stepped.
+/// A monotonic clock that converts between [`Instant`] and the balancer's [`Time`]. It is
+/// independent of the wall clock, which may be stepped. Copies show the same time.
 #[derive(Clone, Copy)]
 pub struct Clock {
+    /// The instant at which the clock showed [`PROCESS_START`].
     started_at: Instant,
 }
 
 impl Clock {
-    /// A clock that shows the balancer's start time at this moment.
+    /// Creates a clock that shows [`PROCESS_START`] now.
     pub fn start() -> Self {
         Clock {
             started_at: Instant::now(),
         }
     }
 
-    /// The current time.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         PROCESS_START + self.started_at.elapsed()
     }
 
-    /// The instant at which this clock shows `time`.
+    /// Returns the instant at which this clock shows `time`.
     pub fn instant_at(&self, time: Time) -> Instant {
         self.started_at + (time - PROCESS_START)
     }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,5 @@
-//! The process's configuration: the `GW_*` variables and the JSON file that one of them names.
+//! The configuration of the process: the `GW_*` environment variables and the JSON file that one of
+//! them names.
 
 use crate::discovery::wire::EndpointList;
 use crate::listener_inheritance::LISTEN_FD_VARIABLE;
@@ -7,109 +8,113 @@
 use settings::InstanceSettings;
 use std::net::SocketAddr;
 
-/// The variable that names the configuration file.
+/// Name of the environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
-/// The fewest descriptors with which clients can be served.
+/// Smallest number of descriptors with which clients can be served.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// Why a configuration cannot be used.
+/// Why the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No configuration file is named.
+    /// The environment does not name a configuration file.
     #[error("{CONFIG_VARIABLE} is not set: it names the configuration file")]
     NoFile,
-    /// The file cannot be read.
+    /// The configuration file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's error.
+        /// The error of the system call.
         source: std::io::Error,
     },
-    /// The file is not JSON, or lacks a key.
+    /// The file is not valid JSON, lacks a key or has a value of another type.
     #[error("{path}: {source}")]
     Json {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong, and where.
+        /// What is wrong and where.
         source: serde_json::Error,
     },
-    /// The settings in the file cannot be read.
+    /// The balancer's settings in the file cannot be parsed.
     #[error("{path}: {source}")]
     Settings {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong, and where.
+        /// What is wrong and where.
         source: settings::ParseError,
     },
-    /// The settings can be read, and contradict each other or are out of range.
+    /// The balancer's settings were parsed, but contradict each other or are out of range.
     #[error("{path}: {source}")]
     InvalidSettings {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// What is wrong.
         source: balancer::SettingsError,
     },
-    /// A value is given neither as a variable nor in the file.
-    #[error("neither {variable} nor the configuration's `{key}` is given")]
+    /// A required value is given neither by an environment variable nor in the file.
+    #[error("neither {variable} nor the configuration key `{key}` is set")]
     Missing {
-        /// The variable.
+        /// Name of the environment variable.
         variable: &'static str,
-        /// The file's key.
+        /// Key of the file.
         key: &'static str,
     },
-    /// A value cannot be used.
+    /// A value of the file or of an environment variable is invalid.
     #[error("{key} {value:?} is not {expected}")]
     InvalidValue {
-        /// The file's key.
+        /// Key of the value in the file, also if an environment variable gave the value; for
+        /// `GW_CONSOLE` the name of the variable.
         key: &'static str,
-        /// What was given.
+        /// The value that was given.
         value: String,
-        /// What it should be.
+        /// Description of valid values.
         expected: &'static str,
     },
 }
 
-/// A node's configuration.
+/// The configuration of a node, parsed and checked.
 pub struct Config {
-    /// The node's name, for its log.
+    /// Name of the node. It begins each log line and identifies the stored operator state.
     pub name: String,
-    /// Where the process listens.
+    /// Addresses that the process listens on.
     pub listen: ListenConfig,
-    /// Where discovery answers.
+    /// Address of discovery that is used when the process starts.
     pub discovery: SocketAddr,
-    /// The same as the file gives it, which counts when the file is reloaded.
+    /// Address of discovery in the file, which is used when the file is reloaded. `None` if the
+    /// file gives none.
     pub discovery_in_file: Option<SocketAddr>,
-    /// Seed of the random number generators.
+    /// Seed of the process's random number generators.
     pub seed: u64,
-    /// Descriptors that the node's processes may hold together.
+    /// Number of descriptors that the node's processes may hold together.
     pub descriptors: usize,
     /// Memory that the node's processes may use together, in bytes.
     pub memory_bytes: usize,
-    /// The endpoints as last known, if they are.
+    /// The endpoint list as last known when the file was written. `None` if the file gives none.
     pub known_endpoints: Option<EndpointList>,
-    /// The settings of the balancer and their names.
+    /// Settings of the balancer, with the names that they define.
     pub instance: InstanceSettings,
 }
 
-/// Where a process listens.
+/// The addresses that a process listens on.
 pub struct ListenConfig {
-    /// Where clients connect.
+    /// Address for clients.
     pub clients: SocketAddr,
-    /// The number of the descriptor for clients, if the process inherits one.
+    /// Number of the inherited descriptor of the listener for clients, not parsed yet. `None` if
+    /// the process opens the listener itself.
     pub inherited_descriptor: Option<String>,
-    /// Where operators connect, if they do.
+    /// Address for operators. `None` if there is no admin server.
     pub admin: Option<SocketAddr>,
 }
 
 impl ListenConfig {
-    /// Whether operators may change the node's state, at this process or at a peer process.
+    /// Returns whether operators can change the node's state, through this process or a peer
+    /// process. A process that inherits its listener may have a peer process with an admin server.
     pub fn is_operated(&self) -> bool {
         self.admin.is_some() || self.inherited_descriptor.is_some()
     }
 }
 
-/// The configuration file. Its keys stay as they are.
+/// The content of the configuration file. Its keys must not change.
 #[derive(Deserialize)]
 struct ConfigFile<'a> {
     #[serde(default)]
@@ -127,9 +132,11 @@
     settings: &'a RawValue,
 }
 
+/// Limits on the resources of the node's processes together.
 #[derive(Deserialize)]
 #[serde(default)]
 struct FileLimits {
+    /// Memory in MiB.
     memory_mb: usize,
     #[serde(rename = "sockets")]
     descriptors: usize,
@@ -144,18 +151,19 @@
     }
 }
 
-/// The text of the configuration file that the process's variables name.
+/// The path and the text of the configuration file that the environment names.
 pub struct ConfigText {
     path: String,
     text: String,
 }
 
 impl ConfigText {
-    /// Reads the file with `read`.
+    /// Reads the configuration file by calling `read` with its path.
     ///
     /// # Errors
     ///
-    /// Fails if no file is named, or with the error of `read`.
+    /// Returns [`ConfigError::NoFile`] if the environment names no file, or
+    /// [`ConfigError::Unreadable`] with the error of `read`.
     pub fn from_env(
         read: impl FnOnce(&str) -> std::io::Result<String>,
     ) -> Result<ConfigText, ConfigError> {
@@ -166,11 +174,12 @@
         }
     }
 
-    /// Parses and checks the whole file. The process's variables, where set, take precedence.
+    /// Parses and checks the whole file. Environment variables that are set and not empty take
+    /// precedence over the file.
     ///
     /// # Errors
     ///
-    /// Returns the first value that is missing or cannot be used.
+    /// Returns a [`ConfigError`] for the first value that is missing or invalid.
     pub fn parse(&self) -> Result<Config, ConfigError> {
         let file: ConfigFile =
             serde_json::from_str(&self.text).map_err(|source| ConfigError::Json {
@@ -178,8 +187,8 @@
                 source,
             })?;
         let instance = self.parse_settings(file.settings)?;
-        // Addresses in the file are checked also where a variable takes precedence: they may be used
-        // after a reload.
+        // Addresses in the file are checked even where an environment variable takes precedence,
+        // since they may be used after a reload.
         let listen_in_file = parse_address("listen", file.listen)?;
         let clients = address_variable("GW_LISTEN", "listen")?
             .or(listen_in_file)
@@ -207,6 +216,7 @@
         })
     }
 
+    /// Parses and checks the balancer's settings.
     fn parse_settings(&self, json: &RawValue) -> Result<InstanceSettings, ConfigError> {
         let instance =
             settings::parse(json.get().as_bytes()).map_err(|source| ConfigError::Settings {
@@ -223,15 +233,18 @@
     }
 }
 
-/// The value of an environment variable, unless it is empty.
+/// Returns the value of an environment variable. `None` if it is not set, empty or not valid
+/// Unicode.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
+/// Parses the address in an environment variable, if it is set. `key` names the value in an error.
 fn address_variable(name: &str, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
     parse_address(key, variable(name))
 }
 
+/// Parses an address, if there is one. `key` names the value in an error.
 fn parse_address(
     key: &'static str,
     value: Option<String>,
@@ -244,7 +257,7 @@
         Err(_) => Err(ConfigError::InvalidValue {
             key,
             value,
-            expected: "an address and port",
+            expected: "an IP address and port",
         }),
     }
 }
@@ -253,6 +266,7 @@
     ConfigError::Missing { variable, key }
 }
 
+/// Parses a hexadecimal seed.
 fn parse_seed(seed: &str) -> Result<u64, ConfigError> {
     u64::from_str_radix(seed, 16).map_err(|_| ConfigError::InvalidValue {
         key: "seed",
@@ -261,6 +275,7 @@
     })
 }
 
+/// Returns the number of descriptors, or an error if it is below [`MIN_DESCRIPTORS`].
 fn checked_descriptors(descriptors: usize) -> Result<usize, ConfigError> {
     if descriptors >= MIN_DESCRIPTORS {
         Ok(descriptors)
--- a/crates/proxy/src/config_reload.rs
+++ b/crates/proxy/src/config_reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration again on SIGHUP.
+//! Reloads the configuration file on SIGHUP.
 
 use crate::config::{ConfigError, ConfigText};
 use crate::discovery::watch_loop::EndpointWatcher;
@@ -9,19 +9,19 @@
 use tokio::signal::unix::Signal;
 use tokio::time::{sleep, Instant};
 
-/// How long reading is retried that fails for reasons that may pass.
+/// How long reading the file is retried after transient errors.
 const MAX_RETRY_DURATION: Duration = Duration::from_secs(2);
 
-/// Reloads the configuration at each signal, for as long as the process runs.
+/// Reloads the configuration whenever `hangup` receives a signal, for as long as the process runs.
 pub async fn run(mut hangup: Signal, log: EventLog, endpoint_watcher: Rc<EndpointWatcher>) {
     while hangup.recv().await.is_some() {
         reload(&log, &endpoint_watcher).await;
     }
 }
 
-/// Reloads the configuration. The whole file is checked before anything of it is used; a file that is
-/// invalid changes nothing. The discovery address of a valid file takes precedence from now on over
-/// that of the environment.
+/// Reloads the configuration. The whole file is checked before any of it is used, and an invalid
+/// file changes nothing. From a valid file only the discovery address is used; it takes precedence
+/// over that of the environment from then on.
 async fn reload(log: &EventLog, endpoint_watcher: &EndpointWatcher) {
     match read_text(log).await.and_then(|text| text.parse()) {
         Ok(config) => {
@@ -36,15 +36,19 @@
     }
 }
 
-/// Reads the configuration's text. Failures that may pass are retried, since the signal is not sent
-/// again.
+/// Reads the text of the configuration file. Transient errors are retried for up to
+/// [`MAX_RETRY_DURATION`], since the signal is not sent again.
+///
+/// # Errors
+///
+/// Returns the error of the last attempt.
 async fn read_text(log: &EventLog) -> Result<ConfigText, ConfigError> {
     let deadline = Instant::now() + MAX_RETRY_DURATION;
     let mut is_logged = false;
     loop {
         match ConfigText::from_env(|path| std::fs::read_to_string(path)) {
             Err(ConfigError::Unreadable { path, source })
-                if transient_errors::may_pass(&source) && Instant::now() < deadline =>
+                if transient_errors::is_transient(&source) && Instant::now() < deadline =>
             {
                 if !is_logged {
                     log.log(format_args!("reading {path} failed, retrying: {source}"));
--- a/crates/proxy/src/endpoint_updates.rs
+++ b/crates/proxy/src/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! Changes to the set of backends on their way to the balancer: endpoint lists and the operator
-//! state.
+//! Applies changes of the set of backends, which come from endpoint lists and from the operator
+//! state, and reports them to the balancer.
 
 use crate::clock::Clock;
 use crate::discovery::wire::EndpointList;
@@ -12,18 +12,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Applies each change to the backends first, then reports it to the dispatcher.
+/// Applies each change first to the backend registry and then reports it to the dispatcher.
 pub struct EndpointUpdates {
     backends: Rc<BackendRegistry>,
     dispatcher: Rc<Dispatcher>,
     clock: Clock,
     log: EventLog,
+    /// Revision of the list that was applied last; 0 if there was none.
     revision: Cell<u64>,
+    /// Whether any list applied so far has named an active backend.
     has_listed_active_backend: Cell<bool>,
 }
 
 impl EndpointUpdates {
-    /// No list has been applied yet.
+    /// Creates endpoint updates that have applied no list yet.
     pub fn new(
         backends: Rc<BackendRegistry>,
         dispatcher: Rc<Dispatcher>,
@@ -39,34 +41,36 @@
         })
     }
 
-    /// The dispatcher that changes are reported to.
+    /// Returns the dispatcher that changes are reported to.
     pub fn dispatcher(&self) -> &Rc<Dispatcher> {
         &self.dispatcher
     }
 
-    /// Revision of the list that was applied last.
+    /// Returns the revision of the list that was applied last; 0 if there was none.
     pub fn revision(&self) -> u64 {
         self.revision.get()
     }
 
-    /// Whether any list has named an active backend.
+    /// Returns whether any list applied so far has named an active backend that is not in
+    /// maintenance. It stays true when that backend is removed.
     pub fn is_ready(&self) -> bool {
         self.has_listed_active_backend.get()
     }
 
-    /// Whether the backend is listed.
+    /// Returns whether the current list names the backend of this name.
     pub fn is_listed(&self, backend: &str) -> bool {
         self.backends.is_listed(backend)
     }
 
-    /// Whether a backend that operators have returned from maintenance has finished its slow start,
-    /// as far as this process knows.
+    /// Returns whether a backend that operators have returned from maintenance has finished a slow
+    /// start of the length `slow_start`, counted from when this process learnt of the return. False
+    /// if this process knows of no return.
     pub fn has_warmed_up(&self, backend: &str, slow_start: Duration) -> bool {
         self.backends
             .has_warmed_up(self.clock.now(), backend, slow_start)
     }
 
-    /// Applies the list of the configuration, which is empty if there is none.
+    /// Applies the endpoint list of the configuration. `None` counts as an empty list.
     pub fn apply_configured_list(&self, list: Option<&EndpointList>) {
         let endpoints = list
             .map(|list| self.apply_list(list, ListSource::Configuration))
@@ -75,7 +79,7 @@
             .endpoint_list_updated(ListUpdate::Cached, endpoints);
     }
 
-    /// Applies an endpoint list, or a change to it, that discovery has sent.
+    /// Applies a snapshot or a delta of the endpoint list that discovery has sent.
     pub fn apply_discovered_list(&self, list: &EndpointList) {
         let update = if list.is_snapshot {
             ListUpdate::Snapshot
@@ -83,26 +87,27 @@
             ListUpdate::Delta
         };
         let endpoints = self.apply_list(list, ListSource::Discovery);
-        // Discovery may send lists without a change.
+        // Discovery may send lists that change nothing. One without entries for the balancer is not
+        // logged.
         if !endpoints.is_empty() {
             self.log_list(list.revision, update, &endpoints);
         }
         self.dispatcher.endpoint_list_updated(update, endpoints);
     }
 
-    /// A poll was answered, without a list so far.
+    /// Reports to the balancer that discovery has answered a poll, without a list so far.
     pub fn poll_answered(&self) {
         self.dispatcher
             .endpoint_list_updated(ListUpdate::Delta, Vec::new());
     }
 
-    /// A poll has failed or ended.
+    /// Reports to the balancer that a poll has failed or ended.
     pub fn poll_failed(&self) {
         self.dispatcher
             .endpoint_list_updated(ListUpdate::Failed, Vec::new());
     }
 
-    /// Applies the operator state, under this list and all later ones.
+    /// Applies the operator state to the backends of the current list and of all later ones.
     pub fn apply_operator_state(&self, operator_state: &OperatorState) {
         let endpoints = self
             .backends
@@ -113,6 +118,7 @@
         }
     }
 
+    /// Applies a list to the backend registry, and returns its entries for the balancer.
     fn apply_list(&self, list: &EndpointList, source: ListSource) -> Vec<Endpoint> {
         self.revision.set(list.revision);
         let endpoints = self
@@ -127,6 +133,8 @@
         endpoints
     }
 
+    /// Logs the revision of a list, the number of its endpoints by state and the age of the
+    /// endpoint that started last.
     fn log_list(&self, revision: u64, update: ListUpdate, endpoints: &[Endpoint]) {
         let count = |state| {
             endpoints
--- a/crates/proxy/src/event_log.rs
+++ b/crates/proxy/src/event_log.rs
@@ -1,26 +1,26 @@
-//! The process's log: lines on standard error that begin with the node's name.
+//! The log of the process: lines on standard error that begin with the node's name.
 
 use std::fmt;
 use std::io::Write as _;
 use std::rc::Rc;
 
-/// Writes log lines for one node. Clones share the node's name.
+/// Writes the log lines of one node. Clones are cheap and write to the same log.
 #[derive(Clone)]
 pub struct EventLog {
     node_name: Rc<str>,
 }
 
 impl EventLog {
-    /// A log whose lines begin with `node_name`.
+    /// Creates a log whose lines begin with `node_name` and a colon.
     pub fn new(node_name: &str) -> Self {
         EventLog {
             node_name: node_name.into(),
         }
     }
 
-    /// Writes one line.
+    /// Writes one line. Errors of writing are ignored.
     pub fn log(&self, line: fmt::Arguments) {
-        // `eprintln!` would panic once standard error is closed, and the proxy has to go on serving.
+        // `eprintln!` would panic once standard error is closed, but the proxy must keep serving.
         let _ = writeln!(std::io::stderr(), "{}: {line}", self.node_name);
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,10 @@
-//! A reverse proxy on real sockets. The `balancer` crate decides; this crate carries its decisions
-//! out.
+//! A reverse proxy with client-side load balancing. The `balancer` crate makes the decisions; this
+//! crate does all input and output and executes the decisions.
 //!
-//! `node` builds the parts and connects them. A request comes in through `downstream`, is kept and
-//! dispatched by `requests`, and goes out through `upstream`. `discovery` receives endpoint lists,
-//! `admin` operators' commands, whose effects `operator_state` stores. Everything runs on one thread.
+//! `node` builds the parts and connects them. A request arrives through `downstream`, is stored and
+//! dispatched by `requests`, and is sent to a backend through `upstream`. `discovery` receives
+//! endpoint lists. `admin` receives operators' commands, and `operator_state` stores their effects.
+//! Everything runs on one thread, except for writes of the operator state file.
 
 mod admin;
 mod clock;
--- a/crates/proxy/src/listener_inheritance.rs
+++ b/crates/proxy/src/listener_inheritance.rs
@@ -1,50 +1,52 @@
-//! Takes over a listening socket that the process inherits as an open descriptor, so that connections
-//! are accepted without a gap during an upgrade.
+//! Takes over a listening socket that the process inherits as an open file descriptor, so that
+//! connections are accepted without interruption during an upgrade.
 
 use socket2::Socket;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{FromRawFd, OwnedFd, RawFd};
 
-/// The variable that holds the descriptor's number.
+/// Name of the environment variable that holds the number of the inherited descriptor.
 pub const LISTEN_FD_VARIABLE: &str = "GW_LISTEN_FD";
-/// The highest descriptor that is never a listener: standard error.
+/// Highest descriptor of a standard stream, standard error. Descriptors up to it are never
+/// listeners.
 const LAST_STANDARD_STREAM: RawFd = 2;
 
-/// Why an inherited descriptor cannot be used.
+/// Why an inherited descriptor cannot be used as the listener for clients.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritError {
-    /// It is not the number of a descriptor that may be handed over.
+    /// The variable's value is not a number, or not that of a descriptor above the standard
+    /// streams.
     #[error(
         "{LISTEN_FD_VARIABLE} {0:?} is not a descriptor's number above {LAST_STANDARD_STREAM}"
     )]
     InvalidNumber(String),
-    /// There is no open socket of that number.
+    /// The descriptor is not open or not a socket, or cannot be made non-blocking.
     #[error("descriptor {0} of {LISTEN_FD_VARIABLE} is no socket: {1}")]
     NotSocket(RawFd, io::Error),
-    /// The socket does not listen.
+    /// The descriptor is a socket that does not listen.
     #[error("descriptor {0} of {LISTEN_FD_VARIABLE} does not listen")]
     NotListening(RawFd),
-    /// It listens elsewhere.
+    /// The socket listens on an address other than the expected one, which is given.
     #[error("descriptor {0} of {LISTEN_FD_VARIABLE} does not listen on {1}")]
     OtherAddress(RawFd, SocketAddr),
 }
 
-/// Takes over the listening socket with the descriptor `number`, and makes it non-blocking.
+/// Takes ownership of the listening socket whose descriptor is `number`, and makes it non-blocking.
 ///
 /// # Errors
 ///
-/// Fails if it is not a socket that listens on `address`. The descriptor stays open then: it may
-/// belong to something else.
+/// Returns an [`InheritError`] if `number` is not that of a socket that listens on `address`. The
+/// descriptor stays open then, since it may belong to something else.
 pub fn inherit_listener(number: &str, address: SocketAddr) -> Result<TcpListener, InheritError> {
     let fd: RawFd = number
         .parse()
         .ok()
         .filter(|fd| *fd > LAST_STANDARD_STREAM)
         .ok_or_else(|| InheritError::InvalidNumber(number.to_owned()))?;
-    // SAFETY: Whoever started the process opened this descriptor for it, says so by the variable,
-    // and nothing else here uses or closes it. Whether it is open is checked next; on failure it is
-    // given up below without closing it.
+    // SAFETY: The parent process has opened this descriptor for this process, as the variable
+    // states, and nothing else in this process uses or closes it. Whether it is open is checked
+    // next; on failure the socket is forgotten below, which does not close the descriptor.
     #[allow(unsafe_code)]
     let socket = Socket::from(unsafe { OwnedFd::from_raw_fd(fd) });
     match prepare(&socket, fd, address) {
@@ -56,7 +58,11 @@
     }
 }
 
-/// Checks that a socket listens on `address`, and makes it non-blocking.
+/// Checks that a socket listens on `address`, and makes it non-blocking. `fd` is its descriptor.
+///
+/// # Errors
+///
+/// Returns the [`InheritError`] of the first check that fails.
 fn prepare(socket: &Socket, fd: RawFd, address: SocketAddr) -> Result<(), InheritError> {
     let not_socket = |error| InheritError::NotSocket(fd, error);
     if !socket.is_listener().map_err(not_socket)? {
--- a/crates/proxy/src/listener_inheritance_tests.rs
+++ b/crates/proxy/src/listener_inheritance_tests.rs
@@ -16,7 +16,8 @@
         inherit_listener(&kept, other_address),
         Err(InheritError::OtherAddress(..))
     ));
-    let client = std::net::TcpStream::connect(address).expect("a connection: it is open still");
+    let client =
+        std::net::TcpStream::connect(address).expect("a connection: the listener is still open");
     assert!(matches!(
         inherit_listener(&number(client.as_raw_fd()), address),
         Err(InheritError::NotListening(_))
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `balancer-proxy`: runs the proxy as the environment configures it.
+//! The `balancer-proxy` binary: runs the proxy with the configuration that the environment names.
 
 #![forbid(unsafe_code)]
 
@@ -9,7 +9,7 @@
     match balancer_proxy::run_from_environment() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // A closed standard error must not turn a failed start into a panic.
+            // Not `eprintln!`, which would panic if standard error is closed.
             let _ = writeln!(std::io::stderr(), "balancer-proxy: {error}");
             ExitCode::FAILURE
         }
--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -1,5 +1,5 @@
-//! The proxy process: reads the configuration, wires the parts together, runs until a signal and
-//! shuts down.
+//! The proxy process: reads the configuration, builds the parts and connects them, serves until a
+//! signal arrives and shuts down.
 
 use crate::admin::operator_control::OperatorControl;
 use crate::admin::server::{self, AdminServer};
@@ -33,26 +33,26 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{interval_at, sleep, Instant};
 
-/// Where lists are pushed, how long a new process waits for its first one before it serves by the
-/// list of its configuration.
+/// How long a new process waits for its first endpoint list where lists are pushed, before it
+/// serves by the list of its configuration.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(600);
-/// How often a new process checks whether it can serve.
+/// Interval at which a new process checks whether it can serve.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// For a connection to a backend, where the settings give no time.
+/// Limit on the time to connect to a backend, if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// After which backends close idle connections, where the settings give no time.
+/// Time after which backends close idle connections, if the settings give none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why the process could not start.
+/// Why the proxy process could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
-    /// The configuration cannot be used.
+    /// The configuration cannot be read or is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
     /// The asynchronous runtime cannot be built.
-    #[error("cannot start the runtime: {0}")]
+    #[error("cannot build the asynchronous runtime: {0}")]
     Runtime(io::Error),
-    /// The system refuses what the process needs.
+    /// A signal handler cannot be installed, or a listener cannot be opened or used.
     #[error("{0}")]
     Startup(#[from] StartupError),
     /// The balancer's settings contradict each other or are out of range.
@@ -60,12 +60,14 @@
     Settings(#[from] balancer::SettingsError),
 }
 
-/// Reads the configuration named by the environment and runs the proxy until SIGTERM or SIGINT.
+/// Reads the configuration that the environment names, and runs the proxy until SIGTERM or SIGINT.
+/// Returns after the graceful shutdown.
 ///
 /// # Errors
 ///
-/// Returns the first failure of the start: a configuration that cannot be used, an address that
-/// cannot be bound, a runtime that cannot be built.
+/// Returns the first failure of the start: a configuration that cannot be used, a runtime that
+/// cannot be built, a signal handler that cannot be installed, a listener that cannot be opened, or
+/// settings that the balancer rejects.
 pub fn run_from_environment() -> Result<(), NodeError> {
     let text = ConfigText::from_env(|path| {
         retry_at_start(format_args!("reading {path}"), || {
@@ -79,23 +81,28 @@
             .build()
     };
     let runtime =
-        retry_at_start("the runtime's start", build_runtime).map_err(NodeError::Runtime)?;
+        retry_at_start("building the runtime", build_runtime).map_err(NodeError::Runtime)?;
     LocalSet::new().block_on(&runtime, run(config))
 }
 
+/// Runs the proxy with a configuration, until it has shut down.
 async fn run(config: Config) -> Result<(), NodeError> {
     let signals = Signals::install()?;
     Node::build(config)?.run(signals).await
 }
 
-/// The parts of a proxy process that is about to serve.
+/// The parts of a proxy process, built and connected, before it serves.
 struct Node {
     log: EventLog,
+    /// Values of the settings that parts other than the balancer use.
     limits: RequestLimits,
+    /// Descriptors and memory that the process may use.
     resource_limits: ResourceLimits,
     /// Whether a peer process was running when the connection pools were sized.
     peer_process_running: bool,
     operator_state: OpenedOperatorState,
+    /// Whether the listener for clients is inherited, so that a peer process may accept connections
+    /// to it.
     inherits_listener: bool,
     listeners: Listeners,
     upstream_pool: Rc<ConnectionPool>,
@@ -107,8 +114,13 @@
 }
 
 impl Node {
-    /// Builds the parts, binds the listeners, and applies the operator state and the endpoint list
-    /// as last known.
+    /// Builds the parts, opens the listeners, applies the stored operator state and the configured
+    /// endpoint list, and starts watching discovery.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`NodeError::Settings`] if the balancer rejects the settings, and
+    /// [`NodeError::Startup`] if a listener cannot be opened.
     fn build(config: Config) -> Result<Self, NodeError> {
         let log = EventLog::new(&config.name);
         let operator_state = OpenedOperatorState::open(&config.name, config.listen.is_operated());
@@ -168,7 +180,8 @@
         })
     }
 
-    /// Starts the tasks that need no listener.
+    /// Starts the tasks that need no listener: configuration reload, closing of expired upstream
+    /// connections, and logging of statistics.
     fn spawn_background_tasks(&self, hangup: Signal) {
         spawn_local(config_reload::run(
             hangup,
@@ -177,9 +190,10 @@
         ));
         let pool = self.upstream_pool.clone();
         spawn_local(async move { pool.close_expired().await });
-        spawn_local(log_stats(self.dispatcher.clone()));
+        spawn_local(log_statistics_at_intervals(self.dispatcher.clone()));
     }
 
+    /// Logs the address of the listener for operators and starts the admin server on it.
     fn spawn_admin_server(&self, listener: TcpListener) -> Result<(), StartupError> {
         let address = local_address(&listener)?;
         self.log.log(format_args!("admin server at {address}"));
@@ -192,7 +206,11 @@
         Ok(())
     }
 
-    /// Serves until a signal, and shuts down.
+    /// Serves until a termination signal arrives, and shuts down gracefully.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`NodeError::Startup`] if the address of the listener for operators cannot be read.
     async fn run(mut self, signals: Signals) -> Result<(), NodeError> {
         let Signals {
             mut termination,
@@ -247,22 +265,23 @@
                 client_listener.has_requests_in_progress()
             })
             .await;
-        log_end(&self.log, &self.dispatcher);
+        log_shutdown_complete(&self.log, &self.dispatcher);
         Ok(())
     }
 }
 
-/// What parts other than the balancer need of its settings.
+/// The values that parts other than the balancer need from the balancer's settings.
 struct RequestLimits {
-    /// By class.
+    /// Idempotency of the requests of each class, in the order of the settings' classes.
     idempotency: Vec<Idempotency>,
     /// The longest deadline of any class.
     longest_deadline: Duration,
-    /// How long a backend takes to warm up.
+    /// Length of a backend's slow start.
     slow_start_duration: Duration,
 }
 
 impl RequestLimits {
+    /// Extracts the values from the settings.
     fn new(settings: &Settings) -> Self {
         let classes = &settings.classes;
         RequestLimits {
@@ -277,6 +296,8 @@
     }
 }
 
+/// Returns the limits of the upstream connection pool, with defaults for times that the settings do
+/// not give.
 fn pool_limits(settings: &Settings, pool_sizes: PoolSizes) -> PoolLimits {
     PoolLimits {
         max_connections: pool_sizes.upstream_connections,
@@ -285,6 +306,7 @@
     }
 }
 
+/// Returns `duration`, or `default` if it is zero.
 fn non_zero_or(duration: Duration, default: Duration) -> Duration {
     if duration.is_zero() {
         default
@@ -293,6 +315,7 @@
     }
 }
 
+/// Returns whether the settings have lists pushed or polled.
 fn discovery_mode(settings: &Settings) -> DiscoveryMode {
     if settings.polled_discovery {
         DiscoveryMode::Polled
@@ -301,7 +324,12 @@
     }
 }
 
-/// Builds the dispatcher and connects it with discovery, in both directions.
+/// Builds the dispatcher and the endpoint updates, and connects them with discovery in both
+/// directions: the dispatcher requests refreshes, and discovery's events become endpoint updates.
+///
+/// # Errors
+///
+/// Returns an error if the balancer rejects the settings.
 fn build_endpoint_updates(
     log: &EventLog,
     instance: InstanceSettings,
@@ -341,8 +369,8 @@
     Ok(endpoint_updates)
 }
 
-/// Logs the counters at regular intervals.
-async fn log_stats(dispatcher: Rc<Dispatcher>) {
+/// Logs the statistics every [`LOG_INTERVAL`]. Never returns.
+async fn log_statistics_at_intervals(dispatcher: Rc<Dispatcher>) {
     let mut interval = interval_at(Instant::now() + LOG_INTERVAL, LOG_INTERVAL);
     loop {
         interval.tick().await;
@@ -350,7 +378,7 @@
     }
 }
 
-/// What a new process waits for before it accepts connections.
+/// The parts that decide when a new process begins to accept connections.
 struct Readiness {
     endpoint_watcher: Rc<EndpointWatcher>,
     endpoint_updates: Rc<EndpointUpdates>,
@@ -359,8 +387,11 @@
 }
 
 impl Readiness {
-    /// Waits for a first endpoint list, for a moment; and for as long as a peer process can serve the
-    /// connections to an inherited listener, for a list that names an active endpoint.
+    /// Waits until the process should accept connections.
+    ///
+    /// Waits at most [`FIRST_LIST_TIMEOUT`] for a first endpoint list. If the listener is
+    /// inherited, it then waits for a list that names an active endpoint, for as long as a peer
+    /// process runs, which can serve the connections meanwhile.
     async fn wait(&self) {
         let deadline = Instant::now() + FIRST_LIST_TIMEOUT;
         while !self.endpoint_watcher.is_first_list_settled() && Instant::now() < deadline {
@@ -375,8 +406,9 @@
     }
 }
 
-/// Logs the end of the process, and requests that are left without a response.
-fn log_end(log: &EventLog, dispatcher: &Dispatcher) {
+/// Logs the end of the shutdown, and before that the number of requests left without a final
+/// response, if there are any.
+fn log_shutdown_complete(log: &EventLog, dispatcher: &Dispatcher) {
     let open_requests = dispatcher.open_requests();
     if send_invariants::may_exit(open_requests).is_err() {
         log.log(format_args!("violations_ProcessExit={open_requests}"));
--- a/crates/proxy/src/peer_process.rs
+++ b/crates/proxy/src/peer_process.rs
@@ -1,4 +1,4 @@
-//! Monitors the other process of the same node, which runs during an upgrade.
+//! Monitors the peer process: the other process of the same node, which runs during an upgrade.
 
 use crate::admin::operator_control::OperatorControl;
 use crate::downstream::listener::Listener;
@@ -9,30 +9,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a process checks whether a peer process runs and has changed the operator state.
+/// Interval at which a process checks whether a peer process runs and has changed the operator
+/// state.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Applies the operator state that a peer process has stored, and shares the machine's resources with
-/// it while it runs.
+/// Applies the operator state that a peer process has stored, and resizes the connection pools so
+/// that both processes share the node's resources while both run.
 pub struct PeerProcessMonitor {
-    /// Applies changes of the operator state.
+    /// Applies the changes of the operator state that a peer process has stored.
     pub control: Rc<OperatorControl>,
-    /// Detects the peer process.
+    /// Detects whether a peer process runs.
     pub operator_state: Rc<OperatorStateStore>,
-    /// What the processes share.
+    /// The resources that the processes of the node share.
     pub resource_limits: ResourceLimits,
-    /// Accepts connections from clients.
+    /// The listener whose number of client connections is resized.
     pub listener: Rc<Listener>,
-    /// Holds connections to backends.
+    /// The pool whose number of connections to backends is resized.
     pub upstream_pool: Rc<ConnectionPool>,
-    /// The process's log.
+    /// The log of the process.
     pub log: EventLog,
-    /// Whether a peer process was running when the connection pools were sized last.
+    /// Whether a peer process was running when the connection pools were last sized.
     pub peer_process_running: bool,
 }
 
 impl PeerProcessMonitor {
-    /// Monitors the peer process for as long as this one runs.
+    /// Checks for the peer process every [`POLL_INTERVAL`]. Never returns.
     pub async fn run(mut self) {
         let mut interval = tokio::time::interval(POLL_INTERVAL);
         loop {
@@ -46,6 +47,7 @@
         }
     }
 
+    /// Resizes the connection pools for the current number of processes, and logs the sizes.
     fn resize_pools(&self) {
         let sizes = self.resource_limits.pool_sizes(self.peer_process_running);
         self.listener.resize(sizes.client_connections);
--- a/crates/proxy/src/resource_limits.rs
+++ b/crates/proxy/src/resource_limits.rs
@@ -1,38 +1,40 @@
-//! How many connections the process's descriptors and memory allow.
+//! Computes how many connections the descriptors and the memory of the process allow.
 
 use rustix::process::{getrlimit, Resource};
 
-/// Descriptors for all that is neither client nor backend: standard streams, the listener, discovery
-/// and the runtime.
+/// Number of descriptors kept for everything other than connections to clients and backends:
+/// standard streams, the listener, discovery and the runtime.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Memory that one request uses at most: its body and response, and the buffers of both connections.
+/// Largest memory in bytes that one request uses: for its body, its response and the buffers of
+/// both connections.
 const MAX_REQUEST_BYTES: usize = 200 << 10;
 
-/// What the process may use. Half of it while a peer process of the same node runs.
+/// The resources that the process may use. It has half of the node's resources while a peer process
+/// of the same node runs.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
-    /// Descriptors of the node's processes together.
+    /// Number of descriptors for the node's processes together.
     node_descriptors: usize,
-    /// Descriptors that the system allows this process.
+    /// Number of descriptors that the system allows this process.
     process_descriptors: usize,
-    /// Descriptors that are needed for other purposes.
+    /// Number of descriptors that are not available for connections to clients and backends.
     reserved_descriptors: usize,
-    /// Memory of the node's processes together.
+    /// Memory in bytes for the node's processes together.
     node_memory_bytes: usize,
 }
 
-/// How many connections there may be at a time.
+/// Largest numbers of connections at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSizes {
-    /// From clients.
+    /// Connections from clients.
     pub client_connections: usize,
-    /// To all backends together.
+    /// Connections to all backends together.
     pub upstream_connections: usize,
 }
 
 impl ResourceLimits {
-    /// The limits of a node, and those that the system has set for this process.
-    /// `admin_descriptors` are for the admin server.
+    /// Creates the limits from those of the node and from the limit on descriptors that the system
+    /// has set for this process. `admin_descriptors` is the number that the admin server needs.
     pub fn new(
         node_descriptors: usize,
         node_memory_bytes: usize,
@@ -50,10 +52,11 @@
         }
     }
 
-    /// The sizes of the connection pools, with or without a peer process of the node.
+    /// Returns the sizes of the connection pools, with or without a peer process of the node.
     ///
-    /// Three quarters of the memory are for requests. Clients and backends share the descriptors;
-    /// that gives clients more than they need for requests, and the rest is for idle connections.
+    /// Three quarters of the memory are for requests. Clients get at most half of the descriptors,
+    /// and backends the others. That gives clients more connections than they need for requests;
+    /// the remaining ones are for idle connections.
     pub fn pool_sizes(&self, peer_process_running: bool) -> PoolSizes {
         let processes = if peer_process_running { 2 } else { 1 };
         let descriptors = (self.node_descriptors / processes)
--- a/crates/proxy/src/start_times_tests.rs
+++ b/crates/proxy/src/start_times_tests.rs
@@ -2,7 +2,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR: Duration = Duration::from_secs(3600);
-/// The wall clock that timestamps are taken from, when the process begins.
+/// What the wall clock that timestamps are taken from shows when the process begins.
 const LIST_TIMESTAMP: Duration = Duration::from_secs(1_700_000_000);
 
 fn at(seconds: u64) -> Time {
@@ -51,7 +51,8 @@
                 &[("a", later), ("b", later), ("new", later)],
             );
             assert_eq!(started, [Some(at(50)); 3]);
-            // The same list again is no start, whatever the clock does meanwhile.
+            // The same timestamp again, or none, means no start, even if the clock was stepped
+            // meanwhile.
             let started = apply_list(
                 &mut starts,
                 at(90),
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn first_list_gives_the_least_age_that_any_clock_allows() {
+fn first_list_gives_the_lowest_age_that_any_clock_allows() {
     let endpoints = [
         ("young", LIST_TIMESTAMP.checked_sub(SECOND).unwrap()),
         ("old", LIST_TIMESTAMP.checked_sub(10 * HOUR).unwrap()),
@@ -85,7 +86,7 @@
         );
         assert_eq!(started[2], None);
     }
-    // The clock of all went back an hour, and one backend has started since.
+    // The clock of every machine was set back by an hour, and one backend has started since then.
     let started = apply_list(
         &mut StartTimes::default(),
         at(9),
@@ -98,9 +99,9 @@
     assert_eq!(started, [Some(at(9)); 2]);
 }
 
-/// The likely start is by this machine's clock, as long as that can be right.
+/// The likely start is taken from this machine's clock, unless that is certainly wrong.
 #[test]
-fn likely_start_is_told_by_the_wall_clock() {
+fn likely_start_is_taken_from_the_wall_clock() {
     let start_at = |wall: Duration| {
         let mut starts = StartTimes::default();
         starts.observe_timestamps(at(0), [LIST_TIMESTAMP].into_iter());
@@ -169,7 +170,7 @@
 }
 
 #[test]
-fn backends_long_removed_are_forgotten() {
+fn starts_of_long_removed_backends_are_dropped() {
     let mut starts = StartTimes::default();
     for k in 0..1000 {
         let name = format!("s{k}");
--- a/crates/proxy/src/transient_errors.rs
+++ b/crates/proxy/src/transient_errors.rs
@@ -1,16 +1,18 @@
-//! Which failures of system calls pass by themselves, and how those at the start are retried.
+//! Classifies errors of system calls that are transient, and retries calls that fail with them
+//! while the process starts.
 
 use std::fmt::Display;
 use std::io::{self, ErrorKind, Write as _};
 use std::time::{Duration, Instant};
 
-/// How long calls at the start are retried.
+/// How long a call is retried while the process starts.
 pub const MAX_START_RETRY_DURATION: Duration = Duration::from_secs(5);
 /// Pause between two attempts of a call.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether a failed call may succeed a moment later, with nothing changed by anyone.
-pub fn may_pass(error: &io::Error) -> bool {
+/// Returns whether a failed call may succeed a moment later without any change to the configuration
+/// or the system. All errors count as transient except for those that a retry cannot resolve.
+pub fn is_transient(error: &io::Error) -> bool {
     !matches!(
         error.kind(),
         ErrorKind::NotFound
@@ -20,8 +22,8 @@
     )
 }
 
-/// Whether a call failed for want of something that this process or its machine has run out of:
-/// descriptors, memory, buffers or ports.
+/// Returns whether a call failed because this process or its machine has run out of a resource
+/// (descriptors, memory, buffers or ports), or because the call was interrupted.
 pub fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -37,9 +39,9 @@
     )
 }
 
-/// Whether `accept` reported the failure of a single connection, or was interrupted, so that the next
-/// connection can be accepted at once. Linux reports network errors that are pending on a new socket
-/// as errors of `accept`.
+/// Returns whether `accept` reported the failure of a single connection or was interrupted, so that
+/// the next connection can be accepted at once. Linux reports network errors that are pending on a
+/// new socket as errors of `accept`.
 pub fn is_single_connection_error(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -61,9 +63,11 @@
     )
 }
 
-/// Retries a call of the start until it succeeds, fails for good, or has failed for
-/// [`MAX_START_RETRY_DURATION`]. Logs the first failure. Blocks the thread: nothing else runs in the
-/// process yet.
+/// Repeats a call while the process starts, until the call succeeds, fails with an error that is
+/// not transient, or has failed for [`MAX_START_RETRY_DURATION`].
+///
+/// The first transient error is logged, with `operation` as the subject of the line. Blocks the
+/// thread, since nothing else runs in the process yet.
 ///
 /// # Errors
 ///
@@ -76,7 +80,7 @@
     let mut is_logged = false;
     loop {
         match call() {
-            Err(error) if may_pass(&error) && Instant::now() < deadline => {
+            Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 if !is_logged {
                     let _ = writeln!(
                         io::stderr(),
--- a/crates/proxy/src/transient_errors_tests.rs
+++ b/crates/proxy/src/transient_errors_tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn start_retries_only_errors_that_may_pass() {
+fn start_retries_only_transient_errors() {
     let mut remaining_calls = 3;
     let call = || {
         remaining_calls -= 1;
