--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters for the node's log, and the limit on log lines about single requests.
+//! Counters for the node's log, and the limits on log lines about single requests and exchanges.
 
 use crate::send_invariants::InvariantCounts;
 use balancer::{AttemptOutcome, ClassId, GiveUpReason};
@@ -9,20 +9,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Interval between two log lines of counters.
+/// Interval between two log lines with counters.
 pub const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Lines about single requests in one interval, for each reason to give up: a flood of one kind must
-/// not hide the others.
+/// Maximum number of log lines about single requests in one interval, for each reason to give up,
+/// so that a flood of one kind does not hide the others. Failed exchanges have the same limit.
 const MAX_LINES_PER_REASON: u32 = 10;
 
-/// Counters of one interval.
+/// Counts of events at the node in one interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
     /// Client connections accepted.
     pub connections_accepted: u64,
-    /// Responses with `Connection: close`.
+    /// Responses sent to clients with `Connection: close`.
     pub connection_close_sent: u64,
-    /// Requests accepted.
+    /// Requests accepted for forwarding.
     pub requests: u64,
     /// Requests answered with a backend's response.
     pub served: u64,
@@ -30,34 +30,38 @@
     pub rejected: u64,
     /// Requests answered as failed.
     pub failed: u64,
-    /// Requests whose client disconnected before its response.
+    /// Requests closed without a final response, because the client disconnected or its time was
+    /// over.
     pub client_disconnected: u64,
     /// Attempts started.
     pub attempts: u64,
-    /// Attempts answered with an error.
+    /// Attempts that the backend answered with an error.
     pub server_errors: u64,
-    /// Attempts rejected without being executed.
+    /// Attempts that the backend rejected without executing them.
     pub attempts_rejected: u64,
-    /// Attempts not answered in time.
+    /// Attempts that were not answered by their deadline.
     pub timed_out: u64,
-    /// Attempts without a connection.
+    /// Attempts that failed before the backend could execute them: no connection was established,
+    /// or it ended before the request was complete.
     pub connect_failed: u64,
-    /// Attempts whose connection broke.
+    /// Attempts whose connection broke after the request may have been written.
     pub connection_reset: u64,
-    /// Attempts cancelled, or not sent for the node's own reasons.
+    /// Attempts that the node did not send, and those whose streamed response was not wanted any
+    /// more or not read to the end by the client. Attempts that the balancer cancels are not
+    /// counted.
     pub not_sent: u64,
-    /// Responses streamed to their clients.
+    /// Responses whose streaming to the client began.
     pub streamed: u64,
     /// Streamed responses that ended early.
     pub stream_aborted: u64,
-    /// Connections to backends opened.
+    /// Connections to backends that were begun, including those that failed.
     pub backend_connects: u64,
     /// Requests given up without a log line of their own.
     pub unlogged: u64,
 }
 
 impl Counters {
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt by its outcome. Successes are not counted.
     pub fn count_attempt_end(&mut self, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Success => {}
@@ -70,15 +74,16 @@
         }
     }
 
+    /// Whether no request was accepted, no client connection accepted and no attempt started.
     fn is_idle(&self) -> bool {
         self.requests + self.connections_accepted + self.attempts == 0
     }
 }
 
-/// Counters of one class of requests.
+/// Counts of the requests of one class.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Requests accepted.
+    /// Requests accepted for forwarding.
     pub requests: u32,
     /// Requests answered with a backend's response.
     pub served: u32,
@@ -88,7 +93,7 @@
     pub given_up: BTreeMap<GiveUpReason, u32>,
 }
 
-/// The node's counters. Reading a group of them resets it.
+/// The node's counters. Each group of counters is reset when it is read.
 pub struct Metrics {
     counters: Cell<Counters>,
     classes: RefCell<FxHashMap<ClassId, ClassCounters>>,
@@ -96,12 +101,12 @@
     logged_by_reason: RefCell<FxHashMap<GiveUpReason, u32>>,
     rejected_messages: RefCell<FxHashMap<String, u32>>,
     logged_errors: Cell<u32>,
-    /// What invariants have prevented, and what was requested against them.
+    /// Counts of actions that invariants have prevented, and of violations.
     pub invariants: InvariantCounts,
 }
 
 impl Metrics {
-    /// Creates counters of zero.
+    /// Creates counters that are all zero, and begins their first interval.
     pub fn new() -> Self {
         Metrics {
             counters: Cell::default(),
@@ -114,27 +119,27 @@
         }
     }
 
-    /// Changes the counters.
+    /// Updates the counters of the current interval with `change`.
     pub fn count(&self, change: impl FnOnce(&mut Counters)) {
         let mut counters = self.counters.get();
         change(&mut counters);
         self.counters.set(counters);
     }
 
-    /// Changes the counters of a class.
+    /// Updates the counters of a class with `change`.
     pub fn count_class(&self, class: ClassId, change: impl FnOnce(&mut ClassCounters)) {
         change(self.classes.borrow_mut().entry(class).or_default());
     }
 
-    /// Reads and resets the classes' counters, in the order of the settings.
+    /// Returns and resets the counters of all classes with a count, in the order of the settings.
     pub fn take_classes(&self) -> Vec<(ClassId, ClassCounters)> {
         let mut counters: Vec<_> = self.classes.borrow_mut().drain().collect();
         counters.sort_unstable_by_key(|(class, _)| *class);
         counters
     }
 
-    /// Whether one more request given up for this reason may have a log line of its own; counts it as
-    /// unlogged if not.
+    /// Whether one more request that is given up for this reason may have a log line of its own.
+    /// Counts the request as logged or unlogged accordingly.
     pub fn may_log_request(&self, reason: GiveUpReason) -> bool {
         let mut logged_by_reason = self.logged_by_reason.borrow_mut();
         let logged = logged_by_reason.entry(reason).or_default();
@@ -146,14 +151,15 @@
         false
     }
 
-    /// Whether one more failed exchange may have a log line of its own.
+    /// Whether one more failed exchange may have a log line of its own. Counts the line, but not an
+    /// exchange that is left out.
     pub fn may_log_error(&self) -> bool {
         let logged = self.logged_errors.get();
         self.logged_errors.set(logged.saturating_add(1));
         logged < MAX_LINES_PER_REASON
     }
 
-    /// Counts a client's message or connection that was rejected.
+    /// Counts a client's message or connection that was rejected, by the text of the reason.
     pub fn count_rejected_message(&self, reason: impl Display) {
         *self
             .rejected_messages
@@ -162,15 +168,16 @@
             .or_default() += 1;
     }
 
-    /// Reads and resets the counts of rejected messages by reason, sorted.
+    /// Returns and resets the counts of rejected messages and connections, sorted by reason.
     pub fn take_rejected_messages(&self) -> Vec<(String, u32)> {
         let mut counts: Vec<_> = self.rejected_messages.borrow_mut().drain().collect();
         counts.sort_unstable();
         counts
     }
 
-    /// Reads the counters with the length of their interval, and starts a new one. Returns `None` if
-    /// nothing happened.
+    /// Returns the counters and the length of their interval, and begins a new interval. Returns
+    /// `None` if no request, client connection or attempt began in the interval; counts of other
+    /// events are then dropped.
     pub fn take(&self) -> Option<(Counters, Duration)> {
         self.logged_by_reason.borrow_mut().clear();
         self.logged_errors.set(0);
--- a/crates/proxy/src/metrics_tests.rs
+++ b/crates/proxy/src/metrics_tests.rs
@@ -10,13 +10,16 @@
     assert_eq!(logged, MAX_LINES_PER_REASON as usize);
     assert!(
         metrics.may_log_request(GiveUpReason::NoEligibleBackend),
-        "another reason has its own limit"
+        "each reason has its own limit"
     );
     assert_eq!(
         metrics.take().expect("counters").0.unlogged,
         u64::from(MAX_LINES_PER_REASON)
     );
-    assert!(metrics.take().is_none(), "nothing happened since");
+    assert!(
+        metrics.take().is_none(),
+        "nothing was counted since the last call"
+    );
     assert!(metrics.may_log_request(GiveUpReason::LoadShed));
 }
 
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,4 +1,5 @@
-//! Calls on TCP sockets that state exactly what the system knows, and retry what may be retried.
+//! TCP socket calls that ask the kernel instead of relying on cached readiness, and that are
+//! repeated when they were interrupted or the socket was not ready.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use rustix::io::Errno;
@@ -10,12 +11,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A TCP connection whose reads never stop before the system has nothing left.
+/// A TCP stream that waits for readiness only after the kernel has reported that no bytes are left.
 ///
-/// Tokio's own stream takes a read that fills only a part of its buffer for a sign that nothing is
+/// Tokio's own stream takes a read that fills only part of the buffer as a sign that no bytes are
 /// left, and waits for readiness. A read may be short for other reasons, and the remaining bytes
-/// would then be found only when more arrive. Here a socket counts as drained only once the system
-/// says so, and an interrupted call is repeated.
+/// would then be noticed only when more arrive. This type waits for readiness only once the kernel
+/// has returned `WouldBlock`, and repeats interrupted calls.
 pub struct Socket(pub TcpStream);
 
 impl AsyncRead for Socket {
@@ -46,7 +47,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(())) // Nothing is buffered.
+        Poll::Ready(Ok(())) // Writes are not buffered.
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
@@ -54,7 +55,8 @@
     }
 }
 
-/// Whether a call on a socket is to be repeated, at once or when the socket is ready.
+/// Whether a call on a socket has to be repeated: at once if it was interrupted, or once the socket
+/// is ready.
 pub fn is_retryable(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -64,7 +66,7 @@
 
 /// Whether a socket is open and has no unread bytes.
 ///
-/// Asks the system itself: the readiness that the runtime has cached may be out of date.
+/// Asks the kernel, since the readiness that the runtime has cached may be out of date.
 pub fn is_open_and_drained(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     loop {
@@ -75,9 +77,10 @@
     }
 }
 
-/// Whether the peer has closed a socket or reset it, even if unread bytes precede that.
+/// Whether the peer has closed its side of a connection or reset it, even if there are unread bytes
+/// before the end.
 ///
-/// Asks the system itself: the readiness that the runtime has cached may be out of date.
+/// Asks the kernel, since the readiness that the runtime has cached may be out of date.
 pub fn is_closed_by_peer(socket: &TcpStream) -> bool {
     let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut polled = [PollFd::new(socket, closed)];
