--- a/crates/proxy/src/requests/attempts.rs
+++ b/crates/proxy/src/requests/attempts.rs
@@ -1,10 +1,10 @@
-//! The life of one attempt: from its start, over the forwarding of its response, to its end.
+//! One attempt of a request: starts it, passes on its response, and records how it ended.
 
 use crate::http1::download::StreamOutcome;
 use crate::http1::upload::RequestBody;
-use crate::send_invariants::{BackendIdentity, Execution, PriorAttempt};
+use crate::send_invariants::{BackendKeyScopes, Execution, PriorAttempt};
 use crate::upstream::backend::Backend;
-use crate::upstream::exchange::{AttemptTerms, SendProgress, UpstreamClient};
+use crate::upstream::exchange::{AttemptConstraints, SendProgress, UpstreamClient};
 use crate::upstream::response::{Exchange, ExchangeError, ExchangeResponse, ResponseBody};
 use balancer::{AttemptOutcome, BackendId, LoadReport, RequestId};
 use hyper::{Request, Response};
@@ -15,23 +15,25 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
-/// Names one attempt.
+/// Identifies one attempt of a request in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptId {
-    /// Its request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Its position among the request's attempts.
+    /// Position among the request's attempts, counted from 0 in the order of their start.
     pub index: u32,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// Its outcome.
+    /// Result of the attempt, as reported to the balancer.
     pub outcome: AttemptOutcome,
-    /// Time since it started, or since the request's last byte.
+    /// Time from the attempt's start to its end, counted from the request's last byte if that came
+    /// later. For attempts stopped by [`Attempt::cancel`] or [`Attempt::revoke_unsent`] it always
+    /// counts from the start; for attempts that were never started it is zero.
     pub latency: Duration,
-    /// The backend's load report, if one came along.
+    /// Load report that the backend sent with its response, if any.
     pub load_report: Option<LoadReport>,
 }
 
@@ -45,52 +47,54 @@
     }
 }
 
-/// How far an attempt has come.
+/// Whether an attempt is still running.
 pub enum AttemptState {
-    /// Its task is running.
+    /// The attempt's task is running.
     InFlight {
-        /// Runs the attempt.
+        /// Handle to abort the task that runs the attempt.
         task: AbortHandle,
-        /// Shared with the task.
+        /// Whether the request has been written, shared with the task. Setting it to
+        /// [`SendProgress::Revoked`] prevents the write.
         progress: Rc<Cell<SendProgress>>,
     },
-    /// It has ended, and the event for the balancer is handled or queued.
+    /// The attempt has ended, and the event for the balancer has been handled or queued.
     Ended(AttemptEnd),
 }
 
 /// One attempt of a request.
 pub struct Attempt {
-    /// Where it goes.
+    /// Backend that the attempt is sent to.
     pub backend: BackendId,
-    /// The backend's key scopes at the start.
-    pub identity: BackendIdentity,
-    /// When the balancer asked for it.
+    /// Key scopes of the backend when the attempt started; the default value if it never started.
+    pub key_scopes: BackendKeyScopes,
+    /// When the balancer requested the attempt.
     pub started_at: Instant,
-    /// How far it has come.
+    /// Whether the attempt is still running, and otherwise how it ended.
     pub state: AttemptState,
 }
 
 impl Attempt {
-    /// An attempt that invariants or a closed request have kept from starting.
+    /// Returns an attempt that was never started, and its end. An invariant, a closed request or a
+    /// backend that is no longer listed prevents the start.
     pub fn not_sent(backend: BackendId, started_at: Instant) -> (Self, AttemptEnd) {
         let end = AttemptEnd::without_report(AttemptOutcome::NotSent, Duration::ZERO);
         let attempt = Attempt {
             backend,
-            identity: BackendIdentity::default(),
+            key_scopes: BackendKeyScopes::default(),
             started_at,
             state: AttemptState::Ended(end),
         };
         (attempt, end)
     }
 
-    /// Starts an attempt's task.
+    /// Spawns the task of an attempt on the current thread's local task set.
     pub fn spawn<O: AttemptObserver + 'static>(task: AttemptTask<O>, started_at: Instant) -> Self {
         let backend = task.backend.id();
-        let identity = task.backend.identity();
-        let progress = task.terms.progress.clone();
+        let key_scopes = task.backend.key_scopes();
+        let progress = task.constraints.progress.clone();
         Attempt {
             backend,
-            identity,
+            key_scopes,
             started_at,
             state: AttemptState::InFlight {
                 task: spawn_local(task.run()).abort_handle(),
@@ -99,12 +103,12 @@
         }
     }
 
-    /// Whether it has not ended.
+    /// Whether the attempt has not ended yet.
     pub fn is_in_flight(&self) -> bool {
         matches!(self.state, AttemptState::InFlight { .. })
     }
 
-    /// How it ended, if it has.
+    /// Returns how the attempt ended, or `None` while it is in flight.
     pub fn end(&self) -> Option<&AttemptEnd> {
         match &self.state {
             AttemptState::InFlight { .. } => None,
@@ -112,20 +116,21 @@
         }
     }
 
-    /// What the invariants have to know of it.
-    pub fn as_prior(&self) -> PriorAttempt {
+    /// Returns what the check of a later attempt needs to know about this one.
+    pub fn to_prior_attempt(&self) -> PriorAttempt {
         let execution = match self.end() {
             None => Execution::InFlight,
             Some(end) if end.outcome.never_executed() => Execution::Never,
             Some(_) => Execution::Possible,
         };
         PriorAttempt {
-            backend: self.identity,
+            backend: self.key_scopes,
             execution,
         }
     }
 
-    /// Stops an attempt in flight; its connection is closed. Returns `None` if it had ended already.
+    /// Stops an attempt in flight and closes its connection. Returns `None` if the attempt has
+    /// already ended.
     pub fn cancel(&mut self) -> Option<AttemptEnd> {
         let AttemptState::InFlight { task, .. } = &self.state else {
             return None;
@@ -137,7 +142,8 @@
         Some(end)
     }
 
-    /// Stops an attempt of which nothing has been written. Returns `None` for any other.
+    /// Stops an attempt in flight of which nothing has been written; its outcome is
+    /// [`AttemptOutcome::NotSent`]. Returns `None` for any other attempt.
     pub fn revoke_unsent(&mut self) -> Option<AttemptEnd> {
         let AttemptState::InFlight { task, progress } = &self.state else {
             return None;
@@ -145,7 +151,8 @@
         if progress.get() != SendProgress::NotWritten {
             return None;
         }
-        // The task ends when the runtime polls it next: nothing may be written until then.
+        // The task ends only when the runtime next polls it. The revoked state prevents a write in
+        // the meantime.
         progress.set(SendProgress::Revoked);
         task.abort();
         let latency = self.started_at.elapsed();
@@ -155,68 +162,70 @@
     }
 }
 
-/// The result of an attempt whose response has been read or forwarded.
+/// The result of an attempt whose task has run to its end.
 pub struct FinishedAttempt {
-    /// Its outcome.
+    /// Result of the attempt, including the end of a streamed response.
     pub outcome: AttemptOutcome,
-    /// The backend's load report, if one came along.
+    /// Load report that the backend sent with its response, if any.
     pub load_report: Option<LoadReport>,
-    /// The complete response, if it was not streamed.
+    /// Complete response for the client; `None` if the attempt failed or its response was streamed.
     pub response: Option<Response<ResponseBody>>,
-    /// What was wrong, where that is known.
+    /// Cause of the failure, where it is known.
     pub error: Option<ExchangeError>,
 }
 
-/// Receives what becomes of attempts.
+/// Receives the streamed responses and the results of attempts.
 pub trait AttemptObserver {
-    /// A response has begun that has to be streamed. Returns whether its client takes it.
+    /// Takes over a response whose body is still being received. Returns `false` if the response is
+    /// no longer wanted, because the request is closed or the attempt has ended.
     fn response_started(&self, attempt: AttemptId, response: Response<ResponseBody>) -> bool;
 
-    /// An attempt has ended.
+    /// Takes the result of an attempt that has ended.
     fn attempt_finished(&self, attempt: AttemptId, finished: FinishedAttempt);
 }
 
-/// What one attempt needs to run.
+/// Everything that one attempt needs to run.
 pub struct AttemptTask<O> {
-    /// Its id.
+    /// Id under which the attempt is reported to the observer.
     pub id: AttemptId,
-    /// Where it goes.
+    /// Backend that the attempt is sent to.
     pub backend: Rc<Backend>,
-    /// What it sends.
+    /// Request to send.
     pub request: Request<RequestBody>,
-    /// When it may be sent.
-    pub terms: AttemptTerms,
-    /// Sends it.
+    /// Limits on when the request may be sent.
+    pub constraints: AttemptConstraints,
+    /// Client that sends the request.
     pub client: Rc<UpstreamClient>,
-    /// Receives the result, if it still exists.
+    /// Receives the response and the result, unless it has been dropped by then.
     pub observer: Weak<O>,
 }
 
 impl<O: AttemptObserver> AttemptTask<O> {
-    /// Runs the attempt to its end, then releases its connection for reuse.
+    /// Runs the attempt to its end, reports the result to the observer, and then releases the
+    /// connection for reuse.
     ///
     /// # Cancellation
     ///
-    /// Dropping the future closes the connection, and the observer receives nothing.
+    /// Dropping the future closes the connection. The observer is not told.
     pub async fn run(self) {
         let AttemptTask {
             id,
             backend,
             request,
-            terms,
+            constraints,
             client,
             observer,
         } = self;
-        let mut exchange = client.send_attempt(&backend, request, terms).await;
+        let mut exchange = client.send_attempt(&backend, request, constraints).await;
         let response = match exchange.response.take() {
             Some(ExchangeResponse::Complete(response)) => Some(response),
             Some(ExchangeResponse::Streaming { response, body_end }) => {
-                let has_started = observer
+                let is_accepted = observer
                     .upgrade()
                     .is_some_and(|observer| observer.response_started(id, response));
-                let stream_end = await_stream_end(has_started, body_end).await;
+                let stream_end = await_stream_end(is_accepted, body_end).await;
                 let is_complete = matches!(stream_end, Some(StreamOutcome::Complete));
-                if has_started && !is_complete {
+                if is_accepted && !is_complete {
                     client.metrics().count(|c| c.stream_aborted += 1);
                 }
                 apply_stream_end(&mut exchange, stream_end);
@@ -240,19 +249,22 @@
     }
 }
 
-/// Waits for the end of a streamed response. Returns `None` if the client does not take all of it.
+/// Waits for the end of a streamed response. Returns `None` if the response was not accepted, or if
+/// the client disconnected before its end.
 async fn await_stream_end(
-    has_started: bool,
+    is_accepted: bool,
     body_end: oneshot::Receiver<StreamOutcome>,
 ) -> Option<StreamOutcome> {
-    if has_started {
+    if is_accepted {
         body_end.await.ok()
     } else {
         None
     }
 }
 
-/// Changes the exchange's result if its response was not streamed to the end.
+/// Updates the outcome of an exchange with the end of its streamed response: a broken response
+/// counts as [`AttemptOutcome::ConnectionReset`], one that the client did not read to the end as
+/// [`AttemptOutcome::Cancelled`]. In both cases the connection cannot be reused.
 fn apply_stream_end(exchange: &mut Exchange, stream_end: Option<StreamOutcome>) {
     match stream_end {
         Some(StreamOutcome::Complete) => return,
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -1,14 +1,14 @@
-//! Owner of the balancer: feeds events to it and carries out its actions.
+//! Owner of the balancer: passes events to it and executes the actions that it returns.
 //!
-//! Tasks report what happened; the dispatcher hands the events to the balancer one by one and turns
-//! the actions into I/O. It runs on one thread and never waits, so events need no queue beyond those
-//! that an action causes at once.
+//! Tasks report what happened; the dispatcher passes these events to the balancer one by one and
+//! turns the actions into I/O. It runs on one thread and never waits, so only those events have to
+//! be queued that executing an action causes at once.
 
 use super::attempts::{
     Attempt, AttemptEnd, AttemptId, AttemptObserver, AttemptTask, FinishedAttempt,
 };
 use super::class_policies::ClassPolicies;
-use super::load_probe::{run_load_probe, unsent_probe};
+use super::load_probe::{run_load_probe, unsent_probe_result};
 use super::pending_request::{PendingRequest, PendingRequestObserver};
 use super::registry::{has_disconnected, RequestRecord, RequestRegistry};
 use super::request::ForwardRequest;
@@ -21,7 +21,7 @@
 use crate::send_invariants::Invariant;
 use crate::upstream::backend::Backend;
 use crate::upstream::backend_registry::BackendRegistry;
-use crate::upstream::exchange::{AttemptTerms, UpstreamClient};
+use crate::upstream::exchange::{AttemptConstraints, UpstreamClient};
 use crate::upstream::response::ResponseBody;
 use balancer::{
     Action, BackendId, Balancer, Endpoint, Event, GiveUpReason, ListUpdate, RequestId, Settings,
@@ -40,23 +40,24 @@
 
 struct State {
     balancer: Balancer,
-    /// Events that an action has caused, for the balancer to handle next.
+    /// Events that executing an action has caused; the balancer handles them next.
     events: VecDeque<Event>,
     requests: RequestRegistry,
-    /// Attempts by backend since the last line of statistics.
+    /// Attempts by backend since the last statistics line in the log.
     attempt_counts: FxHashMap<BackendId, AttemptCounts>,
 }
 
 /// Owner of the balancer and of the requests in progress.
 pub struct Dispatcher {
-    /// Itself, for the tasks it starts.
-    this: Weak<Dispatcher>,
+    /// Reference to itself, for the tasks that it spawns.
+    weak_self: Weak<Dispatcher>,
     log: EventLog,
     clock: Clock,
     backends: Rc<BackendRegistry>,
     client: Rc<UpstreamClient>,
     metrics: Rc<Metrics>,
-    /// Asks discovery for the endpoint list. Called with the state borrowed.
+    /// Requests the endpoint list from discovery. Called while `state` is borrowed, so it must not
+    /// call back into the dispatcher.
     refresh_endpoint_list: Box<dyn Fn()>,
     classes: Rc<ClassPolicies>,
     responder: Responder,
@@ -64,11 +65,11 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher without backends and requests.
+    /// Creates a dispatcher that knows no backends or requests yet.
     ///
     /// # Errors
     ///
-    /// Returns the balancer's error if it cannot use the settings.
+    /// Returns the balancer's error if it rejects the settings.
     pub fn new(
         log: EventLog,
         settings: Settings,
@@ -91,8 +92,8 @@
             metrics: metrics.clone(),
             log: log.clone(),
         };
-        Ok(Rc::new_cyclic(|this| Dispatcher {
-            this: this.clone(),
+        Ok(Rc::new_cyclic(|weak_self| Dispatcher {
+            weak_self: weak_self.clone(),
             log,
             clock,
             backends,
@@ -110,28 +111,28 @@
         self.log.log(line);
     }
 
-    /// The names that the settings give to classes, tenants and so on.
+    /// Returns the names that the settings define, such as those of classes and tenants.
     pub fn names(&self) -> &settings::SettingNames {
         self.backends.names()
     }
 
-    /// The node's counters.
+    /// Returns the node's counters.
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
-    /// The clock that the balancer's decisions go by.
+    /// Returns the clock that gives the balancer its time.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The list of backends has changed, or a call for it has ended.
+    /// Passes changes of the endpoint list, or the failure to get them, to the balancer.
     pub fn endpoint_list_updated(&self, update: ListUpdate, endpoints: Vec<Endpoint>) {
         self.handle_event(Event::EndpointList { update, endpoints });
     }
 
-    /// Accepts a client's request. Returns `None` if one of the same id is in progress, as backends
-    /// would take a second one for its retry.
+    /// Accepts a client's request. Returns `None` if a request with the same id is in progress:
+    /// backends would mistake the second one for a retry of the first.
     pub fn submit(self: &Rc<Self>, request: ForwardRequest) -> Option<PendingRequest> {
         let (sender, response) = oneshot::channel();
         let mut state = self.state.borrow_mut();
@@ -146,17 +147,18 @@
         Some(PendingRequest::new(id, response, self.clone()))
     }
 
-    /// The last byte of an accepted request's body has been received.
+    /// Reports that the last byte of a streamed request's body has been received.
     pub fn request_body_received(&self, request: RequestId) {
         self.handle_event(Event::RequestBodyReceived { request });
     }
 
-    /// Number of requests whose final response is outstanding.
+    /// Returns the number of requests whose final response is outstanding.
     pub fn open_requests(&self) -> usize {
         self.state.borrow().requests.open_requests()
     }
 
-    /// Writes the counters since the last call, and the balancer's state, to the log.
+    /// Logs the messages rejected since the last call and, unless the node was idle, its counters
+    /// and the balancer's state.
     pub fn log_statistics(&self) {
         for (reason, count) in self.metrics.take_rejected_messages() {
             self.log(format_args!("rejected count={count} reason=\"{reason}\""));
@@ -181,7 +183,7 @@
         self.log(format_args!("{line}"));
     }
 
-    /// Stops the attempts of a closed request of which nothing has been written.
+    /// Stops those attempts of a closed request of which nothing has been written yet.
     fn revoke_unsent_attempts(&self, state: &mut State, request: RequestId) {
         for result in state.requests.revoke_unsent_attempts(request) {
             self.metrics.count(|c| c.count_attempt_end(result.outcome));
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Ends an attempt and counts it. Returns `None` if it has ended before.
+    /// Marks an attempt as ended and counts it. Returns `None` if it had already ended.
     fn end_attempt(
         &self,
         state: &mut State,
@@ -215,7 +217,7 @@
         self.state.borrow_mut().requests.remove_if_settled(request);
     }
 
-    /// Passes an event to the balancer and carries out the actions it returns.
+    /// Passes an event, and those that it leads to, to the balancer and executes the actions.
     fn handle_event(&self, event: Event) {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
@@ -300,7 +302,7 @@
         timeout: Option<Duration>,
     ) -> Attempt {
         let client = record.client.clone();
-        let terms = AttemptTerms {
+        let constraints = AttemptConstraints {
             deadline: timeout.map_or(record.deadline, |timeout| {
                 record.deadline.min(started_at + timeout)
             }),
@@ -312,21 +314,21 @@
             id,
             backend,
             request: record.request.clone(),
-            terms,
+            constraints,
             client: self.client.clone(),
-            observer: self.this.clone(),
+            observer: self.weak_self.clone(),
         };
         Attempt::spawn(task, started_at)
     }
 
-    /// Whether the invariants allow one more attempt of a request at a backend. The balancer keeps
-    /// them by itself, except where the list has changed since it decided.
+    /// Whether the invariants allow one more attempt of a request at a backend. The balancer's own
+    /// decisions respect them, unless the endpoint list has changed since the decision.
     fn is_allowed(&self, record: &RequestRecord, backend: &Backend) -> bool {
         if !backend.accepts_requests() {
             self.metrics.invariants.prevented(Invariant::Drain);
             return false;
         }
-        let allowed = self.classes.may_retry(record, backend.identity());
+        let allowed = self.classes.may_retry(record, backend.key_scopes());
         if let Err(invariant) = allowed {
             self.metrics.invariants.violated(invariant);
             debug_assert!(false, "{invariant:?}: {}", printable_id(&record.id));
@@ -334,7 +336,7 @@
         allowed.is_ok()
     }
 
-    /// Closes a request without a backend's response.
+    /// Closes a request without a response from a backend.
     fn give_up(
         &self,
         state: &mut State,
@@ -352,7 +354,7 @@
 
     fn set_timer(&self, at: Time, timer: TimerId) {
         let fires_at = self.clock.instant_at(at);
-        let dispatcher = self.this.clone();
+        let dispatcher = self.weak_self.clone();
         spawn_local(async move {
             tokio::time::sleep_until(fires_at).await;
             if let Some(dispatcher) = dispatcher.upgrade() {
@@ -363,11 +365,11 @@
 
     fn send_load_probe(&self, state: &mut State, backend_id: BackendId) {
         let Some(backend) = self.backends.get(backend_id) else {
-            let result = unsent_probe(backend_id);
+            let result = unsent_probe_result(backend_id);
             state.events.push_back(Event::LoadProbeEnded(result));
             return;
         };
-        let dispatcher = self.this.clone();
+        let dispatcher = self.weak_self.clone();
         let on_result = move |result| {
             if let Some(dispatcher) = dispatcher.upgrade() {
                 dispatcher.handle_event(Event::LoadProbeEnded(result));
@@ -432,7 +434,7 @@
         if let Some(response) = finished.response {
             self.responder.serve(record, response);
         }
-        // Without a client there is no point in a retry.
+        // A retry is pointless once the client has disconnected.
         if record.is_abandoned() {
             record.close();
             self.metrics.count(|c| c.client_disconnected += 1);
--- a/crates/proxy/src/requests/load_probe.rs
+++ b/crates/proxy/src/requests/load_probe.rs
@@ -1,4 +1,4 @@
-//! Asks a backend for its load on behalf of the balancer.
+//! Load probes: requests sent on behalf of the balancer to ask a backend for its load.
 
 use crate::upstream::backend::Backend;
 use crate::upstream::exchange::UpstreamClient;
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time in which a load probe is of use: the balancer picks among probed backends within a few
-/// milliseconds.
+/// Timeout of a load probe. A later answer is useless, since the balancer chooses among the probed
+/// backends within a few milliseconds.
 const LOAD_PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The result for a backend that is not listed any more.
-pub fn unsent_probe(backend: BackendId) -> LoadProbeResult {
+/// Returns the result of a load probe that was not sent because its backend is no longer listed.
+pub fn unsent_probe_result(backend: BackendId) -> LoadProbeResult {
     LoadProbeResult {
         backend,
         outcome: AttemptOutcome::NotSent,
@@ -21,8 +21,8 @@
     }
 }
 
-/// Sends a load probe, reports its result, and releases the connection for reuse. Its latency counts
-/// from `started_at`.
+/// Sends a load probe, passes its result to `on_result`, and then releases the connection for
+/// reuse. The reported latency counts from `started_at`.
 pub async fn run_load_probe(
     client: Rc<UpstreamClient>,
     backend: Rc<Backend>,
--- a/crates/proxy/src/requests/mod.rs
+++ b/crates/proxy/src/requests/mod.rs
@@ -1,8 +1,8 @@
-//! Requests in progress, and the dispatcher that feeds events to the balancer and carries out its
-//! actions.
+//! Requests in progress, and the dispatcher that passes events to the balancer and executes the
+//! actions that it returns.
 //!
-//! [`dispatcher`] owns the balancer, and [`registry`] the requests with their [`attempts`]. The log
-//! lines about them are written in [`request_log`] and [`statistics_log`].
+//! [`dispatcher`] owns the balancer and the [`registry`], which owns the requests with their
+//! [`attempts`]. [`request_log`] and [`statistics_log`] format the log lines about them.
 
 mod attempts;
 mod class_policies;
--- a/crates/proxy/src/requests/pending_request.rs
+++ b/crates/proxy/src/requests/pending_request.rs
@@ -1,4 +1,5 @@
-//! The client's end of a request in progress.
+//! The client's side of a request in progress: waits for the final response, and reports when the
+//! client stops waiting.
 
 use super::request::FinalResponse;
 use balancer::RequestId;
@@ -8,13 +9,15 @@
 
 /// Receives the end of pending requests.
 pub trait PendingRequestObserver {
-    /// The client waits for no response any more: it has its response or has disconnected, or its
-    /// time is over.
+    /// Called once per pending request, when its client no longer waits for a response: it has
+    /// received one, has disconnected, or its time is over.
     fn client_finished(&self, request: RequestId);
 }
 
-/// A request whose final response is outstanding. Dropping it reports that the client needs none any
-/// more: it has disconnected, or its time is over.
+/// A request whose final response is outstanding.
+///
+/// Dropping it reports to the observer that the client no longer waits. If there is no final
+/// response by then, the client has disconnected or its time is over.
 pub struct PendingRequest {
     id: RequestId,
     response: oneshot::Receiver<FinalResponse>,
@@ -22,7 +25,8 @@
 }
 
 impl PendingRequest {
-    /// The response is received from `response`; the end is reported to `observer`.
+    /// Creates a pending request that receives its final response from `response` and reports its
+    /// end to `observer`.
     pub fn new(
         id: RequestId,
         response: oneshot::Receiver<FinalResponse>,
@@ -35,16 +39,17 @@
         }
     }
 
-    /// Its id at this node.
+    /// Returns the id that this node has given to the request.
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// Waits for the final response. It is [`FinalResponse::Failed`] once `deadline` completes.
+    /// Waits for the final response, and returns [`FinalResponse::Failed`] if `deadline` completes
+    /// before there is one.
     ///
     /// # Cancellation
     ///
-    /// Dropping the future counts as the client's disconnecting.
+    /// Dropping the future counts as a disconnect of the client.
     pub async fn response(mut self, deadline: impl Future<Output = ()>) -> FinalResponse {
         tokio::select! {
             biased;
--- a/crates/proxy/src/requests/registry.rs
+++ b/crates/proxy/src/requests/registry.rs
@@ -1,4 +1,4 @@
-//! All requests that have no final response yet or an attempt in flight.
+//! Requests in progress: those without a final response and those with an attempt in flight.
 
 use super::attempts::{Attempt, AttemptEnd, AttemptId, AttemptState};
 use super::request::{FinalResponse, ForwardRequest};
@@ -14,45 +14,46 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Whether a client is waiting.
+/// Whether the client still waits for the final response.
 enum ClientState {
-    /// The client waits for the final response.
+    /// The client waits for the final response, which is sent on this channel.
     Waiting(oneshot::Sender<FinalResponse>),
-    /// The final response was given, or the client disconnected.
+    /// The final response was sent, or the client no longer waits for one.
     Closed,
 }
 
 /// A request in progress.
 pub struct RequestRecord {
-    /// The client's id for it.
+    /// Id that the client has given to the request; any bytes.
     pub id: Box<[u8]>,
-    /// Its class.
+    /// Class of the request, which determines its latency objective and where it may be retried.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant whose quota the request counts against.
     pub tenant: TenantId,
-    /// When its first byte was received.
+    /// When the first byte of the request was received.
     pub first_byte_at: Instant,
-    /// When it was accepted for forwarding.
+    /// When the request was accepted for forwarding.
     pub accepted_at: Instant,
-    /// When the final response is due.
+    /// When the final response is due. For a request whose body is still being received, only an
+    /// upper bound.
     pub deadline: Instant,
-    /// What is sent to backends.
+    /// Request as it is sent to backends.
     pub request: Request<RequestBody>,
-    /// The connection that it came on.
+    /// Socket of the client connection that the request was received on.
     pub client: Weak<TcpStream>,
-    /// Its attempts, in the order of their start.
+    /// Attempts of the request, in the order of their start.
     pub attempts: Vec<Attempt>,
     client_state: ClientState,
 }
 
 impl RequestRecord {
-    /// Whether the final response is outstanding.
+    /// Whether the final response is outstanding and the client, as far as reported, still waits.
     pub fn is_open(&self) -> bool {
         matches!(self.client_state, ClientState::Waiting(_))
     }
 
-    /// Closes the request, and returns where to send its final response. Returns `None` if it was
-    /// closed already.
+    /// Closes the request and returns the channel for its final response. Returns `None` if the
+    /// request was already closed.
     pub fn close(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         match std::mem::replace(&mut self.client_state, ClientState::Closed) {
             ClientState::Waiting(sender) => Some(sender),
@@ -60,19 +61,21 @@
         }
     }
 
-    /// Whether the client has disconnected without its response, as far as the system knows.
+    /// Whether the client has disconnected before its final response, by the present state of its
+    /// socket.
     pub fn is_abandoned(&self) -> bool {
         self.is_open() && has_disconnected(&self.client)
     }
 
-    /// Time since `start`, or since the request's last byte if that came later.
+    /// Returns the time since `start`, or since the last byte of a streamed request body if that
+    /// came later.
     pub fn elapsed_since(&self, start: Instant) -> Duration {
         let upload = self.request.body().upload();
         let last_byte_at = upload.and_then(|upload| upload.ended_at());
         last_byte_at.map_or(start, |at| start.max(at)).elapsed()
     }
 
-    /// Marks an attempt as ended. Returns `None` if it has ended before.
+    /// Marks an attempt as ended now. Returns `None` if it had already ended or does not exist.
     pub fn end_attempt(
         &mut self,
         index: u32,
@@ -92,7 +95,7 @@
         Some(end)
     }
 
-    /// The end of one of its attempts for the balancer.
+    /// Returns the result of one of the request's attempts in the form that the balancer expects.
     pub fn attempt_result(&self, attempt: AttemptId, end: AttemptEnd) -> AttemptResult {
         AttemptResult {
             request: attempt.request,
@@ -105,6 +108,7 @@
         }
     }
 
+    /// Whether the request is closed and none of its attempts is in flight.
     fn is_settled(&self) -> bool {
         !self.is_open() && !self.attempts.iter().any(Attempt::is_in_flight)
     }
@@ -114,14 +118,15 @@
 #[derive(Default)]
 pub struct RequestRegistry {
     records: FxHashMap<RequestId, RequestRecord>,
-    /// The clients' ids of all records. Clients choose them, hence the hasher with a secret.
+    /// Client-assigned ids of all records. Since clients choose them, the set uses the standard
+    /// library's secretly keyed hasher rather than `FxHash`, which allows deliberate collisions.
     client_ids: HashSet<Box<[u8]>>,
     next_id: u64,
 }
 
 impl RequestRegistry {
-    /// Reserves the client's id for a request. Returns `None` if a request of the same id is in
-    /// progress.
+    /// Reserves a client-assigned id and returns the node's own id for the request, which is never
+    /// reused. Returns `None` if a request with the same client-assigned id is in progress.
     pub fn reserve(&mut self, client_id: &[u8]) -> Option<RequestId> {
         if !self.client_ids.insert(client_id.into()) {
             return None;
@@ -131,7 +136,8 @@
         Some(id)
     }
 
-    /// Adds a request under a reserved id. Its final response is sent through `sender`.
+    /// Adds a request under the id that [`reserve`](Self::reserve) returned for it. Its final
+    /// response is sent through `sender`.
     pub fn insert(
         &mut self,
         id: RequestId,
@@ -153,17 +159,17 @@
         self.records.insert(id, record);
     }
 
-    /// The record of a request in progress.
+    /// Returns the record of a request, or `None` if the request is not in progress.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestRecord> {
         self.records.get_mut(&id)
     }
 
-    /// Number of requests in progress.
+    /// Returns the number of requests in progress, including closed ones with an attempt in flight.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Number of requests whose final response is outstanding.
+    /// Returns the number of requests whose final response is outstanding.
     pub fn open_requests(&self) -> usize {
         self.records
             .values()
@@ -171,14 +177,15 @@
             .count()
     }
 
-    /// Cancels an attempt. Returns its result, or `None` if it has ended already.
+    /// Cancels an attempt and returns its result, or `None` if it has already ended.
     pub fn cancel_attempt(&mut self, id: AttemptId) -> Option<AttemptResult> {
         let record = self.records.get_mut(&id.request)?;
         let end = record.attempts.get_mut(id.index as usize)?.cancel()?;
         Some(record.attempt_result(id, end))
     }
 
-    /// Stops the attempts of a request of which nothing has been written, and returns their results.
+    /// Stops those attempts of a request of which nothing has been written yet, and returns their
+    /// results.
     pub fn revoke_unsent_attempts(&mut self, request: RequestId) -> Vec<AttemptResult> {
         let Some(record) = self.records.get_mut(&request) else {
             return Vec::new();
@@ -192,7 +199,8 @@
         results
     }
 
-    /// Forgets a request that is closed and has no attempt in flight.
+    /// Removes a request if it is closed and has no attempt in flight. Its client-assigned id may
+    /// then be used again.
     pub fn remove_if_settled(&mut self, id: RequestId) {
         if !self.records.get(&id).is_some_and(RequestRecord::is_settled) {
             return;
@@ -203,7 +211,7 @@
     }
 }
 
-/// Whether a connection has been closed by the client or by the node.
+/// Whether a client connection has been closed, by the client or by the node.
 pub fn has_disconnected(client: &Weak<TcpStream>) -> bool {
     client
         .upgrade()
--- a/crates/proxy/src/requests/registry_tests.rs
+++ b/crates/proxy/src/requests/registry_tests.rs
@@ -33,7 +33,7 @@
 
     let record = registry.get_mut(id).expect("the request");
     assert!(record.close().is_some());
-    assert!(record.close().is_none(), "it has one final response");
+    assert!(record.close().is_none(), "only one final response is sent");
     assert_eq!((registry.len(), registry.open_requests()), (1, 0));
     registry.remove_if_settled(id);
     assert_eq!(registry.len(), 0);
--- a/crates/proxy/src/requests/request.rs
+++ b/crates/proxy/src/requests/request.rs
@@ -1,4 +1,4 @@
-//! What the client side hands over for forwarding, and what it gets back.
+//! A client's request as the downstream side submits it for forwarding, and its final response.
 
 use crate::http1::upload::RequestBody;
 use crate::upstream::response::ResponseBody;
@@ -9,30 +9,32 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// A client's request, checked and ready to be forwarded.
+/// A client's request, validated and ready to be forwarded.
 pub struct ForwardRequest {
-    /// Its class.
+    /// Class of the request, which determines its latency objective and where it may be retried.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant whose quota the request counts against.
     pub tenant: TenantId,
-    /// Expected work on a standard core, if the client stated it.
+    /// Expected work on a standard core; `None` if the client did not state it.
     pub work: Option<Duration>,
-    /// When the final response is due.
+    /// When the final response is due. For a streamed body, whose last byte has not been received
+    /// yet, only an upper bound.
     pub deadline: Instant,
-    /// The client's id for it.
+    /// Id that the client has given to the request; any bytes.
     pub id: Box<[u8]>,
-    /// When its first byte was received.
+    /// When the first byte of the request was received.
     pub first_byte_at: Instant,
-    /// Time left for it, from its last byte on.
+    /// Time until the final response is due, counted from the last byte of the request.
     pub remaining: Duration,
-    /// What is sent to backends.
+    /// Request as it is sent to backends.
     pub request: Request<RequestBody>,
-    /// The connection that it came on. A client that has closed it waits for no response.
+    /// Socket of the client connection that the request was received on. A client that has closed
+    /// it no longer waits for a response.
     pub client: Weak<TcpStream>,
 }
 
 impl ForwardRequest {
-    /// Its arrival for the balancer, which knows it by `id`.
+    /// Returns the arrival event's data for the balancer, which knows the request by `id`.
     pub(super) fn arrival(&self, id: RequestId) -> RequestArrival {
         RequestArrival {
             request: id,
@@ -45,13 +47,13 @@
     }
 }
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets one at most.
 pub enum FinalResponse {
-    /// A backend's response.
+    /// The response of a backend.
     Served(Response<ResponseBody>),
-    /// The request was not executed, or may be repeated harmlessly.
+    /// The request was not executed, or repeating it is harmless.
     Rejected {
-        /// When the client should come back.
+        /// How long the client should wait before it retries; `None` gives no advice.
         retry_after: Option<Duration>,
     },
     /// The request may have been executed.
--- a/crates/proxy/src/requests/request_log.rs
+++ b/crates/proxy/src/requests/request_log.rs
@@ -1,4 +1,4 @@
-//! Log lines about single requests.
+//! Log lines about single requests that were given up, and about exchanges that failed.
 
 use super::attempts::Attempt;
 use super::registry::RequestRecord;
@@ -9,18 +9,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bytes of a client's request id that are logged.
+/// Maximum number of bytes of a client-assigned request id that are logged.
 const MAX_LOGGED_ID_BYTES: usize = 64;
 
-/// A final response without a backend's.
+/// The final response to a request that is given up, without a response from a backend.
 #[derive(Clone, Copy, Debug)]
 pub enum GivenUpResponse {
-    /// See [`FinalResponse::Rejected`].
+    /// Sent as [`FinalResponse::Rejected`].
     Rejected {
-        /// When the client should come back.
+        /// How long the client should wait before it retries; `None` gives no advice.
         retry_after: Option<Duration>,
     },
-    /// See [`FinalResponse::Failed`].
+    /// Sent as [`FinalResponse::Failed`].
     Failed,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A line on a request that was given up, with all its attempts.
+/// Formats the log line about a request that was given up, with all its attempts.
 pub fn given_up_line(
     record: &RequestRecord,
     response: GivenUpResponse,
@@ -59,12 +59,14 @@
         milliseconds(record.deadline.saturating_duration_since(Instant::now())),
     );
     for attempt in &record.attempts {
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = write_attempt(&mut line, record, attempt);
     }
     line
 }
 
+/// Appends an attempt: its backend and start and, once it has ended, its outcome, latency and load.
+/// Times are in milliseconds; the start counts from the first byte of the request.
 fn write_attempt(line: &mut String, record: &RequestRecord, attempt: &Attempt) -> fmt::Result {
     let start = milliseconds(attempt.started_at - record.first_byte_at);
     write!(line, " attempt={}@{start:.2}", attempt.backend)?;
@@ -82,7 +84,7 @@
     Ok(())
 }
 
-/// A line on an attempt whose connection or response failed.
+/// Formats the log line about an attempt whose connection or response failed.
 pub fn exchange_failed_line(
     record: &RequestRecord,
     index: u32,
@@ -98,7 +100,8 @@
     )
 }
 
-/// A client's request id, shortened and escaped: it may hold any bytes.
+/// Formats a client-assigned request id for the log, truncated to [`MAX_LOGGED_ID_BYTES`] and
+/// escaped, since it may hold any bytes.
 pub fn printable_id(id: &[u8]) -> impl fmt::Display + '_ {
     id[..id.len().min(MAX_LOGGED_ID_BYTES)].escape_ascii()
 }
--- a/crates/proxy/src/requests/responder.rs
+++ b/crates/proxy/src/requests/responder.rs
@@ -1,4 +1,4 @@
-//! Sends final responses, with the counts and log lines that belong to them.
+//! Sends final responses, and updates the counters and the log accordingly.
 
 use super::class_policies::ClassPolicies;
 use super::registry::RequestRecord;
@@ -11,21 +11,23 @@
 use hyper::Response;
 use std::rc::Rc;
 
-/// Sends final responses.
+/// Closes requests with their final responses, which it also counts and logs.
 pub struct Responder {
-    /// Decides which responses count as late.
+    /// Class policies, which decide whether a response counts as late.
     pub classes: Rc<ClassPolicies>,
-    /// Counts the responses.
+    /// Counters of responses.
     pub metrics: Rc<Metrics>,
-    /// Receives a line on each request that is given up, within the limits of [`Metrics`].
+    /// Log that receives a line for each request that is given up, as far as
+    /// [`Metrics::may_log_request`] allows.
     pub log: EventLog,
 }
 
 impl Responder {
-    /// Closes a request with a backend's response. Where it is closed already this is the response to
-    /// a hedged attempt, and is dropped.
+    /// Closes a request with a backend's response. If the request is already closed, the response
+    /// is dropped: another attempt of a hedged request was answered first, or the request needs no
+    /// response any more.
     pub fn serve(&self, record: &mut RequestRecord, response: Response<ResponseBody>) {
-        let Some(client) = record.close() else {
+        let Some(sender) = record.close() else {
             return;
         };
         let is_late = self.classes.is_late(record);
@@ -35,18 +37,18 @@
             c.late += u32::from(is_late);
         });
         // Fails if the client has disconnected in the meantime.
-        let _ = client.send(FinalResponse::Served(response));
+        let _ = sender.send(FinalResponse::Served(response));
     }
 
-    /// Closes a request as rejected or failed. Returns `false` if it is closed already, as after the
-    /// client has disconnected.
+    /// Closes a request as rejected or failed. Returns `false` if the request is already closed,
+    /// for example because the client has disconnected.
     pub fn give_up(
         &self,
         record: &mut RequestRecord,
         response: GivenUpResponse,
         reason: GiveUpReason,
     ) -> bool {
-        let Some(client) = record.close() else {
+        let Some(sender) = record.close() else {
             return false;
         };
         self.metrics.count_class(record.class, |c| {
@@ -57,7 +59,7 @@
             GivenUpResponse::Failed => c.failed += 1,
         });
         // Fails if the client has disconnected in the meantime.
-        let _ = client.send(response.into());
+        let _ = sender.send(response.into());
         if self.metrics.may_log_request(reason) {
             let line = given_up_line(record, response, reason);
             self.log.log(format_args!("{line}"));
--- a/crates/proxy/src/requests/statistics_log.rs
+++ b/crates/proxy/src/requests/statistics_log.rs
@@ -1,4 +1,4 @@
-//! The periodic log line of counters and of the balancer's state.
+//! The periodic log line with the node's counters and the balancer's state.
 
 use crate::metrics::{ClassCounters, Counters};
 use crate::send_invariants::InvariantCounts;
@@ -9,22 +9,23 @@
 use std::fmt::{self, Write as _};
 use std::time::Duration;
 
-/// Backends with figures of their own in a line; the busiest ones have them.
+/// Maximum number of backends listed in one line; those with the most attempts are chosen.
 const MAX_LOGGED_BACKENDS: usize = 64;
 
-/// Attempts at one backend in an interval.
+/// Numbers of attempts at one backend in an interval.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptCounts {
-    /// Attempts started.
+    /// Attempts started in the interval.
     pub started: u32,
-    /// Attempts that it rejected.
+    /// Attempts that the backend rejected without executing them.
     pub rejected: u32,
-    /// Attempts that ended with an error or on a broken connection.
+    /// Attempts that the backend answered with an error, or whose connection broke.
     pub failed: u32,
 }
 
 impl AttemptCounts {
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt. Outcomes other than rejections, errors and broken connections
+    /// are not counted.
     pub fn count_end(&mut self, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Rejected => self.rejected += 1,
@@ -38,33 +39,34 @@
     }
 }
 
-/// The contents of one line.
+/// The contents of one statistics line.
 pub struct Statistics<'a> {
-    /// The names of classes and tenants.
+    /// Names of classes and tenants.
     pub names: &'a SettingNames,
-    /// Length of the interval.
+    /// Time since the counters were last read.
     pub interval: Duration,
-    /// The interval's counters.
+    /// Counters of the interval.
     pub counters: Counters,
-    /// The interval's counters by class.
+    /// Counters by class since they were last read, in the order of the settings. Classes without a
+    /// count are left out.
     pub classes: Vec<(ClassId, ClassCounters)>,
-    /// The interval's attempts by backend.
+    /// Attempts by backend since they were last read. Backends without a count are left out.
     pub attempts: FxHashMap<BackendId, AttemptCounts>,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub requests_in_flight: usize,
-    /// Connections to backends, open or being opened.
+    /// Number of connections to backends, open or being opened.
     pub backend_connections: usize,
-    /// Backends in maintenance.
+    /// Number of backends in maintenance, listed or not.
     pub in_maintenance: usize,
-    /// The balancer's state.
+    /// State of the balancer at the end of the interval.
     pub balancer: BalancerSnapshot,
 }
 
 impl Statistics<'_> {
-    /// The line; resets the counts of the invariants.
+    /// Formats the line. Resets `invariants`, whose counts end it.
     pub fn to_line(&self, invariants: &InvariantCounts) -> String {
         let mut line = String::from("stats");
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = self.write_line(&mut line, invariants);
         line
     }
@@ -162,6 +164,9 @@
         Ok(())
     }
 
+    /// Writes the backends that had attempts in the interval, have attempts in flight or have a
+    /// share of the draws: up to [`MAX_LOGGED_BACKENDS`], sorted by attempts started, most first.
+    /// All other active backends are counted as omitted.
     fn write_backends(&self, line: &mut String) -> fmt::Result {
         let mut busy: Vec<_> = self
             .balancer
--- a/crates/proxy/src/send_invariants.rs
+++ b/crates/proxy/src/send_invariants.rs
@@ -1,10 +1,10 @@
-//! Invariants of the protocol that no decision may break: when an attempt may be sent, a client's
-//! connection closed, the process ended.
+//! Protocol invariants that no decision may break: when an attempt may be sent, when a client
+//! connection may be closed, and when the process may exit.
 //!
-//! Every path asks immediately before the act, with the state of that moment; nothing here decides
-//! what is sensible. What an invariant has prevented is counted, and so are violations: acts that the
-//! balancer asked for although no invariant allows them. Builds with debug assertions panic on a
-//! violation.
+//! Each code path runs the check immediately before the action, with the state at that moment. The
+//! checks don't decide whether an action is useful, only whether it is allowed. Actions that an
+//! invariant has prevented are counted, and so are violations: actions that the balancer requested
+//! although an invariant forbids them. Builds with debug assertions panic on a violation.
 
 use balancer::{CellId, Idempotency, KeyScope, ZoneId};
 use std::cell::RefCell;
@@ -13,125 +13,130 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Greatest age of the remaining time that an attempt's `X-Timeout` header states, at its first byte.
-/// The protocol allows 150 ms, transmission included.
+/// Maximum age of the remaining time stated in an attempt's `X-Timeout` header when the first byte
+/// of the attempt is written. The protocol allows 150 ms including transmission.
 const MAX_STATED_TIMEOUT_AGE: Duration = Duration::from_millis(100);
 
-/// An invariant that can prevent an act.
+/// An invariant, named after what it protects. Each variant says when it prevents an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// The backend is draining, removed or in maintenance, or its process has been replaced since the
-    /// connection was opened.
+    /// Prevents an attempt if the backend is draining, removed or in maintenance, or if its process
+    /// has been replaced since the connection was opened.
     Drain,
-    /// The client has its response, or has disconnected.
+    /// Prevents an attempt if the client has its response or has disconnected.
     RequestClosed,
-    /// The deadline has passed, or the stated remaining time is out of date.
+    /// Prevents an attempt if its deadline has passed or the stated remaining time is out of date.
     Deadline,
-    /// An earlier attempt may have executed, and the class allows no retry at this backend.
+    /// Prevents an attempt if an earlier one may have been executed and the class does not allow a
+    /// retry at this backend.
     Idempotency,
-    /// The time is over in which backends recognize the idempotency key.
+    /// Prevents a retry after the time for which backends remember the idempotency key.
     IdempotencyWindow,
-    /// Another attempt is in flight, and hedging is not allowed.
+    /// Prevents an attempt if another one is in flight and hedging is not allowed.
     Hedging,
-    /// The connection has unread bytes or a request in progress.
+    /// Prevents closing a client connection that has unread bytes or a request in progress.
     ConnectionClose,
-    /// Requests are still open.
+    /// Prevents the exit of the process while requests are open.
     ProcessExit,
 }
 
-/// The key scopes that a backend belongs to.
+/// The key scopes that a backend belongs to, besides the scope of all backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BackendIdentity {
-    /// Its zone.
+pub struct BackendKeyScopes {
+    /// Zone of the backend.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Cell of the backend.
     pub cell: CellId,
 }
 
-/// Whether an attempt has executed at its backend, as far as the node knows.
+/// Whether a backend has executed an attempt, as far as the node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// The attempt has not ended; it may execute at any time.
+    /// The attempt has not ended; it may be executed at any time.
     InFlight,
-    /// The attempt has ended, and may have executed or may still do so.
+    /// The attempt has ended; it may have been executed or may still be.
     Possible,
-    /// The attempt has ended, and it is certain that it never executes.
+    /// The attempt has ended; it is certain that it was not and will not be executed.
     Never,
 }
 
 /// An earlier attempt of the same request.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
-    /// The backend it went to.
-    pub backend: BackendIdentity,
-    /// Whether it has executed there.
+    /// Key scopes of the backend that the attempt was sent to.
+    pub backend: BackendKeyScopes,
+    /// Whether the backend has executed the attempt.
     pub execution: Execution,
 }
 
 impl PriorAttempt {
-    /// Whether it may have executed, or may yet.
+    /// Whether the attempt may have been executed or may still be.
     pub fn may_have_executed(self) -> bool {
         self.execution != Execution::Never
     }
 }
 
-/// What is known of an attempt immediately before its first byte is written.
+/// The conditions for sending an attempt, as they are immediately before its first byte is written.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptFacts {
-    /// The backend accepts requests, and its process is the one that was connected to.
+pub struct SendConditions {
+    /// Whether the backend accepts requests, and its process is the one that was connected to.
     pub backend_accepts: bool,
-    /// The client is still waiting for a response.
+    /// Whether the client still waits for a response.
     pub client_waiting: bool,
-    /// The attempt's deadline; `None` while the request's body is incomplete, as its time starts with
-    /// the last byte.
+    /// Deadline of the attempt; `None` if the request's body is streamed, since the attempt's time
+    /// then starts with the last byte of the body.
     pub deadline: Option<Instant>,
-    /// When the remaining time stated to the backend was computed; `None` before that.
+    /// When the remaining time stated to the backend was computed; `None` before that, and whenever
+    /// there is no deadline.
     pub timeout_computed_at: Option<Instant>,
-    /// End of the idempotency window, for a retry of an attempt that may have executed.
+    /// End of the key window, for a retry after an attempt that may have been executed; `None` if
+    /// no window limits the attempt.
     pub retry_until: Option<Instant>,
 }
 
-/// Checks whether an attempt may be sent at this moment, as to what may have changed while it waited
-/// for a connection.
+/// Checks whether an attempt may be sent at the time `now`. Covers the conditions that may have
+/// changed while the attempt waited for a connection.
 ///
 /// # Errors
 ///
 /// Returns the first invariant that forbids it.
-pub fn may_send(now: Instant, facts: &AttemptFacts) -> Result<(), Invariant> {
-    if !facts.backend_accepts {
+pub fn may_send(now: Instant, conditions: &SendConditions) -> Result<(), Invariant> {
+    if !conditions.backend_accepts {
         return Err(Invariant::Drain);
     }
-    if !facts.client_waiting {
+    if !conditions.client_waiting {
         return Err(Invariant::RequestClosed);
     }
-    let is_outdated = facts
+    let is_outdated = conditions
         .timeout_computed_at
-        .is_some_and(|computed| now > computed + MAX_STATED_TIMEOUT_AGE);
-    if is_outdated || facts.deadline.is_some_and(|deadline| now >= deadline) {
+        .is_some_and(|computed_at| now > computed_at + MAX_STATED_TIMEOUT_AGE);
+    if is_outdated || conditions.deadline.is_some_and(|deadline| now >= deadline) {
         return Err(Invariant::Deadline);
     }
-    if facts.retry_until.is_some_and(|until| now >= until) {
+    if conditions.retry_until.is_some_and(|until| now >= until) {
         return Err(Invariant::IdempotencyWindow);
     }
     Ok(())
 }
 
-/// Checks whether a class allows one more attempt at a backend, after those that were.
+/// Checks whether a request may have one more attempt at a backend, given its earlier attempts.
 ///
 /// # Errors
 ///
-/// Returns [`Invariant::Hedging`] or [`Invariant::Idempotency`] if it does not.
+/// Returns [`Invariant::Hedging`] if an attempt is in flight and hedging is not allowed, and
+/// [`Invariant::Idempotency`] if an attempt may have been executed and the class does not allow
+/// a retry at this backend.
 pub fn may_retry(
     idempotency: Idempotency,
     hedging_allowed: bool,
-    backend: BackendIdentity,
+    backend: BackendKeyScopes,
     prior_attempts: &[PriorAttempt],
 ) -> Result<(), Invariant> {
     let is_in_flight = |attempt: &PriorAttempt| attempt.execution == Execution::InFlight;
     if !hedging_allowed && prior_attempts.iter().any(is_in_flight) {
         return Err(Invariant::Hedging);
     }
-    let Some(executed) = prior_attempts
+    let Some(maybe_executed) = prior_attempts
         .iter()
         .find(|attempt| attempt.may_have_executed())
     else {
@@ -147,16 +152,16 @@
         Idempotency::Keyed {
             scope: KeyScope::Zone,
             ..
-        } => executed.backend.zone == backend.zone,
+        } => maybe_executed.backend.zone == backend.zone,
         Idempotency::Keyed {
             scope: KeyScope::Cell,
             ..
-        } => executed.backend.cell == backend.cell,
+        } => maybe_executed.backend.cell == backend.cell,
     };
     is_allowed.then_some(()).ok_or(Invariant::Idempotency)
 }
 
-/// Checks whether the node may close a client's connection of its own accord.
+/// Checks whether the node may close a client connection on its own initiative.
 ///
 /// # Errors
 ///
@@ -181,7 +186,7 @@
     }
 }
 
-/// Counts by invariant, for the log.
+/// Counts of prevented actions and of violations by invariant, for the log.
 #[derive(Default)]
 pub struct InvariantCounts {
     prevented: RefCell<BTreeMap<Invariant, u32>>,
@@ -189,21 +194,21 @@
 }
 
 impl InvariantCounts {
-    /// Counts an act that an invariant has prevented.
+    /// Counts an action that an invariant has prevented.
     pub fn prevented(&self, invariant: Invariant) {
         *self.prevented.borrow_mut().entry(invariant).or_default() += 1;
     }
 
-    /// Counts an act that was requested, or done, against an invariant.
+    /// Counts an action that was requested, or taken, although an invariant forbids it.
     pub fn violated(&self, invariant: Invariant) {
         *self.violations.borrow_mut().entry(invariant).or_default() += 1;
     }
 
-    /// Appends the counts to a log line and resets them; counts of zero are left out.
+    /// Appends the counts to a log line and resets them. Counts of zero are left out.
     ///
     /// # Errors
     ///
-    /// Never fails: writing to a `String` does not.
+    /// Returns no error in practice, since writing to a `String` cannot fail.
     pub fn write_to(&self, line: &mut String) -> fmt::Result {
         for (key, counts) in [
             ("prevented", &self.prevented),
--- a/crates/proxy/src/send_invariants_tests.rs
+++ b/crates/proxy/src/send_invariants_tests.rs
@@ -1,27 +1,27 @@
 use super::*;
 
-const HERE: BackendIdentity = BackendIdentity {
+const PRIOR_BACKEND: BackendKeyScopes = BackendKeyScopes {
     zone: ZoneId(0),
     cell: CellId(1),
 };
-const SAME_ZONE: BackendIdentity = BackendIdentity {
+const OTHER_CELL: BackendKeyScopes = BackendKeyScopes {
     zone: ZoneId(0),
     cell: CellId(2),
 };
-const ELSEWHERE: BackendIdentity = BackendIdentity {
+const OTHER_ZONE: BackendKeyScopes = BackendKeyScopes {
     zone: ZoneId(1),
     cell: CellId(3),
 };
-const EXECUTED: PriorAttempt = PriorAttempt {
-    backend: HERE,
+const MAYBE_EXECUTED: PriorAttempt = PriorAttempt {
+    backend: PRIOR_BACKEND,
     execution: Execution::Possible,
 };
 const IN_FLIGHT: PriorAttempt = PriorAttempt {
-    backend: HERE,
+    backend: PRIOR_BACKEND,
     execution: Execution::InFlight,
 };
 const NEVER_EXECUTED: PriorAttempt = PriorAttempt {
-    backend: HERE,
+    backend: PRIOR_BACKEND,
     execution: Execution::Never,
 };
 
@@ -33,23 +33,23 @@
 }
 
 #[test]
-fn each_fact_that_changes_while_connecting_prevents_the_attempt() {
+fn each_condition_that_changes_while_connecting_prevents_the_attempt() {
     let now = Instant::now();
     let later = now + Duration::from_millis(1);
-    let fine = AttemptFacts {
+    let sendable = SendConditions {
         backend_accepts: true,
         client_waiting: true,
         deadline: Some(later),
         timeout_computed_at: Some(now),
         retry_until: Some(later),
     };
-    assert_eq!(may_send(now, &fine), Ok(()));
+    assert_eq!(may_send(now, &sendable), Ok(()));
     assert_eq!(
         may_send(
             now,
-            &AttemptFacts {
+            &SendConditions {
                 backend_accepts: false,
-                ..fine
+                ..sendable
             }
         ),
         Err(Invariant::Drain)
@@ -57,9 +57,9 @@
     assert_eq!(
         may_send(
             now,
-            &AttemptFacts {
+            &SendConditions {
                 client_waiting: false,
-                ..fine
+                ..sendable
             }
         ),
         Err(Invariant::RequestClosed)
@@ -67,9 +67,9 @@
     assert_eq!(
         may_send(
             now,
-            &AttemptFacts {
+            &SendConditions {
                 deadline: Some(now),
-                ..fine
+                ..sendable
             }
         ),
         Err(Invariant::Deadline)
@@ -77,26 +77,29 @@
     assert_eq!(
         may_send(
             now,
-            &AttemptFacts {
+            &SendConditions {
                 retry_until: Some(now),
-                ..fine
+                ..sendable
             }
         ),
         Err(Invariant::IdempotencyWindow)
     );
     let outdated = now + MAX_STATED_TIMEOUT_AGE + Duration::from_millis(1);
-    let long = AttemptFacts {
+    let without_deadline = SendConditions {
         deadline: None,
         retry_until: None,
-        ..fine
+        ..sendable
     };
-    assert_eq!(may_send(outdated, &long), Err(Invariant::Deadline));
+    assert_eq!(
+        may_send(outdated, &without_deadline),
+        Err(Invariant::Deadline)
+    );
     assert_eq!(
         may_send(
             outdated,
-            &AttemptFacts {
+            &SendConditions {
                 timeout_computed_at: None,
-                ..long
+                ..without_deadline
             }
         ),
         Ok(())
@@ -112,45 +115,51 @@
         keyed(KeyScope::Cell),
         Idempotency::NonIdempotent,
     ] {
-        assert_eq!(may_retry(idempotency, false, ELSEWHERE, &[]), Ok(()));
+        assert_eq!(may_retry(idempotency, false, OTHER_ZONE, &[]), Ok(()));
         assert_eq!(
             may_retry(
                 idempotency,
                 false,
-                ELSEWHERE,
+                OTHER_ZONE,
                 &[NEVER_EXECUTED, NEVER_EXECUTED]
             ),
             Ok(())
         );
         assert_eq!(
-            may_retry(idempotency, false, HERE, &[IN_FLIGHT]),
+            may_retry(idempotency, false, PRIOR_BACKEND, &[IN_FLIGHT]),
             Err(Invariant::Hedging)
         );
     }
-    let retry_at = |idempotency, to| may_retry(idempotency, true, to, &[NEVER_EXECUTED, EXECUTED]);
-    assert_eq!(retry_at(Idempotency::Idempotent, ELSEWHERE), Ok(()));
+    let retry_at =
+        |idempotency, to| may_retry(idempotency, true, to, &[NEVER_EXECUTED, MAYBE_EXECUTED]);
+    assert_eq!(retry_at(Idempotency::Idempotent, OTHER_ZONE), Ok(()));
     assert_eq!(
-        retry_at(Idempotency::NonIdempotent, HERE),
+        retry_at(Idempotency::NonIdempotent, PRIOR_BACKEND),
         Err(Invariant::Idempotency)
     );
-    assert_eq!(retry_at(keyed(KeyScope::All), ELSEWHERE), Ok(()));
+    assert_eq!(retry_at(keyed(KeyScope::All), OTHER_ZONE), Ok(()));
     assert_eq!(
         (
-            retry_at(keyed(KeyScope::Zone), SAME_ZONE),
-            retry_at(keyed(KeyScope::Cell), HERE)
+            retry_at(keyed(KeyScope::Zone), OTHER_CELL),
+            retry_at(keyed(KeyScope::Cell), PRIOR_BACKEND)
         ),
         (Ok(()), Ok(()))
     );
     assert_eq!(
-        retry_at(keyed(KeyScope::Zone), ELSEWHERE),
+        retry_at(keyed(KeyScope::Zone), OTHER_ZONE),
         Err(Invariant::Idempotency)
     );
     assert_eq!(
-        retry_at(keyed(KeyScope::Cell), SAME_ZONE),
+        retry_at(keyed(KeyScope::Cell), OTHER_CELL),
         Err(Invariant::Idempotency)
     );
     assert_eq!(
-        may_retry(Idempotency::NonIdempotent, true, HERE, &[IN_FLIGHT]),
+        may_retry(
+            Idempotency::NonIdempotent,
+            true,
+            PRIOR_BACKEND,
+            &[IN_FLIGHT]
+        ),
         Err(Invariant::Idempotency)
     );
 }
--- a/crates/proxy/src/upstream/backend.rs
+++ b/crates/proxy/src/upstream/backend.rs
@@ -1,35 +1,37 @@
-//! One backend process as endpoint lists and operators describe it.
+//! The state of one backend, as endpoint lists and operators describe it.
 
-use crate::send_invariants::BackendIdentity;
+use crate::send_invariants::BackendKeyScopes;
 use crate::start_times::BackendStart;
 use balancer::{BackendId, CellId, Endpoint, EndpointState, MachineTypeId, ZoneId};
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// Numbers the processes and addresses that a backend has had. Connections made under an earlier
-/// generation are dead or lead elsewhere.
+/// Counts the changes after which a backend's existing connections must not be used again, such as
+/// a restart, a new address or a change of state. Connections of an earlier generation may be dead
+/// or lead to another process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionGeneration(u64);
 
 /// Where a backend runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Placement {
-    /// Its zone.
+    /// Zone of the backend, by position in the settings.
     pub zone: ZoneId,
-    /// Its machine type.
+    /// Machine type of the backend, by position in the settings.
     pub machine_type: MachineTypeId,
-    /// Its cell.
+    /// Number of the cell that the backend belongs to.
     pub cell: CellId,
 }
 
-/// A backend. It outlives its entry in the list for as long as an attempt refers to it.
+/// The state of a backend. It outlives the backend's entry in the endpoint list for as long as an
+/// attempt refers to it.
 pub struct Backend {
     id: BackendId,
     name: String,
     address: Cell<SocketAddr>,
-    /// State by the endpoint list.
+    /// State according to the endpoint list alone.
     listed_state: Cell<EndpointState>,
-    /// State by the endpoint list and the operators together.
+    /// State according to the endpoint list and the operator state together.
     state: Cell<EndpointState>,
     start: Cell<BackendStart>,
     weight: Cell<f64>,
@@ -38,7 +40,7 @@
 }
 
 impl Backend {
-    /// Creates a removed backend without weight, for the registry to update.
+    /// Creates a backend in state `Removed` and with weight 0, which the registry then updates.
     pub(super) fn new(
         id: BackendId,
         name: String,
@@ -58,54 +60,54 @@
         }
     }
 
-    /// Its id at this node.
+    /// Returns the id that this node has given to the backend.
     pub fn id(&self) -> BackendId {
         self.id
     }
 
-    /// Its name in endpoint lists.
+    /// Returns the backend's name in endpoint lists.
     pub(super) fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where it listens.
+    /// Returns the address that the backend listens on.
     pub(super) fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// The key scopes that it belongs to.
-    pub fn identity(&self) -> BackendIdentity {
+    /// Returns the key scopes that the backend belongs to.
+    pub fn key_scopes(&self) -> BackendKeyScopes {
         let Placement { zone, cell, .. } = self.placement.get();
-        BackendIdentity { zone, cell }
+        BackendKeyScopes { zone, cell }
     }
 
-    /// Whether new requests may be sent to it.
+    /// Whether new requests may be sent to the backend.
     pub fn accepts_requests(&self) -> bool {
         self.state.get() == EndpointState::Active
     }
 
-    /// Its state by the endpoint list and the operators together.
+    /// Returns the state according to the endpoint list and the operator state together.
     pub(super) fn state(&self) -> EndpointState {
         self.state.get()
     }
 
-    /// Its state by the endpoint list alone.
+    /// Returns the state according to the endpoint list alone.
     pub(super) fn listed_state(&self) -> EndpointState {
         self.listed_state.get()
     }
 
-    /// When it last started or returned from maintenance.
+    /// Returns when the backend last started or returned from maintenance.
     pub(super) fn start(&self) -> BackendStart {
         self.start.get()
     }
 
-    /// The generation of a connection made now.
+    /// Returns the generation of connections opened now.
     pub(super) fn generation(&self) -> ConnectionGeneration {
         self.generation.get()
     }
 
-    /// Makes the connections of the present generation useless.
-    pub(super) fn start_generation(&self) {
+    /// Begins a new generation, so that no existing connection is used again.
+    pub(super) fn advance_generation(&self) {
         let ConnectionGeneration(number) = self.generation.get();
         self.generation.set(ConnectionGeneration(number + 1));
     }
@@ -126,17 +128,17 @@
         self.placement.set(placement);
     }
 
-    /// Sets its address, and returns whether that has changed.
+    /// Sets the address and returns whether it has changed.
     pub(super) fn replace_address(&self, address: SocketAddr) -> bool {
         self.address.replace(address) != address
     }
 
-    /// Sets when it started, and returns whether that has changed.
+    /// Sets when the backend started and returns whether that has changed.
     pub(super) fn replace_start(&self, start: BackendStart) -> bool {
         self.start.replace(start) != start
     }
 
-    /// Its entry for the balancer.
+    /// Returns the backend's entry in the endpoint list that the balancer gets.
     pub(super) fn endpoint(&self) -> Endpoint {
         let placement = self.placement.get();
         let start = self.start.get();
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -1,4 +1,4 @@
-//! All backends: keeps them in line with endpoint lists and the operator state.
+//! The registry of all backends, which follows endpoint lists and the operator state.
 
 use super::backend::{Backend, Placement};
 use super::pool::ConnectionPool;
@@ -12,19 +12,21 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Position of names that the settings do not give.
+/// Position given to names of zones and machine types that are not in the settings.
 const UNKNOWN_NAME_POSITION: u8 = u8::MAX;
 
 /// Where an endpoint list comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// The process's configuration, written before the start.
+    /// The configuration file, which was written before the process started.
     Configuration,
-    /// Discovery.
+    /// Discovery. Once one of its lists has been applied, backends that are new in a later list
+    /// count as started since.
     Discovery,
 }
 
-/// Owner of the backends. Others may hold a backend for as long as they have an attempt there.
+/// Owner of the backends. Attempts hold a reference to their backend until they end, even if it is
+/// removed from the registry.
 pub struct BackendRegistry {
     names: SettingNames,
     pool: Rc<ConnectionPool>,
@@ -32,13 +34,13 @@
     by_id: RefCell<FxHashMap<BackendId, Rc<Backend>>>,
     next_id: Cell<u32>,
     start_times: RefCell<StartTimes>,
-    /// Kept for backends that no list names, too: they may be listed again.
+    /// Also covers backends that are not listed at present, since they may be listed again.
     operator_state: RefCell<OperatorState>,
 }
 
 impl BackendRegistry {
-    /// Creates a registry without backends. Idle connections to backends that leave it or are
-    /// replaced are closed in `pool`.
+    /// Creates a registry without backends. It closes the idle connections in `pool` to backends
+    /// that are removed, replaced or drained.
     pub fn new(names: SettingNames, pool: Rc<ConnectionPool>) -> Self {
         BackendRegistry {
             names,
@@ -51,23 +53,23 @@
         }
     }
 
-    /// The backend with this id, if it is listed.
+    /// Returns the backend with this id, or `None` if it is not listed.
     pub fn get(&self, id: BackendId) -> Option<Rc<Backend>> {
         self.by_id.borrow().get(&id).cloned()
     }
 
-    /// The names that the settings give to classes, tenants and so on.
+    /// Returns the names that the settings define, such as those of classes and tenants.
     pub fn names(&self) -> &SettingNames {
         &self.names
     }
 
-    /// Whether a list names this backend.
+    /// Whether the backend with this name is listed at present.
     pub fn is_listed(&self, name: &str) -> bool {
         self.by_name.borrow().contains_key(name)
     }
 
-    /// Whether a backend that operators have returned from maintenance has finished its slow start,
-    /// as far as this process knows.
+    /// Whether a backend that operators have put back into use has finished its slow start, counted
+    /// from when this process learnt of it. `false` if this process knows of no such return.
     pub fn has_warmed_up(&self, now: Time, name: &str, slow_start: Duration) -> bool {
         self.start_times
             .borrow()
@@ -75,12 +77,13 @@
             .is_some_and(|returned_at| now - returned_at >= slow_start)
     }
 
-    /// Number of backends in maintenance, listed or not.
+    /// Returns the number of backends in maintenance, listed or not.
     pub fn in_maintenance(&self) -> usize {
         self.operator_state.borrow().in_maintenance.len()
     }
 
-    /// Updates the backends by an endpoint list, and returns its entries for the balancer.
+    /// Updates the backends from an endpoint list and returns the list's entries for the balancer.
+    /// Entries of unknown backends that are removed or have no address are left out.
     pub fn apply_endpoint_list(
         &self,
         now: Time,
@@ -110,8 +113,8 @@
         endpoints
     }
 
-    /// Applies the operator state, under this list and all later ones. Returns the changed backends'
-    /// entries for the balancer.
+    /// Applies the operator state to the present endpoint list and all later ones. Returns the
+    /// entries of the backends that this changes for the balancer, sorted by id.
     pub fn apply_operator_state(&self, now: Time, operator_state: &OperatorState) -> Vec<Endpoint> {
         *self.operator_state.borrow_mut() = operator_state.clone();
         let mut start_times = self.start_times.borrow_mut();
@@ -126,31 +129,33 @@
             }
             backend.set_state(state);
             backend.replace_start(start);
-            self.pool.abandon_connections(backend);
+            self.pool.invalidate_connections(backend);
             changed.push(backend.endpoint());
         }
         changed.sort_unstable_by_key(|endpoint| endpoint.backend);
         changed
     }
 
+    /// Removes the backends that a snapshot does not list.
     fn remove_unlisted(&self, list: &EndpointList) {
-        let listed: FxHashSet<&str> = list
+        let listed_names: FxHashSet<&str> = list
             .endpoints
             .iter()
             .map(|listed| listed.name.as_str())
             .collect();
         self.by_name.borrow_mut().retain(|name, backend| {
-            let is_listed = listed.contains(name.as_str());
+            let is_listed = listed_names.contains(name.as_str());
             if !is_listed {
                 backend.set_state(EndpointState::Removed);
-                self.pool.abandon_connections(backend);
+                self.pool.invalidate_connections(backend);
                 self.by_id.borrow_mut().remove(&backend.id());
             }
             is_listed
         });
     }
 
-    /// Updates the backend of one entry. Returns `None` for a removed backend that was not known.
+    /// Updates the backend of one list entry and returns its entry for the balancer. Returns `None`
+    /// if the backend is unknown and the entry is removed or has no address.
     fn apply_listed(
         &self,
         now: Time,
@@ -174,15 +179,17 @@
         backend.set_state(state);
         backend.set_weight(listed.weight);
         if state == EndpointState::Removed {
-            self.pool.abandon_connections(&backend);
+            self.pool.invalidate_connections(&backend);
             self.by_name.borrow_mut().remove(&listed.name);
             self.by_id.borrow_mut().remove(&backend.id());
         } else {
-            self.update_process(&backend, listed, start);
+            self.update_placement_and_start(&backend, listed, start);
         }
         Some(backend.endpoint())
     }
 
+    /// Returns the backend of a list entry, and creates it if it is unknown. Returns `None` if it
+    /// is unknown and the entry is removed or has no address.
     fn find_or_insert(
         &self,
         listed: &ListedEndpoint,
@@ -206,8 +213,14 @@
         Some(backend)
     }
 
-    /// Updates where a listed backend runs and since when.
-    fn update_process(&self, backend: &Backend, listed: &ListedEndpoint, start: BackendStart) {
+    /// Updates where a listed backend runs and since when, and invalidates its connections if its
+    /// process was replaced or it is draining.
+    fn update_placement_and_start(
+        &self,
+        backend: &Backend,
+        listed: &ListedEndpoint,
+        start: BackendStart,
+    ) {
         backend.set_placement(Placement {
             zone: ZoneId(position(&self.names.zones, &listed.zone)),
             machine_type: MachineTypeId(position(&self.names.machine_types, &listed.machine_type)),
@@ -217,15 +230,16 @@
             .address
             .is_some_and(|address| backend.replace_address(address));
         let has_restarted = backend.replace_start(start);
-        // Connections to an earlier process are dead, even where no close has arrived. Those to a
-        // draining backend only take up descriptors.
+        // Connections to an earlier process are dead, even if no close has been received on them.
+        // Those to a draining backend are of no use and only occupy file descriptors.
         if has_restarted || has_moved || backend.state() == EndpointState::Draining {
-            self.pool.abandon_connections(backend);
+            self.pool.invalidate_connections(backend);
         }
     }
 }
 
-/// A backend's state by the endpoint list, as changed by the operators.
+/// Returns a backend's state according to the endpoint list and the operator state together: an
+/// active backend in maintenance counts as draining.
 fn effective_state(
     operator_state: &OperatorState,
     name: &str,
@@ -239,7 +253,8 @@
     }
 }
 
-/// Position of a name among those that the settings give; all others share one position.
+/// Returns the position of a name in a list of the settings, or [`UNKNOWN_NAME_POSITION`] if it is
+/// not there or its position exceeds the range of `u8`.
 fn position(names: &[String], name: &str) -> u8 {
     names
         .iter()
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -20,56 +20,61 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// Time in which a connection whose response was read becomes ready for the next request.
+/// How long to wait for a connection whose response was read to become ready for the next request.
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
-/// Bytes that may wait to be written on one connection, beside those of one read.
+/// Maximum number of bytes that wait to be written on one connection, in addition to the bytes of
+/// one read.
 pub const MAX_WRITE_BUFFER: usize = 32 << 10;
 
+/// The future that does the I/O of a connection.
 type Driver = http1::Connection<TokioIo<HeadFilter<ResponsePolicy>>, RequestBodyStream>;
 
-/// Asked immediately before the first byte of a request is written.
+/// Check that is run immediately before the first byte of a request is written. An error prevents
+/// the write and ends the connection.
 pub type WriteCheck = Box<dyn Fn() -> Result<(), Invariant>>;
 
-/// Why a request got no response.
+/// Why a request received no response.
 #[derive(Debug, thiserror::Error)]
 pub enum SendError {
-    /// The check before the first byte failed. Nothing was written.
-    #[error("the check before the first byte failed")]
+    /// The [`WriteCheck`] failed. Nothing of the request was written.
+    #[error("an invariant prevented the request before its first byte was written")]
     Prevented,
-    /// The connection ended before anything was written.
+    /// The connection ended before anything of the request was written.
     #[error("the connection ended before the request was written: {0}")]
     NotWritten(hyper::Error),
-    /// The connection failed later. The request may have been executed.
+    /// The connection failed later, so the request may have been executed.
     #[error("the connection failed after the request may have been written: {0}")]
     MayBeWritten(hyper::Error),
 }
 
-/// A connection to a backend; dropping it closes it.
+/// A connection to a backend, which is closed when this is dropped.
 pub struct Connection {
     sender: http1::SendRequest<RequestBodyStream>,
     driver: AbortHandle,
-    /// Weak, so that the driver's end closes the socket of an idle connection.
+    /// Weak reference, so that the socket of an idle connection is closed when the driver ends.
     socket: Weak<TcpStream>,
     flags: Rc<ConnectionFlags>,
     generation: ConnectionGeneration,
 }
 
-/// What a connection shares with the filter on its socket.
+/// State that a connection shares with the filter on its socket.
 #[derive(Default)]
 struct ConnectionFlags {
-    /// For the request to be written next.
+    /// Check for the next request to be written; `None` once it was run.
     write_check: RefCell<Option<WriteCheck>>,
+    /// Whether the check has failed.
     write_prevented: Cell<bool>,
-    /// Bytes have come that belong to no response.
+    /// Whether bytes were received that belong to no response.
     has_surplus_bytes: Cell<bool>,
 }
 
 impl Connection {
-    /// Makes an HTTP connection of a socket. It holds `permit` until its driver has ended.
+    /// Opens an HTTP connection on a connected socket. It holds `permit` until its driver has
+    /// ended.
     ///
     /// # Errors
     ///
-    /// Returns hyper's error if the handshake fails.
+    /// Returns hyper's error if hyper cannot set up the connection.
     pub async fn open(
         stream: TcpStream,
         permit: OwnedSemaphorePermit,
@@ -95,13 +100,13 @@
         })
     }
 
-    /// The backend's generation when this connection was made.
+    /// Returns the generation that the backend had when connecting began.
     pub fn generation(&self) -> ConnectionGeneration {
         self.generation
     }
 
-    /// Whether another request may be sent on it: the backend has neither closed it nor sent
-    /// anything unasked, as far as the system knows.
+    /// Whether another request may be sent on the connection: as far as the kernel knows, the
+    /// backend has neither closed it nor sent any unsolicited bytes.
     pub fn is_reusable(&self) -> bool {
         !self.flags.has_surplus_bytes.get()
             && self.sender.is_ready()
@@ -111,22 +116,23 @@
                 .is_some_and(|socket| is_open_and_drained(&socket))
     }
 
-    /// Waits for the connection to become ready for the next request. Returns `false` if it does not.
+    /// Waits for the connection to become ready for the next request. Returns `false` if it has
+    /// failed or is not ready within [`READY_TIMEOUT`].
     pub async fn ready(&mut self) -> bool {
         let ready = timeout(READY_TIMEOUT, self.sender.ready()).await;
         matches!(ready, Ok(Ok(())))
     }
 
-    /// Sets the check for the next request.
+    /// Sets the check that is run before the next request is written.
     pub fn set_write_check(&self, check: WriteCheck) {
         *self.flags.write_check.borrow_mut() = Some(check);
     }
 
-    /// Sends a request once and waits for the response's head.
+    /// Sends a request once, without retries, and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Returns a [`SendError`] that says whether anything may have been written.
+    /// Returns a [`SendError`] that tells whether anything of the request may have been written.
     pub async fn send(
         &mut self,
         request: Request<RequestBodyStream>,
@@ -138,9 +144,10 @@
         if self.flags.write_prevented.get() {
             return Err(SendError::Prevented);
         }
-        let is_handed_back = error.message().is_some();
+        // Hyper returns the request with the error if it has written nothing of it.
+        let is_unwritten = error.message().is_some();
         let error = error.into_error();
-        Err(if is_handed_back {
+        Err(if is_unwritten {
             SendError::NotWritten(error)
         } else {
             SendError::MayBeWritten(error)
@@ -154,13 +161,15 @@
     }
 }
 
+/// Runs a connection until it ends, then returns its permit.
 async fn drive(connection: Driver, permit: OwnedSemaphorePermit) {
-    // Its failure reaches the sender as the error of the request under way.
+    // The sender receives the failure of a connection as the error of the request in progress.
     let _ = connection.await;
     drop(permit);
 }
 
-/// Reads the heads of responses. An invalid one ends the connection, and its attempt with it.
+/// Policy of the filter on a connection to a backend: parses the heads of responses and runs the
+/// [`WriteCheck`]. An invalid head ends the connection, and with it the attempt.
 struct ResponsePolicy {
     flags: Rc<ConnectionFlags>,
 }
@@ -186,7 +195,7 @@
         };
         check().map_err(|invariant| {
             self.flags.write_prevented.set(true);
-            io::Error::other(format!("prevented by {invariant:?}"))
+            io::Error::other(format!("write prevented by invariant {invariant:?}"))
         })
     }
 }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends one attempt or load probe to a backend and reads the response.
+//! Exchanges: sends one attempt or load probe to a backend and reads the response.
 
 use super::backend::{Backend, ConnectionGeneration};
 use super::connection::Connection;
@@ -10,7 +10,7 @@
 use crate::http1::limits::MAX_BUFFERED_BODY_BYTES;
 use crate::http1::upload::{RequestBody, RequestBodyStream, Upload};
 use crate::metrics::Metrics;
-use crate::send_invariants::{self, AttemptFacts, Invariant};
+use crate::send_invariants::{self, Invariant, SendConditions};
 use balancer::{AttemptOutcome, LoadReport};
 use bytes::{Bytes, BytesMut};
 use hyper::body::{Body, Incoming};
@@ -23,42 +23,45 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Time for which a response of unknown length is buffered in case it is small.
+/// How long a successful response of unknown length is buffered, in case it is small, before it is
+/// streamed.
 const BUFFERING_TIMEOUT: Duration = Duration::from_millis(50);
-/// Path at which backends answer load probes.
+/// Path on which backends answer load probes.
 const LOAD_PROBE_PATH: &str = "/stats";
-/// States the attempt's remaining time to the backend.
+/// Header that tells the backend how much time is left for the attempt, as `<microseconds>u`.
 const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout");
-/// Marks a response that proves that the request was not executed.
+/// Header that, with value `1` on a response of status 503 or 504, proves that the request was not
+/// executed.
 const NOT_PROCESSED: HeaderName = HeaderName::from_static("x-not-processed");
 
-/// How far an attempt has come.
+/// Whether an attempt has been written to its connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SendProgress {
     /// Nothing has been written.
     #[default]
     NotWritten,
-    /// The attempt may have reached its backend.
+    /// Writing has begun; the attempt may have reached its backend.
     Written,
-    /// Nothing has been written, and nothing may be: the attempt counts as never sent.
+    /// Nothing has been written, and nothing may be written any more: the attempt counts as never
+    /// sent.
     Revoked,
 }
 
-/// The conditions under which an attempt may be sent.
-pub struct AttemptTerms {
-    /// When the attempt has to be answered. While the request's body is incomplete, only the time
-    /// left until then counts, and it starts with the last byte.
+/// The limits on when an attempt may be sent and has to be answered.
+pub struct AttemptConstraints {
+    /// When the response is due. If the request's body is incomplete when sending begins, the time
+    /// left until then is counted from the last byte of the body instead.
     pub deadline: Instant,
-    /// End of the idempotency window, if this is a retry that is limited to it.
+    /// End of the key window, for a retry that it limits; `None` for any other attempt.
     pub retry_until: Option<Instant>,
-    /// Whether the client is still waiting for a response.
+    /// Returns whether the client still waits for a response. Called right before the write.
     pub is_client_waiting: Box<dyn Fn() -> bool>,
-    /// Set to [`SendProgress::Written`] right before the first byte; [`SendProgress::Revoked`]
-    /// prevents the sending.
+    /// Progress of the attempt, shared with its owner. It becomes [`SendProgress::Written`] right
+    /// before the first byte is written; [`SendProgress::Revoked`] prevents the write.
     pub progress: Rc<Cell<SendProgress>>,
 }
 
-/// Sends requests to backends over pooled connections. It never repeats one.
+/// Sends requests to backends on pooled connections, each request once and without retries.
 pub struct UpstreamClient {
     pool: Rc<ConnectionPool>,
     load_reports: LoadReportReader,
@@ -66,7 +69,8 @@
 }
 
 impl UpstreamClient {
-    /// Creates a client that reads load reports of these fields.
+    /// Creates a client. `fields` are the meanings of the load report fields named in `names`, in
+    /// the same order.
     pub fn new(
         pool: Rc<ConnectionPool>,
         names: &SettingNames,
@@ -80,47 +84,49 @@
         }
     }
 
-    /// The connections that requests are sent on.
+    /// Returns the pool of the connections that requests are sent on.
     pub fn pool(&self) -> &ConnectionPool {
         &self.pool
     }
 
-    /// The node's counters.
+    /// Returns the node's counters.
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.metrics
     }
 
-    /// Sends one attempt, if the invariants allow it immediately before its first byte, and reads the
-    /// response until the deadline at the latest.
+    /// Sends one attempt, provided that the invariants allow it immediately before its first byte
+    /// is written, and reads the response. Returns at the deadline at the latest; for a streamed
+    /// request body the time left until then is counted from the last byte of the body.
     pub async fn send_attempt(
         &self,
         backend: &Rc<Backend>,
         request: Request<RequestBody>,
-        terms: AttemptTerms,
+        constraints: AttemptConstraints,
     ) -> Exchange {
         let (head, body) = request.into_parts();
-        // Part of the body is gone: it cannot be sent again.
+        // An earlier attempt has consumed a part of the body, which cannot be sent again.
         let Some(stream) = body.new_stream() else {
             return Exchange::failed(AttemptOutcome::NotSent);
         };
         let request = Request::from_parts(head, stream);
-        let (deadline, progress) = (terms.deadline, terms.progress.clone());
+        let (deadline, progress) = (constraints.deadline, constraints.progress.clone());
         let time_limit = deadline.saturating_duration_since(Instant::now());
         let upload = body.upload();
         let check = AttemptCheck {
             backend: backend.clone(),
             metrics: self.metrics.clone(),
-            has_started: upload.is_none(),
-            terms,
+            deadline_applies: upload.is_none(),
+            constraints,
         };
         let exchange = self.connect_and_send(check, request);
         match upload {
-            Some(upload) => await_upload(upload, time_limit, exchange).await,
-            None => await_deadline(deadline, &progress, exchange).await,
+            Some(upload) => await_streamed_exchange(upload, time_limit, exchange).await,
+            None => await_buffered_exchange(deadline, &progress, exchange).await,
         }
     }
 
-    /// Asks a backend for its load.
+    /// Asks a backend for its load, which is in the result's load report if the backend answers
+    /// within `time_limit`.
     pub async fn send_load_probe(&self, backend: &Backend, time_limit: Duration) -> Exchange {
         let exchange = async {
             let mut connection = match self.pool.acquire(backend).await {
@@ -130,7 +136,7 @@
             let request = Request::get(LOAD_PROBE_PATH)
                 .header("host", backend.address().to_string())
                 .body(RequestBodyStream::default())
-                .expect("a fixed path and an address are valid");
+                .expect("a fixed path and a socket address make a valid request");
             let response = match connection.send(request).await {
                 Ok(response) => response,
                 Err(error) => return error.into(),
@@ -142,6 +148,8 @@
             .unwrap_or_else(|_| Exchange::failed(AttemptOutcome::TimedOut))
     }
 
+    /// Sends an attempt on a pooled or new connection and reads its response. The caller enforces
+    /// the deadline.
     async fn connect_and_send(
         &self,
         check: AttemptCheck,
@@ -153,19 +161,22 @@
         };
         let computed_at = Instant::now();
         let generation = connection.generation();
-        // Anything may have changed while the connection was opened, and some more time passes
-        // before the first byte is written: both moments are checked.
+        // The conditions may have changed while the connection was opened, and may change again
+        // before the first byte is written: they are checked at both moments.
         if check.run(generation, None).is_err() {
             self.pool.release(&check.backend, connection).await;
             return Exchange::failed(AttemptOutcome::NotSent);
         }
-        let remaining = check.terms.deadline.saturating_duration_since(computed_at);
+        let remaining = check
+            .constraints
+            .deadline
+            .saturating_duration_since(computed_at);
         request
             .headers_mut()
             .insert(TIMEOUT, timeout_value(remaining));
         connection.set_write_check(Box::new(move || {
             check.run(generation, Some(computed_at))?;
-            check.terms.progress.set(SendProgress::Written);
+            check.constraints.progress.set(SendProgress::Written);
             Ok(())
         }));
         match connection.send(request).await {
@@ -174,6 +185,8 @@
         }
     }
 
+    /// Reads the response to an attempt: its whole body if it is small, and otherwise the part that
+    /// is buffered before a successful response is streamed.
     async fn read_attempt_response(
         &self,
         connection: Connection,
@@ -200,7 +213,7 @@
                 let response = ExchangeResponse::Streaming { response, body_end };
                 (Some(response), Some(connection))
             }
-            // Nobody needs the rest of an error's body.
+            // The body of an error response is not forwarded, so the rest of it is not read.
             ReceivedBody::Partial { .. } => (None, None),
         };
         Exchange {
@@ -212,6 +225,8 @@
         }
     }
 
+    /// Reads the response to a load probe and the load report in its body. Of a body that is too
+    /// large or too slow only the buffered part is parsed.
     async fn read_probe_response(
         &self,
         connection: Connection,
@@ -235,6 +250,7 @@
         }
     }
 
+    /// Returns the load report in the body of a successful response to a load probe.
     fn probed_load(&self, is_success: bool, body: &[u8]) -> Option<LoadReport> {
         is_success
             .then(|| self.load_reports.read_json(body))
@@ -242,39 +258,45 @@
     }
 }
 
-/// Checks whether an attempt may be sent at this moment.
+/// Checks whether an attempt may be sent at the moment of the call.
 struct AttemptCheck {
     backend: Rc<Backend>,
     metrics: Rc<Metrics>,
-    /// Whether the attempt's time has started, which it does with the request's last byte.
-    has_started: bool,
-    terms: AttemptTerms,
+    /// Whether the deadline applies already. For a streamed request body it does not, since the
+    /// attempt's time starts with the last byte of the body.
+    deadline_applies: bool,
+    constraints: AttemptConstraints,
 }
 
 impl AttemptCheck {
-    /// Checks it for a connection of this generation. `timeout_computed_at` is when the remaining
-    /// time stated to the backend was computed, once it was.
+    /// Checks whether the attempt may be sent on a connection of this generation, and counts it as
+    /// prevented if not. `timeout_computed_at` is when the remaining time that is stated to the
+    /// backend was computed; `None` before that.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first invariant that forbids it.
     fn run(
         &self,
         generation: ConnectionGeneration,
         timeout_computed_at: Option<Instant>,
     ) -> Result<(), Invariant> {
-        let is_revoked = self.terms.progress.get() == SendProgress::Revoked;
-        let facts = AttemptFacts {
+        let is_revoked = self.constraints.progress.get() == SendProgress::Revoked;
+        let conditions = SendConditions {
             backend_accepts: self.backend.accepts_requests()
                 && self.backend.generation() == generation,
-            client_waiting: !is_revoked && (self.terms.is_client_waiting)(),
-            deadline: self.has_started.then_some(self.terms.deadline),
-            timeout_computed_at: timeout_computed_at.filter(|_| self.has_started),
-            retry_until: self.terms.retry_until,
+            client_waiting: !is_revoked && (self.constraints.is_client_waiting)(),
+            deadline: self.deadline_applies.then_some(self.constraints.deadline),
+            timeout_computed_at: timeout_computed_at.filter(|_| self.deadline_applies),
+            retry_until: self.constraints.retry_until,
         };
-        send_invariants::may_send(Instant::now(), &facts)
+        send_invariants::may_send(Instant::now(), &conditions)
             .inspect_err(|invariant| self.metrics.invariants.prevented(*invariant))
     }
 }
 
-/// Waits for the exchange of a request whose body is complete.
-async fn await_deadline(
+/// Waits for the exchange of a request whose body is complete, until the deadline at the latest.
+async fn await_buffered_exchange(
     deadline: Instant,
     progress: &Cell<SendProgress>,
     exchange: impl Future<Output = Exchange>,
@@ -284,14 +306,14 @@
         Err(_) if progress.get() == SendProgress::Written => {
             Exchange::failed(AttemptOutcome::TimedOut)
         }
-        // It was still connecting: the request cannot have been executed.
+        // The attempt was still connecting, so the request cannot have been executed.
         Err(_) => Exchange::failed(AttemptOutcome::ConnectFailed),
     }
 }
 
-/// Waits for the exchange of a request whose body is still being received. A backend starts to
-/// execute it with its last byte, and so does the time limit.
-async fn await_upload(
+/// Waits for the exchange of a request whose body is still being received. The backend starts to
+/// execute the request when it has the last byte, so `time_limit` counts from the last byte, too.
+async fn await_streamed_exchange(
     upload: &Upload,
     time_limit: Duration,
     exchange: impl Future<Output = Exchange>,
@@ -307,8 +329,8 @@
         () = upload.stalled() => Exchange::failed(AttemptOutcome::ConnectionReset),
     };
     match exchange.outcome {
-        // Without its last byte the request was not executed; and a fault of the client's body says
-        // nothing of the backend.
+        // Without its last byte the request was not executed. If the client's body is at fault, the
+        // outcome must not count against the backend.
         AttemptOutcome::ConnectionReset | AttemptOutcome::TimedOut if upload.error().is_some() => {
             Exchange::failed(AttemptOutcome::NotSent)
         }
@@ -320,19 +342,22 @@
     }
 }
 
-/// A response's body as far as it was buffered.
+/// The body of a response, as far as it was buffered.
 enum ReceivedBody {
+    /// The whole body is buffered.
     Complete(Bytes),
+    /// The body is too large or too slow to buffer; `rest` has not been read yet.
     Partial { buffered: Bytes, rest: Incoming },
 }
 
-/// Buffers a body that is small enough.
+/// Reads the body of a response until it is complete or turns out to be too large to buffer. A
+/// successful response of unknown length is read for [`BUFFERING_TIMEOUT`] at most.
 async fn receive_body(mut body: Incoming, is_success: bool) -> Result<ReceivedBody, hyper::Error> {
     let length = body.size_hint().exact();
     let mut buffered = BytesMut::new();
     let part = match length {
         Some(length) if length > MAX_BUFFERED_BODY_BYTES as u64 => BufferedPart::Incomplete,
-        // A trickle of unknown length could be buffered for as long as it lasts.
+        // A slow body of unknown length could otherwise be buffered for as long as it lasts.
         None if is_success => {
             let buffering = buffer_body(&mut buffered, &mut body);
             timeout(BUFFERING_TIMEOUT, buffering)
@@ -351,11 +376,11 @@
     })
 }
 
-/// What a response says of the request.
+/// Returns the outcome of an attempt by the head of its response.
 fn response_outcome(status: StatusCode, headers: &HeaderMap) -> AttemptOutcome {
     match status {
         StatusCode::OK => AttemptOutcome::Success,
-        // Without the mark the status proves nothing.
+        // Without the header these statuses do not prove that the request was not executed.
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
             if is_marked_not_processed(headers) =>
         {
--- a/crates/proxy/src/upstream/load_report_header.rs
+++ b/crates/proxy/src/upstream/load_report_header.rs
@@ -1,5 +1,5 @@
-//! Load reports as backends send them: a JSON object of figures, in a response header or in the
-//! response to a load probe.
+//! Load reports as backends send them: a JSON object of numbers, in a response header or in the
+//! body of the response to a load probe.
 
 use balancer::LoadReport;
 use hyper::header::{HeaderMap, HeaderName};
@@ -8,20 +8,22 @@
 use std::borrow::Cow;
 use std::fmt;
 
+/// Response header that holds a load report.
 const SERVER_LOAD: HeaderName = HeaderName::from_static("x-server-load");
 
-/// Reads load reports by the field names that the settings give.
+/// Parses load reports, whose field names are defined in the settings.
 pub struct LoadReportReader {
     fields: Vec<NamedField>,
 }
 
+/// The JSON name of a load report field and its meaning.
 struct NamedField {
     name: String,
     field: LoadReportField,
 }
 
 impl LoadReportReader {
-    /// Creates a reader for fields that have these names, in the same order.
+    /// Creates a reader for `fields`, whose JSON names are `names` in the same order.
     pub fn new(names: &[String], fields: &[LoadReportField]) -> Self {
         let named = names.iter().zip(fields).map(|(name, field)| NamedField {
             name: name.clone(),
@@ -32,12 +34,13 @@
         }
     }
 
-    /// The report in a response's headers, if there is a valid one.
+    /// Returns the load report in a response's headers, or `None` if there is no valid one.
     pub fn read_headers(&self, headers: &HeaderMap) -> Option<LoadReport> {
         self.read_json(headers.get(SERVER_LOAD)?.as_bytes())
     }
 
-    /// The report in a JSON text. Returns `None` for a text that is malformed or has no known field.
+    /// Returns the load report in a JSON text, or `None` if the text is malformed or sets no field
+    /// of a report.
     pub fn read_json(&self, text: &[u8]) -> Option<LoadReport> {
         let mut deserializer = serde_json::Deserializer::from_slice(text);
         let report = ReportSeed(self).deserialize(&mut deserializer).ok()?;
@@ -45,13 +48,15 @@
         (report != LoadReport::default()).then_some(report)
     }
 
+    /// Returns the meaning of the field with this JSON name, or `None` for an unknown one.
     fn field(&self, name: &str) -> Option<LoadReportField> {
         let named = self.fields.iter().find(|field| field.name == name)?;
         Some(named.field)
     }
 }
 
-/// Reads a report field by field, without a map in between: one comes with every response.
+/// Deserializes a report field by field. An intermediate map is avoided, since every response may
+/// carry a report.
 struct ReportSeed<'a>(&'a LoadReportReader);
 
 impl<'de> DeserializeSeed<'de> for ReportSeed<'_> {
--- a/crates/proxy/src/upstream/load_report_header_tests.rs
+++ b/crates/proxy/src/upstream/load_report_header_tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn figures_are_read_by_the_names_of_the_settings() {
+fn fields_are_read_by_their_names_in_the_settings() {
     let report = reader().read_json(br#"{"other": [1, {"a": 2}], "ms": 20, "busy": 0.5}"#);
     let expected = LoadReport {
         utilization: Some(0.5),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn malformed_reports_and_reports_without_a_known_figure_are_none() {
+fn malformed_reports_and_reports_without_a_known_field_are_none() {
     for text in [
         "",
         "{}",
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,8 +1,8 @@
-//! Backends: their addresses and states, the connections to them, and the exchanges over these.
+//! Backends: their addresses and states, the connections to them, and exchanges on these.
 //!
-//! [`backend_registry`] follows endpoint lists and the operators, [`pool`] owns the connections, and
-//! [`exchange`] sends one request over one of them. Nothing here knows what a request is for or
-//! whether it is tried again.
+//! [`backend_registry`] follows endpoint lists and the operator state, [`pool`] owns the idle
+//! connections, and [`exchange`] sends one request on one connection. Nothing in this module knows
+//! what a request is for or whether it is retried.
 
 pub mod backend;
 pub mod backend_registry;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,5 @@
-//! The connections to all backends: opens them, keeps idle ones for reuse, and bounds their number.
+//! The connection pool: opens connections to backends, keeps idle ones for reuse, and limits the
+//! total number of connections.
 
 use super::backend::Backend;
 use super::connection::Connection;
@@ -17,52 +18,53 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{timeout, Instant};
 
-/// Time that a connection stays unused after a response. Surplus bytes that were still on their way
-/// would otherwise be read as the response to the next request.
+/// Minimum time that a connection stays idle before it is reused. Surplus bytes that are still in
+/// transit after a response would otherwise be read as the response to the next request.
 const REUSE_DELAY: Duration = Duration::from_millis(5);
-/// Pauses before connecting again where the node itself lacks a descriptor, a port or a buffer, in
-/// milliseconds.
-const SHORTAGE_PAUSES_MS: [u64; 6] = [1, 2, 4, 8, 16, 32];
-/// Least interval between two searches for expired idle connections.
+/// Delays in milliseconds before connecting is retried because the node itself lacks a descriptor,
+/// a port or a buffer.
+const SHORTAGE_RETRY_DELAYS_MS: [u64; 6] = [1, 2, 4, 8, 16, 32];
+/// Minimum interval between two searches for expired idle connections.
 const MIN_EXPIRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Limits on the connections to backends.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Connections to all backends together.
+    /// Maximum number of connections to all backends together, including those being opened.
     pub max_connections: usize,
-    /// Time for a connection to be established.
+    /// Maximum time to establish a connection, including retries after local resource shortages.
     pub connect_timeout: Duration,
-    /// Time after which a backend closes an idle connection.
+    /// Time after which backends close an idle connection.
     pub idle_timeout: Duration,
 }
 
-/// Why there is no connection to a backend.
+/// Why no connection to a backend could be acquired.
 #[derive(Debug, thiserror::Error)]
 pub enum AcquireError {
-    /// The limit is reached, and no idle connection could be closed.
+    /// The limit on connections is reached, and no idle connection could be closed.
     #[error("all connections to backends are in use")]
     PoolExhausted,
-    /// The node lacks descriptors, ports or memory.
+    /// The node itself lacks descriptors, ports or memory.
     #[error("connecting to {0} failed for lack of local resources: {1}")]
     LocalShortage(SocketAddr, io::Error),
-    /// The backend moved or restarted in the meantime.
-    #[error("the backend at {0} was replaced while connecting")]
+    /// The backend's connections were invalidated while connecting, for example because it has
+    /// moved or restarted.
+    #[error("the backend at {0} was replaced or drained while connecting")]
     BackendReplaced(SocketAddr),
     /// The backend cannot be reached.
     #[error("connecting to {0} failed: {1}")]
     ConnectFailed(SocketAddr, io::Error),
-    /// The backend did not accept in time.
+    /// The connection was not established within the connect timeout.
     #[error("connecting to {0} took longer than {1:?}")]
     ConnectTimeout(SocketAddr, Duration),
-    /// The connection ended at once.
+    /// Hyper could not set up the connection.
     #[error("the HTTP handshake with {0} failed: {1}")]
     Handshake(SocketAddr, hyper::Error),
 }
 
 impl AcquireError {
-    /// The outcome of an attempt that got no connection. The node's own shortages say nothing of the
-    /// backend.
+    /// Returns the outcome of an attempt that got no connection. Shortages of the node itself do
+    /// not count against the backend: their outcome is [`AttemptOutcome::NotSent`].
     pub fn outcome(&self) -> AttemptOutcome {
         match self {
             AcquireError::PoolExhausted
@@ -80,20 +82,20 @@
     idle_since: Instant,
 }
 
-/// Owner of the idle connections. Those in use belong to their exchange until they are released.
+/// Owner of the idle connections. A connection in use belongs to its exchange until it is released.
 pub struct ConnectionPool {
     connect_timeout: Duration,
-    /// Idle connections are closed well before the backend closes them, since a request that crosses
-    /// the close may be lost.
+    /// How long a connection may stay idle. It is well below the time after which backends close
+    /// idle connections, since a request that is sent while the backend closes may be lost.
     max_idle: Duration,
     permits: ResizableSemaphore,
-    /// The most recently used connection is last.
+    /// Idle connections by backend, the most recently used one last.
     idle: RefCell<FxHashMap<BackendId, Vec<IdleConnection>>>,
     metrics: Rc<Metrics>,
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool.
+    /// Creates a pool without connections.
     pub fn new(limits: PoolLimits, metrics: Rc<Metrics>) -> Self {
         ConnectionPool {
             connect_timeout: limits.connect_timeout,
@@ -104,13 +106,13 @@
         }
     }
 
-    /// Number of connections that are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.permits.in_use()
     }
 
-    /// Changes the limit on connections. Idle ones beyond it are closed at once, others when they
-    /// end.
+    /// Changes the limit on connections. Idle connections beyond the new limit are closed at once.
+    /// Those in use are not closed; no connection is opened until their number is below the limit.
     pub fn resize(&self, max_connections: usize) {
         let excess = self.permits.in_use().saturating_sub(max_connections);
         self.permits.resize(max_connections);
@@ -119,11 +121,12 @@
         }
     }
 
-    /// Returns the most recently used idle connection that has been quiet since, or a new one.
+    /// Returns the most recently used idle connection to a backend that is still reusable, or opens
+    /// a new one.
     ///
     /// # Errors
     ///
-    /// Returns an [`AcquireError`] if there is neither.
+    /// Returns an [`AcquireError`] if none is reusable and none can be opened.
     pub async fn acquire(&self, backend: &Backend) -> Result<Connection, AcquireError> {
         while let Some(connection) = self.take_idle(backend.id()) {
             if connection.is_reusable() {
@@ -133,7 +136,7 @@
         self.connect(backend).await
     }
 
-    /// Takes back a connection after its response was read. It is closed unless it can be reused.
+    /// Takes back a connection after its response was read, and closes it unless it can be reused.
     pub async fn release(&self, backend: &Backend, mut connection: Connection) {
         let is_reusable = connection.ready().await
             && connection.is_reusable()
@@ -153,13 +156,13 @@
             .push(idle_connection);
     }
 
-    /// Closes the idle connections to a backend, and those in use once they are released.
-    pub fn abandon_connections(&self, backend: &Backend) {
-        backend.start_generation();
+    /// Closes the idle connections to a backend at once, and those in use when they are released.
+    pub fn invalidate_connections(&self, backend: &Backend) {
+        backend.advance_generation();
         self.idle.borrow_mut().remove(&backend.id());
     }
 
-    /// Closes connections that have been idle for too long, until it is cancelled.
+    /// Closes connections that have been idle for too long. Runs until the future is dropped.
     pub async fn close_expired(&self) {
         let mut interval = tokio::time::interval((self.max_idle / 8).max(MIN_EXPIRY_INTERVAL));
         loop {
@@ -170,6 +173,8 @@
         }
     }
 
+    /// Removes and returns the most recently used idle connection to a backend that is neither too
+    /// fresh nor too old to be reused.
     fn take_idle(&self, backend: BackendId) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&backend)?;
@@ -180,6 +185,7 @@
         Some(connections.remove(position).connection)
     }
 
+    /// Opens a connection to a backend.
     async fn connect(&self, backend: &Backend) -> Result<Connection, AcquireError> {
         let permit = self
             .acquire_permit()
@@ -196,30 +202,32 @@
             Ok(Err(error)) => return Err(AcquireError::ConnectFailed(address, error)),
             Err(_) => return Err(AcquireError::ConnectTimeout(address, self.connect_timeout)),
         };
-        // Whatever listens at the old address now is another process.
+        // The backend was drained or replaced; another process may now listen on the old address.
         if generation != backend.generation() {
             self.metrics.invariants.prevented(Invariant::Drain);
             return Err(AcquireError::BackendReplaced(address));
         }
-        // Without this option the connection works all the same, only slower.
+        // Without this option the connection still works, only slower.
         let _ = stream.set_nodelay(true);
         Connection::open(stream, permit, generation)
             .await
             .map_err(|error| AcquireError::Handshake(address, error))
     }
 
-    /// A permit for one more connection; closes the longest idle one if need be.
+    /// Acquires a permit for one more connection, for which the longest idle one is closed if the
+    /// limit is reached. Returns `None` if that does not free a permit.
     async fn acquire_permit(&self) -> Option<OwnedSemaphorePermit> {
         if let Some(permit) = self.permits.try_acquire() {
             return Some(permit);
         }
         self.close_longest_idle();
-        // The closed connection's driver is dropped, and its permit with it, when the runtime polls
-        // it next.
+        // The driver of the closed connection, which holds the permit, is only dropped when the
+        // runtime next polls it.
         tokio::task::yield_now().await;
         self.permits.try_acquire()
     }
 
+    /// Closes the connection that has been idle longest, if any is idle.
     fn close_longest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         let longest_idle = idle
@@ -232,12 +240,13 @@
     }
 }
 
-/// Connects, with retries where the node itself lacks a resource.
+/// Connects to an address, and retries as long as the node itself lacks a resource and
+/// [`SHORTAGE_RETRY_DELAYS_MS`] has delays left.
 async fn connect_with_retries(address: SocketAddr) -> io::Result<TcpStream> {
-    for pause in SHORTAGE_PAUSES_MS.map(Duration::from_millis) {
+    for delay in SHORTAGE_RETRY_DELAYS_MS.map(Duration::from_millis) {
         match TcpStream::connect(address).await {
             Err(error) if transient_errors::is_resource_shortage(&error) => {
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(delay).await;
             }
             result => return result,
         }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What an exchange with a backend comes to.
+//! The result of an exchange with a backend.
 
 use super::connection::{Connection, SendError};
 use crate::http1::download::{StreamOutcome, StreamingResponse};
@@ -8,56 +8,59 @@
 use std::error::Error;
 use tokio::sync::oneshot;
 
-/// The body of a response.
+/// The body of a response that is forwarded to a client.
 pub enum ResponseBody {
-    /// All of it has been received.
+    /// The whole body, which has been received.
     Buffered(Bytes),
-    /// More of it is still to come.
+    /// A body of which more is still to be received.
     Streaming(StreamingResponse),
 }
 
 /// A response to forward to the client.
 pub enum ExchangeResponse {
-    /// All of it has been received.
+    /// The whole response has been received.
     Complete(Response<ResponseBody>),
-    /// Its body is still being received.
+    /// The body of the response is still being received.
     Streaming {
-        /// The response.
+        /// Head of the response and the body to be streamed.
         response: Response<ResponseBody>,
-        /// Receives how its body ended; closed without a value if the client disconnected.
+        /// Receives how the body ended. The channel closes without a value if the client
+        /// disconnects.
         body_end: oneshot::Receiver<StreamOutcome>,
     },
 }
 
-/// What was wrong with a connection or a response.
+/// Why a connection or a response failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection failed.
-    #[error("{error}{}", cause(.error))]
+    /// The connection failed before the response was read or a streamed one had begun.
+    #[error("{error}{}", source_suffix(.error))]
     Connection {
-        /// Hyper's error.
+        /// Error returned by hyper.
         error: hyper::Error,
     },
-    /// A streamed response ended early.
+    /// A streamed response ended early, for this reason.
     #[error("{0}")]
     ResponseBody(String),
 }
 
 /// The result of an attempt or a load probe.
 pub struct Exchange {
-    /// How it ended, or that a response has begun.
+    /// How the exchange ended. It is [`AttemptOutcome::Success`] also for a streamed response that
+    /// has only begun.
     pub outcome: AttemptOutcome,
-    /// The load report that came along.
+    /// Load report in the response, if any.
     pub load_report: Option<LoadReport>,
-    /// The response to forward, of an attempt that succeeded.
+    /// Response to forward; `None` for a load probe or an attempt that has not succeeded.
     pub response: Option<ExchangeResponse>,
-    /// The connection, if it may be reused once the response was read.
+    /// Connection for reuse once the response has been read; `None` if it cannot be reused.
     pub connection: Option<Connection>,
-    /// What was wrong, where that is known.
+    /// Cause of a failure, where it is known.
     pub error: Option<ExchangeError>,
 }
 
 impl Exchange {
+    /// Creates a result without response, load report and reusable connection.
     pub(super) fn failed(outcome: AttemptOutcome) -> Self {
         Exchange {
             outcome,
@@ -68,6 +71,7 @@
         }
     }
 
+    /// Creates the result of an exchange whose connection broke with `error`.
     pub(super) fn connection_reset(error: hyper::Error) -> Self {
         Exchange {
             error: Some(ExchangeError::Connection { error }),
@@ -86,7 +90,9 @@
     }
 }
 
-fn cause(error: &hyper::Error) -> String {
+/// Formats the source of an error as a suffix to its text, which hyper leaves out. Empty if the
+/// error has no source.
+fn source_suffix(error: &hyper::Error) -> String {
     error
         .source()
         .map(|source| format!(": {source}"))
