--- a/crates/fault-injection/src/control.rs
+++ b/crates/fault-injection/src/control.rs
@@ -1,66 +1,75 @@
-//! The layout of the shared memory.
+//! The layout of the memory shared by a test and the process under test.
 
 use crate::{CallFaults, Pauses, SystemCall};
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
-/// All that the control file holds. Every field is an atomic integer, for which any bytes are valid.
+/// The contents of the control file: all that a test configures, and the counts of failures and
+/// pauses. Every field is an atomic integer, for which any bytes are valid.
 #[repr(C)]
 pub struct FaultControl {
-    /// Seed of what is left to chance.
+    /// Seed of the random numbers by which the process under test draws faults.
     seed: AtomicU64,
-    /// By how much the wall clock differs from the system's, in nanoseconds.
+    /// Offset added to the system's wall clock, in nanoseconds; negative values set it back.
     wall_clock_offset: AtomicI64,
-    /// Pauses after `epoll_wait`: between the reading of events and of clocks, and the reaction.
+    /// Pauses after `epoll_wait` returns: between reading the events and the clocks, and reacting
+    /// to them.
     pub after_epoll_wait: Pauses,
-    /// Pauses before a TCP connection's sending half is shut down.
+    /// Pauses before `shutdown` with `SHUT_WR`, which shuts down the sending half of a connection.
     pub before_shutdown: Pauses,
-    /// Pauses of a thread before it syncs a file.
+    /// Pauses of the calling thread before `fsync`; there are none before `fdatasync`.
     pub before_sync: Pauses,
-    /// Rate of calls that move only a few bytes of what they could, in millionths.
+    /// Probability that a read or write is short, that is, transfers only a few of the bytes it
+    /// could, in millionths.
     short_io_rate: AtomicU64,
+    /// The failures of each system call, indexed by its discriminant.
     faults: [CallFaults; SystemCall::COUNT],
 }
 
 impl FaultControl {
-    /// The faults of a system call.
+    /// Returns the failures to inject into `call`.
     pub fn faults(&self, call: SystemCall) -> &CallFaults {
         &self.faults[call as usize]
     }
 
-    /// Seeds what is left to chance.
+    /// Sets the seed of the random numbers by which the process under test draws faults.
     pub fn set_seed(&self, seed: u64) {
         self.seed.store(seed, Ordering::SeqCst);
     }
 
-    /// The seed of what is left to chance.
+    /// Returns the seed of the random numbers by which faults are drawn; 0 if none was set.
     pub fn seed(&self) -> u64 {
         self.seed.load(Ordering::Relaxed)
     }
 
-    /// Lets reads and writes on TCP sockets move only a few bytes at this rate, in millionths.
+    /// Makes each read and write on a TCP socket short, that is, transfer only a few bytes, with
+    /// probability `rate`, in millionths.
     pub fn set_short_io_rate(&self, rate: u64) {
         self.short_io_rate.store(rate, Ordering::SeqCst);
     }
 
-    /// Whether this read or write moves only a few bytes. `random` draws a number.
+    /// Decides whether this read or write is short. `random` returns the next random number,
+    /// uniform over all `u64` values.
     pub fn draw_short_io(&self, mut random: impl FnMut() -> u64) -> bool {
-        crate::happens(self.short_io_rate.load(Ordering::Relaxed), &mut random)
+        crate::draw_bool(self.short_io_rate.load(Ordering::Relaxed), &mut random)
     }
 
-    /// Sets the wall clock this many seconds ahead of the system's.
+    /// Sets the wall clock of the process under test `seconds` ahead of the system's, or behind it
+    /// if negative. Replaces the previous offset.
     pub fn step_wall_clock(&self, seconds: i64) {
         self.wall_clock_offset
             .store(seconds * NANOSECONDS_PER_SECOND, Ordering::SeqCst);
     }
 
-    /// How far the wall clock is ahead of the system's, in nanoseconds.
+    /// Returns how far the wall clock of the process under test is ahead of the system's, in
+    /// nanoseconds; negative if it is behind.
     pub fn wall_clock_offset(&self) -> i64 {
         self.wall_clock_offset.load(Ordering::Relaxed)
     }
 
-    /// Ends all failures, pauses and short reads and writes. The wall clock stays as it is.
+    /// Stops all failures, pauses and short reads and writes. The wall clock's offset, the seed and
+    /// the counts of past faults stay.
     pub fn clear_faults(&self) {
         for faults in &self.faults {
             faults.clear();
--- a/crates/fault-injection/src/control_file.rs
+++ b/crates/fault-injection/src/control_file.rs
@@ -1,6 +1,6 @@
-//! The test's side of the shared memory.
+//! The test's mapping of the shared memory.
 
-#![allow(unsafe_code)] // Maps memory that two processes share.
+#![allow(unsafe_code)] // Dereferences memory shared between processes.
 
 use crate::FaultControl;
 use memmap2::MmapRaw;
@@ -9,15 +9,15 @@
 use std::ops::Deref;
 use std::path::Path;
 
-/// A control file, mapped into this process. Dropping it ends the mapping; the file stays.
+/// A control file, mapped into the test's process. Dropping it unmaps the memory; the file stays.
 pub struct ControlFile(MmapRaw);
 
 impl ControlFile {
-    /// Creates the file without any faults, or resets the one that is there.
+    /// Creates the file with no faults configured, or resets an existing one to that state.
     ///
     /// # Errors
     ///
-    /// The file cannot be created, sized or mapped.
+    /// Returns an error if the file cannot be created, resized or mapped.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = File::options()
             .read(true)
@@ -36,9 +36,9 @@
     #[expect(clippy::cast_ptr_alignment, reason = "a mapping begins at a page")]
     fn deref(&self) -> &FaultControl {
         let control = self.0.as_ptr().cast::<FaultControl>();
-        // SAFETY: The mapping is as long as the structure, aligned to a page and lives as long as
+        // SAFETY: The mapping is as long as the structure, is page-aligned and lives as long as
         // `self`. Every field is an atomic integer, for which any bytes are valid and which other
-        // processes may change.
+        // processes may change at any time.
         unsafe { &*control }
     }
 }
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,8 +1,9 @@
-//! The memory that a test shares with the preloaded library in a process under test.
+//! The memory through which a test controls the preload library in a process under test.
 //!
-//! A test creates a [`ControlFile`], names it in [`CONTROL_FILE_VARIABLE`], preloads the library into
-//! the process and changes the file's [`FaultControl`] while the process runs. The library reads it
-//! at every system call that it stands in for, and counts there what it did.
+//! A test creates a [`ControlFile`], starts the process with the library in `LD_PRELOAD` and the
+//! file's path in [`CONTROL_FILE_VARIABLE`], and changes the file's [`FaultControl`] while the
+//! process runs. The library reads it at every system call that it intercepts, and counts failures
+//! and pauses there.
 
 mod call_faults;
 mod control;
@@ -18,22 +19,23 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The environment variable that names the control file to the preloaded library.
+/// The environment variable that holds the control file's path, read by the preload library.
 pub const CONTROL_FILE_VARIABLE: &str = "FAULT_INJECTION_CONTROL";
 
-/// The rate of what happens always. All rates are in millionths.
+/// The rate of a fault that always occurs. All rates are probabilities in millionths.
 pub const ALWAYS: u64 = 1_000_000;
 
-/// Whether something of this rate, in millionths, happens now. Draws a number unless the rate is 0.
-fn happens(rate: u64, random: &mut impl FnMut() -> u64) -> bool {
+/// Returns `true` with probability `rate`, in millionths. Draws one random number unless the rate
+/// is 0.
+fn draw_bool(rate: u64, random: &mut impl FnMut() -> u64) -> bool {
     rate > 0 && random() % ALWAYS < rate
 }
 
-/// Takes one from a count. Returns `false` where there is none left.
-fn take_one(count: &AtomicU64) -> bool {
+/// Decrements a count atomically. Returns `false` if it is 0 and stays so.
+fn try_decrement(count: &AtomicU64) -> bool {
     count
-        .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
-            left.checked_sub(1)
+        .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |value| {
+            value.checked_sub(1)
         })
         .is_ok()
 }
--- a/crates/fault-injection/src/system_call.rs
+++ b/crates/fault-injection/src/system_call.rs
@@ -1,39 +1,40 @@
-//! The system calls that can fail.
+//! The system calls whose failures a test can inject.
 
-/// A system call that can be made to fail. Its position is its place in the shared memory.
+/// A system call that can be made to fail. Its discriminant is the index of its failures in the
+/// shared memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCall {
-    /// `socket`.
+    /// `socket`, which creates a socket.
     Socket,
-    /// `bind`.
+    /// `bind`, which assigns an address to a socket.
     Bind,
-    /// `listen`.
+    /// `listen`, which makes a socket accept connections.
     Listen,
-    /// `connect`.
+    /// `connect`, which starts a connection to a peer.
     Connect,
-    /// `accept4`.
+    /// `accept4`, which takes a connection from a listening socket.
     Accept,
-    /// `epoll_wait`, for which EINTR alone makes sense.
+    /// `epoll_wait`. Only `EINTR` is a meaningful error for it.
     EpollWait,
-    /// `poll`, for which EINTR alone makes sense.
+    /// `poll`. Only `EINTR` is a meaningful error for it.
     Poll,
-    /// `recv` on a TCP socket that the process has connected itself.
+    /// `recv` on a TCP socket that the process connected itself, as opposed to one it accepted.
     Receive,
     /// `send` and `writev` on a TCP socket.
     Send,
-    /// `open` of a regular file for reading.
+    /// `open64` of a file for reading only.
     OpenRead,
-    /// `open` of a regular file for writing.
+    /// `open64` of a file for writing, or for both reading and writing.
     OpenWrite,
-    /// `write` to a regular file.
+    /// `write` to a regular file, except on the standard streams.
     Write,
-    /// `fsync` and `fdatasync`.
+    /// `fsync` and `fdatasync`, which flush a file to the disk.
     Sync,
-    /// `rename`.
+    /// `rename`, which moves a file to another path.
     Rename,
 }
 
 impl SystemCall {
-    /// How many there are.
+    /// The number of system calls in this enum.
     pub(crate) const COUNT: usize = SystemCall::Rename as usize + 1;
 }
--- a/crates/fault-injection/tests/faults_and_pauses.rs
+++ b/crates/fault-injection/tests/faults_and_pauses.rs
@@ -1,4 +1,5 @@
-//! The control file as both sides see it.
+//! Tests the control file from both sides: a test that configures faults and the preload library
+//! that draws them.
 
 use fault_injection::{ControlFile, SystemCall};
 use std::path::Path;
@@ -7,13 +8,14 @@
 const PAUSE: Duration = Duration::from_millis(150);
 const SECOND: Duration = Duration::from_secs(1);
 
+/// Creates a control file in the tests' temporary folder.
 fn control_file(name: &str) -> ControlFile {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     ControlFile::create(&path).expect("a control file")
 }
 
 #[test]
-fn failures_are_drawn_as_directed_and_counted() {
+fn failures_are_drawn_as_configured_and_counted() {
     let control = control_file("failures");
     let faults = control.faults(SystemCall::Accept);
     assert_eq!(faults.draw(|| 0), None);
@@ -32,7 +34,7 @@
 }
 
 #[test]
-fn pauses_are_drawn_as_directed_and_counted() {
+fn pauses_are_drawn_as_configured_and_counted() {
     let control = control_file("pauses");
     let pauses = &control.after_epoll_wait;
     pauses.pause_next(1, PAUSE);
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn stepped_wall_clock_stays_when_faults_are_cleared() {
+fn wall_clock_offset_stays_when_faults_are_cleared() {
     let control = control_file("clock");
     control.step_wall_clock(-3600);
     control.clear_faults();
