--- a/crates/fault-injection-preload/src/clock.rs
+++ b/crates/fault-injection-preload/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks and pauses.
+//! The replacement of `clock_gettime`, and pauses of the calling thread.
 
 use crate::control::fault_control;
 use crate::next_symbol;
@@ -10,11 +10,12 @@
 
 const NANOSECONDS_PER_SECOND: i64 = 1_000_000_000;
 
-/// The C library's function of this name, with the wall clock set off as the control file directs.
+/// Replaces the C library's `clock_gettime`. Adds the control file's offset to the wall clock
+/// (`CLOCK_REALTIME`); other clocks are unchanged.
 ///
 /// # Safety
 ///
-/// As for the C library's function.
+/// The caller must meet the requirements of the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut timespec) -> c_int {
     let result = next_symbol::clock_gettime(clock, time);
@@ -26,9 +27,11 @@
     result
 }
 
-/// Pauses the calling thread if the control file directs so.
-pub(crate) fn draw_pause(control: &FaultControl, pauses: &Pauses) {
-    /// When the last pause ended, by the monotonic clock in nanoseconds.
+/// Pauses the calling thread if `pauses` draws a pause. A random pause keeps its minimum gap from
+/// the end of the process's last pause, at whichever place that was.
+pub(crate) fn maybe_pause(control: &FaultControl, pauses: &Pauses) {
+    /// When the process's last pause ended, on the monotonic clock in nanoseconds; 0 before the
+    /// first pause.
     static LAST_ENDED: AtomicU64 = AtomicU64::new(0);
     let since_last = || {
         let elapsed = monotonic_nanoseconds().saturating_sub(LAST_ENDED.load(Ordering::Relaxed));
@@ -40,26 +43,29 @@
     }
 }
 
+/// Converts a time to nanoseconds.
 fn nanoseconds(time: &timespec) -> i64 {
     time.tv_sec * NANOSECONDS_PER_SECOND + time.tv_nsec
 }
 
+/// Reads the monotonic clock, in nanoseconds.
 fn monotonic_nanoseconds() -> u64 {
     let mut time = timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: The pointer is to a valid structure of this function.
+    // SAFETY: The pointer is to a valid local `timespec`.
     unsafe { next_symbol::clock_gettime(libc::CLOCK_MONOTONIC, &raw mut time) };
     nanoseconds(&time) as u64
 }
 
+/// Sleeps for `length`, also if signals arrive meanwhile.
 fn pause(length: Duration) {
-    let mut left = timespec {
+    let mut remaining = timespec {
         tv_sec: length.as_secs() as i64,
         tv_nsec: i64::from(length.subsec_nanos()),
     };
-    // SAFETY: Both pointers are to one valid structure of this function. A signal interrupts the
-    // sleep, which then goes on with the time that is left.
-    unsafe { while libc::nanosleep(&raw const left, &raw mut left) != 0 {} }
+    // SAFETY: Both pointers are to the same valid local `timespec`. If a signal interrupts the
+    // sleep, the loop sleeps for the remaining time.
+    unsafe { while libc::nanosleep(&raw const remaining, &raw mut remaining) != 0 {} }
 }
--- a/crates/fault-injection-preload/src/control.rs
+++ b/crates/fault-injection-preload/src/control.rs
@@ -1,12 +1,14 @@
-//! The process's side of the shared memory.
+//! The mapping of the shared memory in the process under test.
 
 use fault_injection::{FaultControl, CONTROL_FILE_VARIABLE};
 use libc::c_int;
 use std::ffi::{CStr, CString};
 use std::sync::OnceLock;
 
-/// The control file, mapped at its first use and until the process ends. `None`: there is none, and
-/// nothing is changed.
+/// Returns the control file's contents, mapped at the first call and until the process ends.
+///
+/// Returns `None` if the environment names no control file or it cannot be mapped; the library then
+/// changes nothing.
 pub(crate) fn fault_control() -> Option<&'static FaultControl> {
     static CONTROL: OnceLock<Option<&'static FaultControl>> = OnceLock::new();
     *CONTROL.get_or_init(|| {
@@ -15,9 +17,11 @@
     })
 }
 
+/// Maps the control file at `path`. Returns `None` if it cannot be opened or mapped.
 fn map(path: &CStr) -> Option<&'static FaultControl> {
-    // SAFETY: The system calls are made directly, so that no function of this library is entered
-    // again. The file holds a `FaultControl`, whose fields are atomic; the mapping is never undone.
+    // SAFETY: The file holds a `FaultControl`, whose fields are atomic, and the mapping is never
+    // removed. The file is opened and closed by direct system calls, so that none of this library's
+    // functions is entered again.
     unsafe {
         let file = libc::syscall(
             libc::SYS_openat,
--- a/crates/fault-injection-preload/src/event_loop.rs
+++ b/crates/fault-injection-preload/src/event_loop.rs
@@ -1,6 +1,6 @@
-//! The functions in which an event loop waits.
+//! The replacements of the functions in which an event loop waits.
 
-use crate::clock::draw_pause;
+use crate::clock::maybe_pause;
 use crate::control::fault_control;
 use crate::failures::{draw_failure, fail, failing_functions};
 use crate::next_symbol;
@@ -11,11 +11,12 @@
     Poll: poll(fds: *mut pollfd, count: libc::nfds_t, timeout: c_int);
 }
 
-/// The C library's function of this name, with failures, and with pauses after it.
+/// Replaces the C library's `epoll_wait`. Injects failures, and pauses after a call that is carried
+/// out.
 ///
 /// # Safety
 ///
-/// As for the C library's function.
+/// The caller must meet the requirements of the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
@@ -23,12 +24,12 @@
     max_events: c_int,
     timeout: c_int,
 ) -> c_int {
-    if let Some(number) = draw_failure(SystemCall::EpollWait) {
-        return fail(number);
+    if let Some(errno) = draw_failure(SystemCall::EpollWait) {
+        return fail(errno);
     }
     let ready = next_symbol::epoll_wait(fd, events, max_events, timeout);
     if let Some(control) = fault_control() {
-        draw_pause(control, &control.after_epoll_wait);
+        maybe_pause(control, &control.after_epoll_wait);
     }
     ready
 }
--- a/crates/fault-injection-preload/src/failures.rs
+++ b/crates/fault-injection-preload/src/failures.rs
@@ -1,35 +1,37 @@
-//! How a call of this library fails.
+//! Failures of the replaced functions.
 
 use crate::control::fault_control;
 use crate::random::random;
 use fault_injection::SystemCall;
 use libc::c_int;
 
-/// The error number with which this call fails, if it does.
+/// Decides whether this call fails. Returns the error number to fail with, or `None` if the call
+/// should be carried out or there is no control file.
 pub(crate) fn draw_failure(call: SystemCall) -> Option<c_int> {
     let control = fault_control()?;
     control.faults(call).draw(|| random(control))
 }
 
-/// Sets the error number, and returns what a failed call returns.
-pub(crate) fn fail(number: c_int) -> c_int {
-    // SAFETY: The pointer is to the calling thread's own error number.
-    unsafe { *libc::__errno_location() = number };
+/// Sets the calling thread's `errno` and returns -1, the result of a failed call.
+pub(crate) fn fail(errno: c_int) -> c_int {
+    // SAFETY: The pointer is to the calling thread's own `errno`.
+    unsafe { *libc::__errno_location() = errno };
     -1
 }
 
-/// Defines functions that fail as the control file directs, and otherwise call the C library's.
+/// Defines replacements of C library functions. Each fails if [`draw_failure`] returns an error
+/// number for the given [`SystemCall`], and otherwise calls the C library's function.
 macro_rules! failing_functions {
-    ($($call:ident: $name:ident($($argument:ident: $kind:ty),*);)*) => {$(
-        /// The C library's function of this name, with failures.
+    ($($call:ident: $name:ident($($argument:ident: $argument_type:ty),*);)*) => {$(
+        /// Replaces the C library's function of the same name. Injects failures.
         ///
         /// # Safety
         ///
-        /// As for the C library's function.
+        /// The caller must meet the requirements of the C library's function.
         #[no_mangle]
-        pub unsafe extern "C" fn $name($($argument: $kind),*) -> libc::c_int {
+        pub unsafe extern "C" fn $name($($argument: $argument_type),*) -> libc::c_int {
             match $crate::failures::draw_failure(fault_injection::SystemCall::$call) {
-                Some(number) => $crate::failures::fail(number),
+                Some(errno) => $crate::failures::fail(errno),
                 None => $crate::next_symbol::$name($($argument),*),
             }
         }
--- a/crates/fault-injection-preload/src/lib.rs
+++ b/crates/fault-injection-preload/src/lib.rs
@@ -1,11 +1,12 @@
-//! A library to preload into a process under test. It stands in for some of the C library's functions
-//! and makes them fail, pause or give another time, as the control file directs that the environment
-//! variable [`fault_injection::CONTROL_FILE_VARIABLE`] names. Without one it changes nothing.
+//! A library to load into a process under test with `LD_PRELOAD`. It replaces some of the C
+//! library's functions and makes them fail, pause or return a shifted time, as configured in the
+//! control file whose path is in the environment variable
+//! [`fault_injection::CONTROL_FILE_VARIABLE`]. Without a control file it changes nothing.
 //!
-//! Only TCP sockets and regular files have faults of reads and writes: the runtime's own pipes, events
-//! and signals, and the log, never fail.
+//! Reads and writes have faults only on TCP sockets and regular files: those on the runtime's own
+//! pipes, event and signal descriptors and on the log never fail.
 
-#![allow(unsafe_code)] // Stands in for functions of the C library.
+#![allow(unsafe_code)] // Replaces functions of the C library.
 
 mod clock;
 mod control;
--- a/crates/fault-injection-preload/src/next_symbol.rs
+++ b/crates/fault-injection-preload/src/next_symbol.rs
@@ -1,30 +1,32 @@
-//! The C library's own functions, which this library's functions of the same names hide.
+//! Calls to the C library's own functions, which are hidden by this library's functions of the same
+//! names.
 
 use libc::{c_char, c_int, c_uint, c_void, iovec, pollfd, sockaddr, socklen_t, ssize_t, timespec};
 use std::sync::atomic::{AtomicPtr, Ordering};
 
-/// Defines functions that look up the next symbol of their name, once, and call it.
+/// Defines functions that call the next symbol of their name in the dynamic linker's search order.
+/// Each looks its symbol up at the first call and keeps the address.
 macro_rules! next_symbols {
-    ($(fn $name:ident($($argument:ident: $kind:ty),*) -> $result:ty;)*) => {$(
-        pub(crate) unsafe fn $name($($argument: $kind),*) -> $result {
-            static FOUND: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
-            let mut found = FOUND.load(Ordering::Relaxed);
-            if found.is_null() {
-                found = libc::dlsym(libc::RTLD_NEXT, concat!(stringify!($name), "\0").as_ptr().cast());
-                if found.is_null() {
-                    libc::abort(); // No C library lacks it.
+    ($(fn $name:ident($($argument:ident: $argument_type:ty),*) -> $result:ty;)*) => {$(
+        pub(crate) unsafe fn $name($($argument: $argument_type),*) -> $result {
+            static SYMBOL: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
+            let mut symbol = SYMBOL.load(Ordering::Relaxed);
+            if symbol.is_null() {
+                symbol = libc::dlsym(libc::RTLD_NEXT, concat!(stringify!($name), "\0").as_ptr().cast());
+                if symbol.is_null() {
+                    libc::abort(); // Every C library has this function.
                 }
-                FOUND.store(found, Ordering::Relaxed);
+                SYMBOL.store(symbol, Ordering::Relaxed);
             }
             // SAFETY: The symbol of this name is the C library's function, which has this type.
-            let function: unsafe extern "C" fn($($kind),*) -> $result = std::mem::transmute(found);
+            let function: unsafe extern "C" fn($($argument_type),*) -> $result = std::mem::transmute(symbol);
             function($($argument),*)
         }
     )*};
 }
 
 next_symbols! {
-    fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int;
+    fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int;
     fn bind(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int;
     fn listen(fd: c_int, backlog: c_int) -> c_int;
     fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int;
--- a/crates/fault-injection-preload/src/sockets.rs
+++ b/crates/fault-injection-preload/src/sockets.rs
@@ -1,6 +1,6 @@
-//! Functions on sockets.
+//! The replacements of functions on sockets.
 
-use crate::clock::draw_pause;
+use crate::clock::maybe_pause;
 use crate::control::fault_control;
 use crate::failures::{draw_failure, fail, failing_functions};
 use crate::next_symbol;
@@ -9,40 +9,41 @@
 use libc::{c_int, c_void, iovec, sockaddr, socklen_t, ssize_t};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Bytes that a short read or write moves.
+/// Number of bytes that a short read or write transfers at most.
 const SHORT_IO_BYTES: usize = 3;
-/// Descriptors of which the origin is known.
+/// Number of descriptors, from 0 on, whose origin is tracked; higher ones count as accepted.
 const TRACKED_DESCRIPTORS: usize = 4096;
 
-/// Marks the descriptors of connections that the process has made, not accepted.
+/// For each descriptor, whether the process connected it itself, as opposed to accepting it.
 static CONNECTED: [AtomicBool; TRACKED_DESCRIPTORS] =
     [const { AtomicBool::new(false) }; TRACKED_DESCRIPTORS];
 
 failing_functions! {
-    Socket: socket(domain: c_int, kind: c_int, protocol: c_int);
+    Socket: socket(domain: c_int, socket_type: c_int, protocol: c_int);
     Bind: bind(fd: c_int, address: *const sockaddr, length: socklen_t);
     Listen: listen(fd: c_int, backlog: c_int);
 }
 
-/// The C library's function of this name, with failures.
+/// Replaces the C library's `connect`. Injects failures, and marks the descriptor as connected by
+/// the process itself.
 ///
 /// # Safety
 ///
-/// As for the C library's function.
+/// The caller must meet the requirements of the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if let Some(number) = draw_failure(SystemCall::Connect) {
-        return fail(number);
+    if let Some(errno) = draw_failure(SystemCall::Connect) {
+        return fail(errno);
     }
     set_connected(fd, true);
     next_symbol::connect(fd, address, length)
 }
 
-/// The C library's function of this name, with failures.
+/// Replaces the C library's `accept4`. Injects failures, and marks the new descriptor as accepted.
 ///
 /// # Safety
 ///
-/// As for the C library's function.
+/// The caller must meet the requirements of the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     fd: c_int,
@@ -50,34 +51,35 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(number) = draw_failure(SystemCall::Accept) {
-        return fail(number);
+    if let Some(errno) = draw_failure(SystemCall::Accept) {
+        return fail(errno);
     }
     let accepted = next_symbol::accept4(fd, address, length, flags);
     set_connected(accepted, false);
     accepted
 }
 
-/// The C library's function of this name, with pauses before it where it ends the sending.
+/// Replaces the C library's `shutdown`. Pauses before a call that shuts down only the sending half
+/// (`SHUT_WR`).
 ///
 /// # Safety
 ///
-/// As for the C library's function.
+/// The caller must meet the requirements of the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn shutdown(fd: c_int, how: c_int) -> c_int {
     if let Some(control) = fault_control().filter(|_| how == libc::SHUT_WR) {
-        draw_pause(control, &control.before_shutdown);
+        maybe_pause(control, &control.before_shutdown);
     }
     next_symbol::shutdown(fd, how)
 }
 
-/// The C library's function of this name, with short reads on TCP sockets, and with failures on those
-/// that the process has connected itself: the end of an accepted connection may not show as an error
-/// of which its peer knows nothing.
+/// Replaces the C library's `recv`. Shortens reads on TCP sockets, and injects failures on those
+/// that the process connected itself. Accepted connections get no failures: the process must not
+/// see such a connection end with an error that its peer knows nothing of.
 ///
 /// # Safety
 ///
-/// As for the C library's function.
+/// The caller must meet the requirements of the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     fd: c_int,
@@ -92,16 +94,16 @@
         .then(|| draw_failure(SystemCall::Receive))
         .flatten();
     match failure {
-        Some(number) => fail(number) as ssize_t,
+        Some(errno) => fail(errno) as ssize_t,
         None => next_symbol::recv(fd, buffer, draw_io_length(length), flags),
     }
 }
 
-/// The C library's function of this name, with failures and short writes on TCP sockets.
+/// Replaces the C library's `send`. Injects failures and shortens writes on TCP sockets.
 ///
 /// # Safety
 ///
-/// As for the C library's function.
+/// The caller must meet the requirements of the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     fd: c_int,
@@ -113,23 +115,24 @@
         return next_symbol::send(fd, buffer, length, flags);
     }
     match draw_failure(SystemCall::Send) {
-        Some(number) => fail(number) as ssize_t,
+        Some(errno) => fail(errno) as ssize_t,
         None => next_symbol::send(fd, buffer, draw_io_length(length), flags),
     }
 }
 
-/// The C library's function of this name, with failures and short writes on TCP sockets.
+/// Replaces the C library's `writev`. Injects failures and shortens writes on TCP sockets. A short
+/// write sends only the beginning of the first buffer, by `send` with `MSG_NOSIGNAL`.
 ///
 /// # Safety
 ///
-/// As for the C library's function.
+/// The caller must meet the requirements of the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     if fault_control().is_none() || !is_tcp(fd) {
         return next_symbol::writev(fd, parts, count);
     }
-    if let Some(number) = draw_failure(SystemCall::Send) {
-        return fail(number) as ssize_t;
+    if let Some(errno) = draw_failure(SystemCall::Send) {
+        return fail(errno) as ssize_t;
     }
     let first = (count > 0).then(|| &*parts);
     let shortened =
@@ -140,7 +143,8 @@
     }
 }
 
-/// How many of `length` bytes a read or write moves.
+/// Decides how many of `length` bytes a read or write may transfer: [`SHORT_IO_BYTES`] if it is
+/// drawn to be short, otherwise all.
 fn draw_io_length(length: usize) -> usize {
     match fault_control() {
         Some(control) if length > SHORT_IO_BYTES && control.draw_short_io(|| random(control)) => {
@@ -150,10 +154,11 @@
     }
 }
 
+/// Whether the descriptor is an IPv4 socket, which is taken for a TCP socket.
 fn is_tcp(fd: c_int) -> bool {
     let mut domain: c_int = 0;
     let mut length = size_of::<c_int>() as socklen_t;
-    // SAFETY: The pointers are to an integer and to its length.
+    // SAFETY: The pointers are to a local integer and to its length.
     let result = unsafe {
         libc::getsockopt(
             fd,
@@ -166,17 +171,20 @@
     result == 0 && domain == libc::AF_INET
 }
 
-/// Whether the process has made the connection itself.
+/// Whether the process connected the descriptor itself. `false` if its origin is not tracked.
 fn is_connected(fd: c_int) -> bool {
     connected_mark(fd).is_some_and(|mark| mark.load(Ordering::Relaxed))
 }
 
+/// Records whether the process connected the descriptor itself. Does nothing for a negative or
+/// untracked descriptor.
 fn set_connected(fd: c_int, connected: bool) {
     if let Some(mark) = connected_mark(fd) {
         mark.store(connected, Ordering::Relaxed);
     }
 }
 
+/// Returns the descriptor's entry in [`CONNECTED`], or `None` if it is negative or not tracked.
 fn connected_mark(fd: c_int) -> Option<&'static AtomicBool> {
     CONNECTED.get(usize::try_from(fd).ok()?)
 }
