--- a/crates/soak-test/src/invariants/attempts.rs
+++ b/crates/soak-test/src/invariants/attempts.rs
@@ -1,5 +1,6 @@
-//! Attempts as backends see them, with [`Invariant::DeadlinePropagation`] and the part of
-//! [`Invariant::NoLostRequest`] that concerns clients that have gone.
+//! Records attempts as backends see them and runs the checks of each attempt. Contains the checks
+//! of [`Invariant::DeadlinePropagation`], and those of [`Invariant::NoLostRequest`] that concern
+//! clients that have disconnected.
 
 use super::requests::RequestRecord;
 use super::{Invariant, InvariantChecker, Problem, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
@@ -9,51 +10,56 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// No attempt starts later than this after its client has closed.
-const CLIENT_GONE_LIMIT: Duration = Duration::from_millis(100);
-/// The time that a backend is given may be this much longer than what is left.
+/// No attempt may start later than this after its client has closed the connection.
+const CLIENT_DISCONNECT_LIMIT: Duration = Duration::from_millis(100);
+/// The `X-Timeout` that a backend is given may be this much longer than the time remaining to the
+/// request.
 const TIMEOUT_ALLOWANCE: Duration = Duration::from_millis(150);
 
-/// What is known of whether an attempt was executed.
+/// Whether a backend may have executed an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// It was not, and will not be.
+    /// It has not been executed and will not be.
     Never,
-    /// It may have been, or may be yet.
+    /// It may have been executed, or may still be.
     Possible,
 }
 
-/// An attempt that has reached a backend.
+/// What a backend reports of an attempt that has reached it.
 pub struct AttemptArrival {
-    /// Position of the backend.
+    /// The backend that the attempt reached.
     pub backend: BackendIndex,
-    /// When its first byte was seen.
+    /// When the backend saw its first byte.
     pub first_byte: Instant,
-    /// How long the node waits, by its `X-Timeout`.
+    /// How long the node waits for the response, by the attempt's `X-Timeout`. `None` if that is
+    /// missing or invalid.
     pub timeout: Option<Duration>,
-    /// The connection on which it came.
+    /// The socket of the connection on which it came, to see whether that is still open.
     pub socket: Weak<TcpStream>,
 }
 
-/// Names an attempt to the checker.
+/// Identifies an attempt that was reported to the checker.
 #[derive(Clone, Debug)]
 pub struct AttemptId {
-    /// Id of the request.
+    /// Id of the request, from its `X-Request-ID`.
     pub request: String,
-    /// Position among the request's attempts.
+    /// Index among the request's attempts, in order of arrival.
     index: usize,
 }
 
-/// What is known of an attempt.
+/// What the checker knows of an attempt that has reached a backend.
 pub(super) struct AttemptRecord {
     pub(super) backend: BackendIndex,
     pub(super) first_byte: Instant,
+    /// [`Execution::Possible`] until the backend reports otherwise.
     pub(super) execution: Execution,
+    /// Whether the attempt has ended at its backend, which responds to it.
     answered: bool,
     socket: Weak<TcpStream>,
 }
 
 impl AttemptRecord {
+    /// Creates the record of an attempt that has just arrived.
     fn new(arrival: AttemptArrival) -> Self {
         AttemptRecord {
             backend: arrival.backend,
@@ -64,11 +70,13 @@
         }
     }
 
+    /// Returns whether the backend may have executed the attempt, or may still do so.
     pub(super) fn may_have_executed(&self) -> bool {
         self.execution == Execution::Possible
     }
 
-    /// Whether the node still waits for its response.
+    /// Returns whether the node still waits for the response: the attempt has not ended at its
+    /// backend and its connection is open.
     pub(super) fn is_in_flight(&self) -> bool {
         let socket = self.socket.upgrade();
         !self.answered && socket.is_some_and(|socket| Connection::is_open(&socket))
@@ -76,7 +84,8 @@
 }
 
 impl InvariantChecker {
-    /// An attempt has reached a backend. Returns `None` where no client sent the request.
+    /// Records that an attempt has reached a backend, and checks the invariants of attempts.
+    /// Returns `None`, and records a violation, if no client sent the request.
     pub fn attempt_arrived(
         &mut self,
         request_id: &str,
@@ -87,7 +96,7 @@
             let backend = arrival.backend;
             self.violated(
                 Invariant::NoInventedMessage,
-                format!("backend {backend} got request {request_id}, which no client sent"),
+                format!("backend {backend} received request {request_id}, which no client sent"),
             );
             return None;
         }
@@ -99,12 +108,13 @@
             index: request.attempts.len() - 1,
         };
         for problem in problems {
-            self.violated_by_request(&problem, request_id);
+            self.violated_for_request(&problem, request_id);
         }
         Some(attempt)
     }
 
-    /// An attempt has ended at its backend.
+    /// Records that an attempt has ended at its backend, which is about to respond, and whether it
+    /// may have been executed.
     pub fn attempt_ended(&mut self, attempt: &AttemptId, execution: Execution) {
         let Some(request) = self.requests.get_mut(&attempt.request) else {
             return;
@@ -114,7 +124,8 @@
         record.answered = true;
     }
 
-    /// What is wrong with one more attempt of a request.
+    /// Returns what is wrong with one more attempt of a request; empty if it breaks no invariant.
+    /// Counts the attempt for the check of slow start.
     fn attempt_problems(&mut self, request_id: &str, arrival: &AttemptArrival) -> Vec<Problem> {
         let Some(request) = self.requests.get(request_id) else {
             return Vec::new();
@@ -122,18 +133,18 @@
         let node = request.node;
         let (backend, first_byte) = (arrival.backend, arrival.first_byte);
         let duplicate = self.duplicate_problem(request, backend, first_byte);
-        let client_gone = client_gone_problem(request, first_byte);
+        let client_disconnected = client_disconnected_problem(request, first_byte);
         let deadline = deadline_problem(request, arrival);
         let drain = self.drain_problem(node, backend, first_byte);
         let maintenance = self.maintenance_problem(node, backend, first_byte);
         let slow_start = self.slow_start_problem(node, backend, first_byte);
         [
-            Problem::of(Invariant::NoDuplicateExecution, duplicate),
-            Problem::of(Invariant::NoLostRequest, client_gone),
-            Problem::of(Invariant::DeadlinePropagation, deadline),
-            Problem::of(Invariant::SafeDrain, drain),
-            Problem::of(Invariant::SafeDrain, maintenance),
-            Problem::of(Invariant::SlowStart, slow_start),
+            Problem::from_check(Invariant::NoDuplicateExecution, duplicate),
+            Problem::from_check(Invariant::NoLostRequest, client_disconnected),
+            Problem::from_check(Invariant::DeadlinePropagation, deadline),
+            Problem::from_check(Invariant::SafeDrain, drain),
+            Problem::from_check(Invariant::SafeDrain, maintenance),
+            Problem::from_check(Invariant::SlowStart, slow_start),
         ]
         .into_iter()
         .flatten()
@@ -141,27 +152,36 @@
     }
 }
 
-fn client_gone_problem(request: &RequestRecord, first_byte: Instant) -> Option<String> {
-    let gone = request.client_gone?;
-    let limit = gone + CLIENT_GONE_LIMIT + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
+/// Describes the problem of an attempt that reached a backend too long after its client had
+/// disconnected. `None` if the attempt is allowed.
+fn client_disconnected_problem(request: &RequestRecord, first_byte: Instant) -> Option<String> {
+    let disconnected_at = request.client_disconnected_at?;
+    let limit = disconnected_at + CLIENT_DISCONNECT_LIMIT + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
     if first_byte <= limit {
         return None;
     }
-    let late = (first_byte - gone).as_millis();
-    Some(format!("attempt {late} ms after its client had gone"))
+    let elapsed_ms = (first_byte - disconnected_at).as_millis();
+    Some(format!(
+        "attempt sent {elapsed_ms} ms after its client disconnected"
+    ))
 }
 
+/// Describes the problem of an attempt whose `X-Timeout` is missing, invalid or longer than the
+/// time remaining to the request, which counts from the client's last byte. `None` if the attempt
+/// is allowed.
 fn deadline_problem(request: &RequestRecord, arrival: &AttemptArrival) -> Option<String> {
     let Some(timeout) = arrival.timeout else {
-        return Some("an attempt without X-Timeout".to_owned());
+        return Some("attempt without a valid X-Timeout".to_owned());
     };
     let elapsed = request.sent.map_or(Duration::ZERO, |sent| {
         arrival.first_byte.saturating_duration_since(sent)
     });
-    let left = request.timeout.saturating_sub(elapsed);
-    if timeout <= left + TIMEOUT_ALLOWANCE + OBSERVER_ALLOWANCE {
+    let remaining = request.timeout.saturating_sub(elapsed);
+    if timeout <= remaining + TIMEOUT_ALLOWANCE + OBSERVER_ALLOWANCE {
         return None;
     }
-    let (timeout, left) = (timeout.as_millis(), left.as_millis());
-    Some(format!("{timeout} ms given to a backend, {left} ms left"))
+    let (timeout_ms, remaining_ms) = (timeout.as_millis(), remaining.as_millis());
+    Some(format!(
+        "attempt with an X-Timeout of {timeout_ms} ms, with {remaining_ms} ms remaining"
+    ))
 }
--- a/crates/soak-test/src/invariants/drain.rs
+++ b/crates/soak-test/src/invariants/drain.rs
@@ -1,5 +1,6 @@
-//! [`Invariant::SafeDrain`](super::Invariant::SafeDrain): no attempt starts at a backend longer than
-//! the grace period after its node was notified that the backend drains or is removed.
+//! Checks [`Invariant::SafeDrain`](super::Invariant::SafeDrain) for drains: once a node was
+//! notified that a backend drains or is removed, and the grace period has passed, it starts no
+//! attempt there. Maintenance has its checks in [`maintenance`](super::maintenance).
 
 use super::{InvariantChecker, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
 use crate::discovery_mode::DiscoveryMode;
@@ -7,47 +8,59 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// A node counts as notified of a change this long after discovery had it and could be reached.
+/// A node counts as notified of a change this long after discovery had the change and responded to
+/// calls.
 const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
-/// A node counts as notified of a change this long after a reload.
+/// A node counts as notified of a change this long after a reload, or after the change if that is
+/// later, provided that discovery responded to calls at some time since the change.
 const NOTIFICATION_LIMIT_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// What discovery tells during an upgrade binds this long after the new process was ready.
+/// What discovery writes to a node during an upgrade counts as a notification no earlier than this
+/// long after the new process was ready.
 const UPGRADE_ALLOWANCE: Duration = Duration::from_secs(2);
-/// A watch that was silent may miss changes for this long after the silence began.
+/// For this long after discovery became silent, a watch may miss changes: a watch that was silenced
+/// stays so, and its node needs time to notice and replace it.
 const SILENT_WATCH_LIMIT: Duration = Duration::from_secs(12);
-/// Nodes call discovery ten times a second: they may miss one that is up for less time.
+/// Nodes call discovery ten times a second, so they may miss a period shorter than this in which it
+/// responds.
 const MIN_REACHABLE_PERIOD: Duration = Duration::from_millis(250);
 
-/// What discovery has written to a node's process.
+/// What a node was told by discovery since its process started, and the events that affect when it
+/// counts as notified.
 #[derive(Clone)]
 pub(super) struct NodeNotifications {
+    /// When the node's process was last started, upgrades excluded.
     process_started: Instant,
+    /// When the process was last signalled to reload its configuration. `None` if it never was.
     last_reload: Option<Instant>,
-    /// When it was written that a backend drains or is removed, by backend.
+    /// When discovery first wrote to the node that a backend drains or is not listed, by backend.
     drains_written: HashMap<BackendIndex, Instant>,
-    /// When a backend's start was written, by backend.
+    /// When discovery first wrote a backend's latest start to the node, by backend.
     starts_written: HashMap<BackendIndex, Instant>,
+    /// The latest upgrade since the process was started. `None` if there was none.
     upgrade: Option<Upgrade>,
 }
 
-/// The latest upgrade of a node: what is written to one of its processes the other need not know.
+/// An upgrade of a node: from its start on, what is written to one of the node's two processes is
+/// not necessarily known to the other.
 #[derive(Clone, Copy)]
 struct Upgrade {
+    /// When the new process was started.
     began: Instant,
-    /// When the new process was ready.
+    /// When the new process was ready. `None` while it is not.
     ready: Option<Instant>,
 }
 
 impl Upgrade {
-    /// When a notification binds that came at `at`; `None` while that is not known.
-    fn binds_at(self, at: Instant) -> Option<Instant> {
-        let binds_from = self.ready? + UPGRADE_ALLOWANCE;
-        Some(at.max(binds_from))
+    /// Returns when both processes count as notified of what was written at `at`, during or after
+    /// the upgrade. `None` while the new process is not ready.
+    fn effective_at(self, at: Instant) -> Option<Instant> {
+        let effective_from = self.ready? + UPGRADE_ALLOWANCE;
+        Some(at.max(effective_from))
     }
 }
 
 impl NodeNotifications {
-    /// Of a process that starts now.
+    /// Creates the record of a process that starts at `process_started` and was told nothing yet.
     pub(super) fn new(process_started: Instant) -> Self {
         NodeNotifications {
             process_started,
@@ -58,34 +71,35 @@
         }
     }
 
-    /// When a notification binds that came at `at`; `None` while that is not known.
-    fn binds_at(&self, at: Instant) -> Option<Instant> {
+    /// Returns when the node counts as notified of what it was told at `at`: at once, unless an
+    /// upgrade had begun by then. `None` while the new process of that upgrade is not ready.
+    fn effective_at(&self, at: Instant) -> Option<Instant> {
         match self.upgrade {
-            Some(upgrade) if at >= upgrade.began => upgrade.binds_at(at),
+            Some(upgrade) if at >= upgrade.began => upgrade.effective_at(at),
             _ => Some(at),
         }
     }
 
-    /// Whether a backend's start was written before `at`.
-    pub(super) fn knew_start(&self, backend: BackendIndex, at: Instant) -> bool {
+    /// Returns whether the node counted as notified of a backend's latest start before `at`.
+    pub(super) fn was_notified_of_start(&self, backend: BackendIndex, at: Instant) -> bool {
         let written = self.starts_written.get(&backend);
-        let known = written.and_then(|&written| self.binds_at(written));
-        known.is_some_and(|known| known < at)
+        let notified = written.and_then(|&written| self.effective_at(written));
+        notified.is_some_and(|notified| notified < at)
     }
 
-    /// Forgets a backend's earlier start.
+    /// Forgets that an earlier start of a backend was written, because the backend starts again.
     pub(super) fn forget_start(&mut self, backend: BackendIndex) {
         self.starts_written.remove(&backend);
     }
 }
 
 impl InvariantChecker {
-    /// A node's process starts.
+    /// Records that a node's process is started, and forgets what its predecessor was told.
     pub fn node_started(&mut self, node: NodeIndex) {
         self.nodes[node.0] = NodeNotifications::new(Instant::now());
     }
 
-    /// A new process of a node is started beside the old one.
+    /// Records that a new process of a node is started while the old one still runs.
     pub fn upgrade_started(&mut self, node: NodeIndex) {
         self.nodes[node.0].upgrade = Some(Upgrade {
             began: Instant::now(),
@@ -93,19 +107,20 @@
         });
     }
 
-    /// The new process of an upgrade is ready.
+    /// Records that the new process of a node's upgrade is ready.
     pub fn upgrade_ready(&mut self, node: NodeIndex) {
         if let Some(upgrade) = &mut self.nodes[node.0].upgrade {
             upgrade.ready = Some(Instant::now());
         }
     }
 
-    /// A node was signalled to read its configuration again.
+    /// Records that a node is signalled to reload its configuration.
     pub fn node_reloaded(&mut self, node: NodeIndex) {
         self.nodes[node.0].last_reload = Some(Instant::now());
     }
 
-    /// Discovery has written to a node that a backend drains or is removed.
+    /// Records that discovery writes to a node that a backend drains or is not listed. Only the
+    /// first such call of a process counts.
     pub fn drain_written(&mut self, node: NodeIndex, backend: BackendIndex) {
         self.nodes[node.0]
             .drains_written
@@ -113,7 +128,8 @@
             .or_insert_with(Instant::now);
     }
 
-    /// Discovery has written a backend's start to a node.
+    /// Records that discovery writes a backend's start to a node. Only the first call after each
+    /// start counts.
     pub fn start_written(&mut self, node: NodeIndex, backend: BackendIndex) {
         self.nodes[node.0]
             .starts_written
@@ -121,65 +137,74 @@
             .or_insert_with(Instant::now);
     }
 
-    /// A backend begins to drain or is removed.
+    /// Records that a backend begins to drain or is removed. Only the first call counts.
     pub fn backend_taken_out(&mut self, backend: BackendIndex) {
         self.backends[backend.0]
             .taken_out
             .get_or_insert_with(Instant::now);
     }
 
-    /// What is wrong with an attempt that began at `first_byte`, if the backend drains.
+    /// Describes the problem of an attempt that reached a backend at `first_byte`, longer than the
+    /// grace period after the node was notified that the backend drains or is removed. `None` if
+    /// the attempt is allowed.
     pub(super) fn drain_problem(
         &self,
         node: NodeIndex,
         backend: BackendIndex,
         first_byte: Instant,
     ) -> Option<String> {
-        let notified = self.notified_of_drain(node, backend)?;
+        let notified = self.drain_notified_at(node, backend)?;
         let limit = notified + self.plan.drain_grace + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
         if first_byte <= limit {
             return None;
         }
-        let late = (first_byte - notified).as_millis();
+        let elapsed_ms = (first_byte - notified).as_millis();
         let discovery = self.discovery.describe(self.traffic_started);
         Some(format!(
-            "sent to backend {backend}, {late} ms after the node was notified (discovery: {discovery})"
+            "attempt sent to backend {backend} {elapsed_ms} ms after the node was notified of its \
+             drain or removal (discovery: {discovery})"
         ))
     }
 
-    /// When a node counted as notified that a backend drains or is removed, if it did.
-    fn notified_of_drain(&self, node: NodeIndex, backend: BackendIndex) -> Option<Instant> {
+    /// Returns when a node counted as notified that a backend drains or is removed, by whichever
+    /// way was first: a poll, a watch, a reload, or what discovery is known to have written to it.
+    /// `None` if it does not count as notified yet.
+    fn drain_notified_at(&self, node: NodeIndex, backend: BackendIndex) -> Option<Instant> {
         let taken_out = self.backends[backend.0].taken_out?;
         let notifications = &self.nodes[node.0];
         let since = taken_out.max(notifications.process_started);
         let reachable =
             self.discovery
-                .first_period(since, Duration::ZERO, DiscoveryMode::is_responding);
+                .first_period_start(since, Duration::ZERO, DiscoveryMode::is_responding);
         let by_poll = reachable.map(|at| at + NOTIFICATION_LIMIT);
         let by_reload = notifications
             .last_reload
             .filter(|_| reachable.is_some())
             .map(|reload| since.max(reload) + NOTIFICATION_LIMIT_AFTER_RELOAD);
         let written = notifications.drains_written.get(&backend).copied();
-        let notified = [by_poll, self.pushed_after(since), by_reload, written]
+        let notified = [by_poll, self.pushed_at(since), by_reload, written]
             .into_iter()
             .flatten()
             .min()?;
-        notifications.binds_at(notified)
+        notifications.effective_at(notified)
     }
 
-    /// When a change since `since` counted as pushed, where lists are pushed.
-    fn pushed_after(&self, since: Instant) -> Option<Instant> {
+    /// Returns when a change that was made at `since` counted as pushed to watches. `None` if the
+    /// plan has no pushed lists, if discovery has not been prompt for long enough since then, or if
+    /// watches may still have been silent.
+    fn pushed_at(&self, since: Instant) -> Option<Instant> {
         if !self.plan.discovery_pushed {
             return None;
         }
-        let at =
-            self.discovery
-                .first_period(since, MIN_REACHABLE_PERIOD, DiscoveryMode::is_prompt)?;
-        // What a silent watch misses has longer.
+        let at = self.discovery.first_period_start(
+            since,
+            MIN_REACHABLE_PERIOD,
+            DiscoveryMode::is_prompt,
+        )?;
+        // A silenced watch may miss the change, which then counts as notified only by other ways.
         let watches_work = self
             .discovery
-            .last_silence(at)
+            .last_silence_start(at)
             .is_none_or(|silence| at - silence > SILENT_WATCH_LIMIT);
         watches_work.then_some(at)
     }
--- a/crates/soak-test/src/invariants/duplicates.rs
+++ b/crates/soak-test/src/invariants/duplicates.rs
@@ -1,5 +1,6 @@
-//! [`Invariant::NoDuplicateExecution`](super::Invariant::NoDuplicateExecution) at attempts: what may
-//! have been executed is repeated only as its class allows.
+//! Checks [`Invariant::NoDuplicateExecution`](super::Invariant::NoDuplicateExecution) for attempts:
+//! a request that may have been executed is sent again only as its class allows. Rejections are
+//! checked in [`responses`](super::responses).
 
 use super::attempts::AttemptRecord;
 use super::requests::RequestRecord;
@@ -8,7 +9,8 @@
 use std::time::Instant;
 
 impl InvariantChecker {
-    /// What is wrong with one more attempt at a backend, if anything is.
+    /// Describes the problem of one more attempt of `request`, which reached `backend` at
+    /// `first_byte`. `None` if the request's class and the plan's hedging allow it.
     pub(super) fn duplicate_problem(
         &self,
         request: &RequestRecord,
@@ -17,7 +19,7 @@
     ) -> Option<String> {
         let any_in_flight = || request.attempts.iter().any(AttemptRecord::is_in_flight);
         if !self.plan.hedging_allowed && any_in_flight() {
-            return Some("another attempt is in flight".to_owned());
+            return Some("attempt sent while another is in flight, without hedging".to_owned());
         }
         let class = &self.plan.classes[request.class.0];
         let earlier = request
@@ -27,24 +29,31 @@
         let problem = match class.idempotency {
             Idempotency::Idempotent => return None,
             Idempotency::NonIdempotent => {
-                "a non-idempotent request is sent again that may have been executed"
+                "non-idempotent request sent again although it may have been executed"
             }
-            Idempotency::Keyed if !self.in_scope(class.key_scope, earlier.backend, backend) => {
-                "a keyed request is sent outside its key's scope"
+            Idempotency::Keyed
+                if !self.are_in_same_scope(class.key_scope, earlier.backend, backend) =>
+            {
+                "keyed request sent again outside the scope of its key"
             }
             Idempotency::Keyed => {
                 let window_end = earlier.first_byte + class.key_window;
                 if first_byte <= window_end + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE {
                     return None;
                 }
-                "a keyed request is sent again after its window"
+                "keyed request sent again after its key window"
             }
         };
         Some(problem.to_owned())
     }
 
-    /// Whether two backends deduplicate each other's keys.
-    fn in_scope(&self, scope: KeyScope, first: BackendIndex, second: BackendIndex) -> bool {
+    /// Returns whether two backends deduplicate each other's idempotency keys under `scope`.
+    fn are_in_same_scope(
+        &self,
+        scope: KeyScope,
+        first: BackendIndex,
+        second: BackendIndex,
+    ) -> bool {
         let (first, second) = (self.plan.locations[first.0], self.plan.locations[second.0]);
         match scope {
             KeyScope::All => true,
--- a/crates/soak-test/src/invariants/maintenance.rs
+++ b/crates/soak-test/src/invariants/maintenance.rs
@@ -1,34 +1,39 @@
-//! Backends that operators have taken out of use at a node, and the admin calls that do so.
+//! Records which backends operators have put into maintenance at which node, checks
+//! [`Invariant::SafeDrain`] for them, and records the admin calls that failed.
 
 use super::{Invariant, InvariantChecker, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
 use crate::plan::{BackendIndex, NodeIndex};
 use std::time::{Duration, Instant};
 
-/// An admin call is answered within this time.
+/// Time within which an admin call must be answered.
 pub const ADMIN_CALL_LIMIT: Duration = Duration::from_secs(1);
 
 impl InvariantChecker {
-    /// A node has confirmed that a backend is in maintenance there.
+    /// Records that a node has confirmed that a backend is in maintenance there. Only the first
+    /// call since the last [`maintenance_ended`](Self::maintenance_ended) counts.
     pub fn maintenance_started(&mut self, node: NodeIndex, backend: BackendIndex) {
         self.maintenance
             .entry((node, backend))
             .or_insert_with(Instant::now);
     }
 
-    /// A node is asked to use a backend again.
+    /// Records that a node is asked to use a backend again.
     pub fn maintenance_ended(&mut self, node: NodeIndex, backend: BackendIndex) {
         self.maintenance.remove(&(node, backend));
     }
 
-    /// An admin call was not answered as it has to be.
+    /// Records a violation of [`Invariant::AdminCall`]: `call` is the path that was called, and
+    /// `problem` says what is wrong with the answer.
     pub fn admin_call_failed(&mut self, node: NodeIndex, call: &str, problem: &str) {
         self.violated(
             Invariant::AdminCall,
-            format!("node {node}: {call}: {problem}"),
+            format!("node {node}: admin call {call}: {problem}"),
         );
     }
 
-    /// What is wrong with an attempt that began at `first_byte`, if the backend is in maintenance.
+    /// Describes the problem of an attempt that reached a backend at `first_byte`, longer than the
+    /// grace period after the node confirmed that the backend is in maintenance. `None` if the
+    /// attempt is allowed.
     pub(super) fn maintenance_problem(
         &self,
         node: NodeIndex,
@@ -40,9 +45,9 @@
         if first_byte <= limit {
             return None;
         }
-        let late = (first_byte - confirmed).as_millis();
+        let elapsed_ms = (first_byte - confirmed).as_millis();
         Some(format!(
-            "sent to backend {backend}, {late} ms after its maintenance was confirmed"
+            "attempt sent to backend {backend} {elapsed_ms} ms after its maintenance was confirmed"
         ))
     }
 }
--- a/crates/soak-test/src/invariants/mod.rs
+++ b/crates/soak-test/src/invariants/mod.rs
@@ -1,8 +1,8 @@
-//! What nodes have to guarantee, as seen from outside them: by clients, backends and discovery
-//! together.
+//! Checks the invariants of nodes from the outside: by what clients, backends, discovery and
+//! operators do and see.
 //!
-//! [`InvariantChecker`] gets a call for each thing that one of them does or sees. Each invariant has a
-//! module of its own, which adds its checks to the checker.
+//! Each of them calls [`InvariantChecker`] for every event that it causes or observes. The checks
+//! are divided among the submodules, each of which adds an `impl` block to the checker.
 
 mod attempts;
 mod discovery_timeline;
@@ -27,42 +27,52 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// What delays of the observer itself may add to any time.
+/// Added to every time limit: the delay that the soak test itself, as the observer, may add to a
+/// measured time.
 pub const OBSERVER_ALLOWANCE: Duration = Duration::from_millis(80);
-/// Every time limit is this much longer on sockets than in the simulator.
+/// Added to time limits, which are this much longer on sockets than in the simulator.
 const SOCKET_ALLOWANCE: Duration = Duration::from_millis(50);
 
-/// What a node has to guarantee.
+/// A guarantee that every node must keep under all faults of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Invariant {
-    /// Each request gets one final response in time, and nothing starts for a client that has gone.
+    /// Each request gets one final response in time, and no attempt starts for a client that has
+    /// disconnected.
     NoLostRequest,
-    /// Nothing is executed more often than its class allows, and a rejection promises no less.
+    /// No request may be executed more often than its class allows, or have two attempts in flight
+    /// without hedging. A request is rejected (429 or 503) only if its client may send it again
+    /// without exceeding what its class allows.
     NoDuplicateExecution,
-    /// No attempt starts at backends that drain, are removed or are in maintenance.
+    /// No attempt starts at a backend that drains, is removed or is in maintenance, later than the
+    /// grace period after the node was notified of that or confirmed the maintenance.
     SafeDrain,
-    /// No backend in slow start is overloaded.
+    /// No backend in slow start is overloaded by nodes that were notified of its start.
     SlowStart,
-    /// Backends are given no more time than is left.
+    /// Each attempt carries an `X-Timeout`, of no more than the time remaining to the request.
     DeadlinePropagation,
-    /// No request reaches backends that no client sent, and no response clients that no backend made.
+    /// No request reaches a backend unless a client sent it, and no successful response reaches a
+    /// client unless a backend sent it. Bodies arrive unaltered.
     NoInventedMessage,
-    /// Peers that send no proper request get an error or a close in time.
+    /// A peer that sends a malformed or incomplete request gets an error response or a closed
+    /// connection in time.
     MalformedPeerRejected,
-    /// A node starts, is ready in time, and ends only when it is signalled to.
+    /// A node's process starts, is ready in time, and exits only when it is signalled to. At the
+    /// end of the run it exits in time.
     ProcessLifecycle,
-    /// An admin call gets the right answer in time.
+    /// An admin call gets the right answer in time: any error other than 404 (the backend is not
+    /// listed) only if the operator state could not be stored.
     AdminCall,
 }
 
-/// A violated invariant.
+/// One violation of an invariant, as it is printed in the run's report.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Which.
+    /// The invariant that was violated.
     pub invariant: Invariant,
-    /// When, from the beginning of the traffic.
+    /// When the violation was noticed, from the start of the traffic; before the traffic, from the
+    /// start of the run.
     pub at: Duration,
-    /// What happened.
+    /// What happened, with the trace of the request if it concerns one.
     pub description: String,
 }
 
@@ -78,15 +88,16 @@
     }
 }
 
-/// What is wrong with a request, an attempt or a response.
+/// A violation that a check has found in a request, an attempt or a response, not yet recorded.
 struct Problem {
     invariant: Invariant,
     description: String,
 }
 
 impl Problem {
-    /// The problem that a check of this invariant has found, if it has found one.
-    fn of(invariant: Invariant, description: Option<String>) -> Option<Self> {
+    /// Turns the result of a check of `invariant` into a problem. `None` if the check found
+    /// nothing.
+    fn from_check(invariant: Invariant, description: Option<String>) -> Option<Self> {
         description.map(|description| Problem {
             invariant,
             description,
@@ -94,24 +105,27 @@
     }
 }
 
-/// Totals of one run.
+/// Counts of requests and attempts over one run, for its report. A request that is reported as lost
+/// counts in `requests` alone.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Totals {
-    /// Requests sent.
+    /// Requests that clients began to send.
     pub requests: u64,
     /// Requests answered with 200.
     pub served: u64,
     /// Requests answered with 429 or 503.
     pub rejected: u64,
-    /// Requests answered otherwise.
+    /// Requests answered with any other status, or with a response that was interrupted.
     pub failed: u64,
-    /// Attempts that reached backends.
+    /// Attempts that reached backends, including any whose request no client sent.
     pub attempts: u64,
-    /// Requests whose connection was closed unread, reset with its node, or left by their clients.
+    /// Requests that the node left unread, whose node was killed, or whose client disconnected
+    /// before the response.
     pub unanswered: u64,
 }
 
-/// Checks the invariants of one run.
+/// Checks the invariants of one run: records what clients, backends, discovery and operators
+/// report, and collects the violations.
 pub struct InvariantChecker {
     plan: Plan,
     traffic_started: Instant,
@@ -119,7 +133,8 @@
     nodes: Vec<NodeNotifications>,
     backends: Vec<BackendRecord>,
     discovery: DiscoveryTimeline,
-    /// When a node confirmed that a backend is in maintenance there.
+    /// When a node confirmed that it has put a backend into maintenance; holds only backends that
+    /// are in maintenance.
     maintenance: HashMap<(NodeIndex, BackendIndex), Instant>,
     totals: Totals,
     violations: Vec<Violation>,
@@ -127,7 +142,8 @@
 }
 
 impl InvariantChecker {
-    /// The checker of a run that begins now.
+    /// Creates the checker of a run of `plan` that starts now. Until
+    /// [`traffic_started`](Self::traffic_started) is called, times count from this moment.
     pub fn new(plan: &Plan) -> Self {
         let now = Instant::now();
         InvariantChecker {
@@ -146,22 +162,24 @@
         }
     }
 
-    /// The traffic begins now.
+    /// Records that the traffic starts now. The times of violations and traces count from this
+    /// moment.
     pub fn traffic_started(&mut self) {
         self.traffic_started = Instant::now();
     }
 
-    /// Discovery behaves like this from now on.
+    /// Records that discovery behaves as `mode` says from now on.
     pub fn discovery_mode_changed(&mut self, mode: DiscoveryMode) {
         self.discovery.push(Instant::now(), mode);
     }
 
-    /// The observer itself was late by this much.
+    /// Records that the soak test itself, as the observer, was late by `lag`. Only the maximum is
+    /// kept.
     pub fn observer_lagged(&mut self, lag: Duration) {
         self.max_observer_lag = self.max_observer_lag.max(lag);
     }
 
-    /// Notes a violated invariant.
+    /// Records a violation of `invariant` that is noticed now.
     pub fn violated(&mut self, invariant: Invariant, description: String) {
         self.violations.push(Violation {
             invariant,
@@ -170,24 +188,26 @@
         });
     }
 
-    /// Notes a violated invariant at a request, with the request's trace.
-    fn violated_by_request(&mut self, problem: &Problem, request_id: &str) {
+    /// Records a violation that concerns a request, and appends the request's trace to its
+    /// description.
+    fn violated_for_request(&mut self, problem: &Problem, request_id: &str) {
         let trace = self.trace(request_id);
         let description = format!("{}: {trace}", problem.description);
         self.violated(problem.invariant, description);
     }
 
-    /// What was counted.
+    /// Returns the counts so far.
     pub fn totals(&self) -> Totals {
         self.totals
     }
 
-    /// The violated invariants, in order of time.
+    /// Returns the violations so far, in the order in which they were noticed.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// The longest time by which the observer itself was late.
+    /// Returns the longest time by which the observer itself was late. The run proves nothing if it
+    /// is long.
     pub fn max_observer_lag(&self) -> Duration {
         self.max_observer_lag
     }
--- a/crates/soak-test/src/invariants/requests.rs
+++ b/crates/soak-test/src/invariants/requests.rs
@@ -1,4 +1,5 @@
-//! What clients do with their requests, and the trace of a request.
+//! Records requests as their clients see them, and formats the trace of a request for the
+//! description of a violation.
 
 use super::attempts::AttemptRecord;
 use super::{Invariant, InvariantChecker, Problem};
@@ -6,30 +7,31 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// What is known of a request.
+/// What the checker knows of a request.
 pub(super) struct RequestRecord {
-    /// Position of its class in the plan.
+    /// Its class in the plan.
     pub(super) class: ClassIndex,
-    /// Position of the node to which it was sent.
+    /// The node to which it was sent.
     pub(super) node: NodeIndex,
-    /// When its client had written its last byte.
+    /// When its client had written its last byte. `None` while it has not.
     pub(super) sent: Option<Instant>,
-    /// How long its client waits.
+    /// How long its client waits for the response after the last byte, by its `X-Timeout`.
     pub(super) timeout: Duration,
-    /// When its client closed the connection without a response.
-    pub(super) client_gone: Option<Instant>,
+    /// When its client closed the connection without a response. `None` while it has not.
+    pub(super) client_disconnected_at: Option<Instant>,
+    /// Its attempts, in the order in which they reached backends.
     pub(super) attempts: Vec<AttemptRecord>,
 }
 
 impl RequestRecord {
-    /// Whether any attempt may have been executed.
+    /// Returns whether any of its attempts may have been executed, or may still be.
     pub(super) fn may_have_executed(&self) -> bool {
         self.attempts.iter().any(AttemptRecord::may_have_executed)
     }
 }
 
 impl InvariantChecker {
-    /// A client begins to write a request.
+    /// Records that a client begins to write a request, for whose response it waits for `timeout`.
     pub fn request_started(
         &mut self,
         id: &str,
@@ -43,28 +45,28 @@
             node,
             sent: None,
             timeout,
-            client_gone: None,
+            client_disconnected_at: None,
             attempts: Vec::new(),
         };
         self.requests.insert(id.to_owned(), request);
     }
 
-    /// A client has written a request's last byte.
+    /// Records that a client has written a request's last byte, from which the deadline counts.
     pub fn request_sent(&mut self, id: &str) {
         if let Some(request) = self.requests.get_mut(id) {
             request.sent = Some(Instant::now());
         }
     }
 
-    /// A client has closed its connection without a response.
+    /// Records that a client has closed its connection without a response.
     pub fn client_disconnected(&mut self, id: &str) {
         self.totals.unanswered += 1;
         if let Some(request) = self.requests.get_mut(id) {
-            request.client_gone = Some(Instant::now());
+            request.client_disconnected_at = Some(Instant::now());
         }
     }
 
-    /// Whether a backend has restarted since an attempt of this request reached it.
+    /// Returns whether any backend has restarted since an attempt of this request reached it.
     pub fn backend_restarted(&self, id: &str) -> bool {
         let Some(request) = self.requests.get(id) else {
             return false;
@@ -75,34 +77,36 @@
         })
     }
 
-    /// A response that the node had begun to forward ended early, for the backend's or the network's
-    /// sake, and the client can tell.
+    /// Records that a response that the node had begun to forward ended early because the backend
+    /// or the network failed, which the client can detect. This is no violation.
     pub fn response_interrupted(&mut self) {
         self.totals.failed += 1;
     }
 
-    /// A request was not read, or its node was killed: its client may send it again.
+    /// Records that a request was not read, or that its node was killed, so that its client may
+    /// send it again. This is no violation.
     pub fn request_unread(&mut self) {
         self.totals.unanswered += 1;
     }
 
-    /// A request has no response, which nothing that its client did excuses.
-    pub fn request_lost(&mut self, id: &str, why: &str) {
+    /// Records a violation of [`Invariant::NoLostRequest`]: a request has no complete response, and
+    /// nothing that its client did excuses that. `reason` says how the request was lost.
+    pub fn request_lost(&mut self, id: &str, reason: &str) {
         let problem = Problem {
             invariant: Invariant::NoLostRequest,
-            description: why.to_owned(),
+            description: reason.to_owned(),
         };
-        self.violated_by_request(&problem, id);
+        self.violated_for_request(&problem, id);
     }
 
-    /// Whether any attempt of a request has reached a backend.
+    /// Returns whether any attempt of a request has reached a backend.
     pub fn was_forwarded(&self, id: &str) -> bool {
         self.requests
             .get(id)
             .is_some_and(|request| !request.attempts.is_empty())
     }
 
-    /// What became of a request, as text. Times are from the beginning of the traffic.
+    /// Formats what happened to a request so far. Times count from the start of the traffic.
     pub(super) fn trace(&self, id: &str) -> String {
         let Some(request) = self.requests.get(id) else {
             return format!("request {id}, which no client sent");
@@ -111,15 +115,19 @@
         let mut trace = format!("request {id} ({class}) at node {}", request.node);
         if let Some(sent) = request.sent {
             let (sent, timeout) = (self.trace_time(sent), request.timeout.as_millis());
-            let _ = write!(trace, ", sent {sent}, timeout {timeout} ms");
+            let _ = write!(trace, ", sent at {sent}, timeout {timeout} ms");
         }
-        if let Some(gone) = request.client_gone {
-            let _ = write!(trace, ", client gone {}", self.trace_time(gone));
+        if let Some(disconnected_at) = request.client_disconnected_at {
+            let _ = write!(
+                trace,
+                ", client disconnected at {}",
+                self.trace_time(disconnected_at)
+            );
         }
         for attempt in &request.attempts {
             let _ = write!(
                 trace,
-                ", attempt at backend {} {} (execution: {:?})",
+                ", attempt reached backend {} at {} (execution: {:?})",
                 attempt.backend,
                 self.trace_time(attempt.first_byte),
                 attempt.execution
@@ -128,6 +136,8 @@
         trace
     }
 
+    /// Formats a time for a trace, in milliseconds from the start of the traffic (0 for earlier
+    /// times).
     fn trace_time(&self, at: Instant) -> String {
         let elapsed = at.saturating_duration_since(self.traffic_started);
         format!("{:.0} ms", elapsed.as_secs_f64() * 1e3)
--- a/crates/soak-test/src/invariants/responses.rs
+++ b/crates/soak-test/src/invariants/responses.rs
@@ -1,5 +1,5 @@
-//! Final responses: they come in time, successes are made by a backend, and rejections promise a
-//! harmless retry only where that holds.
+//! Checks final responses: they come in time, the body of a successful one was sent by a backend,
+//! and a rejection promises that a retry is harmless only if it is.
 
 use super::requests::RequestRecord;
 use super::{Invariant, InvariantChecker, Problem, OBSERVER_ALLOWANCE, SOCKET_ALLOWANCE};
@@ -7,30 +7,31 @@
 use crate::plan::{Idempotency, KeyScope};
 use std::time::{Duration, Instant};
 
-/// Larger bodies are streamed.
+/// Largest response body, in bytes, that a node buffers; larger ones are streamed.
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// A final response comes no later than this after its deadline.
+/// Time after the request's deadline by which the final response must have come.
 pub const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(500);
 
 impl InvariantChecker {
-    /// A client has its final response.
+    /// Records that a client has received its final response, and checks the invariants of
+    /// responses.
     pub fn response_received(&mut self, id: &str, status: u16, response: &Message) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         let problems = [
-            late_problem(request, status, response),
-            Problem::of(
+            late_response_problem(request, status, response),
+            Problem::from_check(
                 Invariant::NoInventedMessage,
-                invention_problem(id, status, &response.body),
+                invented_response_problem(id, status, &response.body),
             ),
-            Problem::of(
+            Problem::from_check(
                 Invariant::NoDuplicateExecution,
                 self.rejection_problem(request, status),
             ),
         ];
         for problem in problems.into_iter().flatten() {
-            self.violated_by_request(&problem, id);
+            self.violated_for_request(&problem, id);
         }
         match status {
             200 => self.totals.served += 1,
@@ -39,23 +40,30 @@
         }
     }
 
-    /// A response of this many bytes differs from what its backend sent.
+    /// Records a violation of [`Invariant::NoInventedMessage`]: a response body of `bytes` bytes
+    /// differs from what the backend sent, which was at least `expected_bytes` long.
     pub fn response_altered(&mut self, id: &str, bytes: usize, expected_bytes: usize) {
         let problem = Problem {
             invariant: Invariant::NoInventedMessage,
-            description: format!("a response of {bytes} bytes, of at least {expected_bytes}"),
+            description: format!(
+                "altered response body of {bytes} bytes, expected at least {expected_bytes}"
+            ),
         };
-        self.violated_by_request(&problem, id);
+        self.violated_for_request(&problem, id);
     }
 
+    /// Describes the problem of a rejection (429 or 503) of a request for which a retry may not be
+    /// harmless. `None` for any other response.
     fn rejection_problem(&self, request: &RequestRecord, status: u16) -> Option<String> {
         let is_rejection = matches!(status, 429 | 503);
-        (is_rejection && !self.may_be_rejected(request))
+        (is_rejection && !self.is_retry_harmless(request))
             .then(|| "rejected although it may have been executed".to_owned())
     }
 
-    /// Whether a rejection's promise holds, that a retry is harmless.
-    fn may_be_rejected(&self, request: &RequestRecord) -> bool {
+    /// Returns whether the promise of a rejection holds: that it is harmless to send the request
+    /// again. After a possible execution this holds for a keyed request only if every backend
+    /// deduplicates its key, and for a non-idempotent request never.
+    fn is_retry_harmless(&self, request: &RequestRecord) -> bool {
         let class = &self.plan.classes[request.class.0];
         match class.idempotency {
             Idempotency::Idempotent => true,
@@ -65,14 +73,22 @@
     }
 }
 
-fn invention_problem(id: &str, status: u16, body: &[u8]) -> Option<String> {
+/// Describes the problem of a 200 response whose body does not begin with the request's id, as the
+/// bodies of backends do. `None` for any other response.
+fn invented_response_problem(id: &str, status: u16, body: &[u8]) -> Option<String> {
     let made_by_backend = body.starts_with(format!("{id} ").as_bytes());
     (status == 200 && !made_by_backend)
-        .then(|| "served with what no backend made for it".to_owned())
+        .then(|| "response 200 with a body that no backend sent for this request".to_owned())
 }
 
-/// Of a response that is too large to be buffered only the first bytes are timed.
-fn late_problem(request: &RequestRecord, status: u16, response: &Message) -> Option<Problem> {
+/// Returns the problem of a response that came too late after the request's deadline. `None` if it
+/// came in time. A response that is too large to be buffered counts as come with its first byte,
+/// any other with its last.
+fn late_response_problem(
+    request: &RequestRecord,
+    status: u16,
+    response: &Message,
+) -> Option<Problem> {
     let deadline = request.sent? + request.timeout;
     let limit = deadline + RESPONSE_ALLOWANCE + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
     let came_at = if response.body.len() > MAX_BUFFERED_BYTES {
@@ -82,6 +98,6 @@
     };
     (came_at > limit).then(|| Problem {
         invariant: Invariant::NoLostRequest,
-        description: format!("the response {status} came too late"),
+        description: format!("response {status} came too late"),
     })
 }
