--- a/crates/soak-test/src/plan/fault.rs
+++ b/crates/soak-test/src/plan/fault.rs
@@ -1,32 +1,34 @@
-//! What goes wrong in a run, and when.
+//! The faults of a plan: what goes wrong in a run, when and for how long.
 
 use super::{BackendIndex, NodeIndex};
 use std::time::Duration;
 
-/// How a backend treats requests.
+/// How a backend responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendBehavior {
-    /// Serves them.
+    /// Executes them and responds with 200.
     Normal,
-    /// Never responds.
+    /// Executes them and never responds.
     Hang,
-    /// Responds with 500.
+    /// Executes them and responds with 500.
     ServerError,
-    /// Responds that it has not executed them.
+    /// Does not execute them, and says so in its response (503 with `X-Not-Processed`).
     Reject,
-    /// Resets the connection once it has read the whole request.
+    /// Reads the whole request, executes it and resets the connection without a response.
     Reset,
-    /// Responds with half a head and resets the connection.
+    /// Executes them, responds with half a head and resets the connection.
     PartialResponse,
-    /// Responds with bytes that are no HTTP.
+    /// Executes them, responds with bytes that are not HTTP and closes the connection.
     Garbage,
-    /// Serves them, and closes the connection soon after without announcing it.
+    /// Executes them, responds with 200, and closes the connection soon after without having
+    /// announced it.
     CloseAfterResponse,
-    /// Responds after a while that it has not executed them.
+    /// Like [`Reject`](Self::Reject), but responds only after a delay.
     RejectLate,
 }
 
-/// The behaviors that are drawn for any fault, in the order in which they are drawn.
+/// The behaviors that a plan draws from for [`Fault::Misbehave`]. Their order decides what a seed
+/// draws.
 pub(super) const FAULTY_BEHAVIORS: [BackendBehavior; 7] = [
     BackendBehavior::Hang,
     BackendBehavior::ServerError,
@@ -37,22 +39,23 @@
     BackendBehavior::CloseAfterResponse,
 ];
 
-/// System calls of nodes that fail at random.
+/// A group of system calls of a node, and the way in which they fail at random.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SystemCallFault {
-    /// `accept` fails, for reasons of one connection or of the system.
+    /// `accept` fails with errors that concern the one connection or the whole system.
     Accept,
-    /// `socket` and `connect` fail.
+    /// `socket` and `connect` fail with errors.
     Connect,
-    /// `epoll_wait` and `poll` are interrupted.
+    /// `epoll_wait` and `poll` are interrupted (EINTR).
     InterruptedWaits,
-    /// Reads and writes move a few bytes only.
+    /// Reads and writes transfer only a few bytes.
     ShortIo,
-    /// Connections break with ETIMEDOUT or EHOSTUNREACH.
+    /// Reads from connections fail with ETIMEDOUT or EHOSTUNREACH.
     BrokenConnections,
 }
 
-/// All faults of system calls, in the order in which they are drawn.
+/// All groups, which a plan draws from for [`Fault::FailSystemCalls`]. Their order decides what a
+/// seed draws.
 pub(super) const SYSTEM_CALL_FAULTS: [SystemCallFault; 5] = [
     SystemCallFault::Accept,
     SystemCallFault::Connect,
@@ -61,59 +64,65 @@
     SystemCallFault::BrokenConnections,
 ];
 
-/// What goes wrong. Nodes and backends are named by their positions.
+/// A kind of fault, or an action of operators, and the nodes or backends that it affects. "For a
+/// while" means for [`ScheduledFault::duration`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Nodes get SIGTERM, and start again once they have ended.
+    /// These nodes get SIGTERM, and are started again once they have exited.
     TerminateNodes(Vec<NodeIndex>),
-    /// Nodes get SIGKILL, and start again at once.
+    /// These nodes get SIGKILL, and are started again at once.
     KillNodes(Vec<NodeIndex>),
-    /// Nodes get a configuration with another address of discovery, and SIGHUP.
+    /// These nodes get a configuration with another address of discovery, and SIGHUP to reload it.
     ReloadNodes(Vec<NodeIndex>),
-    /// Backends begin to drain, and stay up.
+    /// These backends begin to drain, and go on responding.
     DrainBackends(Vec<BackendIndex>),
-    /// Backends leave the endpoint list, and go on responding.
+    /// These backends are removed from the endpoint list, and go on responding.
     RemoveBackends(Vec<BackendIndex>),
-    /// Backends restart under the same id.
+    /// These backends restart under the same ids: their connections are reset and their slow start
+    /// begins.
     RestartBackends(Vec<BackendIndex>),
-    /// Backends that were not listed before start and join.
+    /// These backends, which were not listed before, start and are added to the endpoint list.
     JoinBackends(Vec<BackendIndex>),
-    /// Backends behave like this for a while.
+    /// These backends behave in this way for a while.
     Misbehave(Vec<BackendIndex>, BackendBehavior),
-    /// Discovery refuses every call and ends its watches for a while.
+    /// Discovery resets every call and watch for a while.
     DiscoveryDown,
-    /// Open watches and calls of discovery get no more bytes for a while.
+    /// Discovery sends nothing on calls and watches for a while, but leaves their connections open.
+    /// A call or watch on which something was due in that time stays silent afterwards.
     DiscoverySilent,
-    /// Discovery delays its responses by this much for a while.
+    /// Discovery delays its responses by this duration for a while.
     DiscoverySlow(Duration),
     /// All open watches are reset once.
     ResetWatches,
-    /// System calls of nodes fail for a while.
+    /// System calls of these nodes fail at random for a while.
     FailSystemCalls(Vec<NodeIndex>, SystemCallFault),
-    /// Nodes pause at times between reading events and reacting to them, for a while.
+    /// These nodes pause at random between reading events and reacting to them, for a while.
     PauseNodes(Vec<NodeIndex>),
-    /// The wall clock of nodes is set this many seconds ahead of the system's.
+    /// The wall clock of these nodes is set this many seconds ahead of the system's, or behind it
+    /// if the number is negative.
     StepWallClock(Vec<NodeIndex>, i64),
-    /// Clients disconnect before their response, for a while.
+    /// Some clients disconnect before their response, for a while.
     ImpatientClients,
-    /// Peers that send no proper request come, for a while.
+    /// Some clients are replaced by peers that send a malformed or incomplete request, for a while.
     MalformedPeers,
-    /// A new process of these nodes takes over from the old one, which then gets SIGTERM.
+    /// A new process of each of these nodes takes over from the old one, which then gets SIGTERM.
     UpgradeNodes(Vec<NodeIndex>),
-    /// Operators of these nodes take a backend out of use, and put it back after a while.
+    /// Operators put this backend into maintenance at these nodes, and make it ready again after a
+    /// while.
     Maintenance(Vec<NodeIndex>, BackendIndex),
-    /// These nodes cannot write their operator state, for a while.
+    /// The system calls by which these nodes store their operator state fail at random, for a
+    /// while.
     FailStateWrites(Vec<NodeIndex>),
-    /// Requests come at this multiple of the usual rate, for a while.
+    /// A surge of traffic: requests come at this multiple of the usual rate, for a while.
     Crowd(f64),
 }
 
-/// A fault and its time.
+/// A fault with its time and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// When it begins, from the beginning of the traffic.
+    /// When it begins, from the start of the traffic.
     pub at: Duration,
-    /// How long it lasts, where it lasts.
+    /// How long it lasts. Ignored for faults that happen at one moment.
     pub duration: Duration,
     /// What goes wrong.
     pub fault: Fault,
--- a/crates/soak-test/src/plan/mod.rs
+++ b/crates/soak-test/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! What one seed runs: settings, sizes and faults. All of it is drawn before anything starts, so that a
-//! seed runs the same faults again.
+//! Draws the plan of a seed: its settings, sizes and faults. All of it is drawn before anything
+//! starts, so that a seed always runs the same faults.
 
 mod fault;
 mod operations;
@@ -17,80 +17,85 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Multiple of its present capacity above which a backend in slow start is usually overloaded.
+/// Multiple of its available capacity above which a backend in slow start is overloaded, unless the
+/// plan has a crowd.
 const USUAL_OVERLOAD_MULTIPLE: f64 = 3.0;
-/// A backend in slow start that is overloaded for this long fails.
+/// Duration of overload after which a backend in slow start fails.
 pub const OVERLOAD_DURATION: Duration = Duration::from_secs(1);
-/// Requests that a backend works on at a time.
+/// Number of requests that a backend executes at the same time.
 pub const CORES_PER_BACKEND: usize = 2;
-/// Zones of the cluster.
+/// Names of the zones among which nodes and backends are divided.
 pub const ZONE_NAMES: [&str; 2] = ["east", "west"];
-/// Steps of the wall clock, in seconds.
+/// The steps of the wall clock that a plan draws from, in seconds. Their order decides what a seed
+/// draws.
 const WALL_CLOCK_STEPS: [i64; 4] = [3600, -3600, 5, -5];
 
-/// What a plan is made of.
+/// Which kinds of faults and operations a plan contains.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Scenario {
     /// Faults of nodes, backends, discovery and clients.
     #[default]
     Faults,
-    /// Besides these, what operators do: upgrades and maintenance. Clients send large messages, come
-    /// in crowds, and use the connections that they have for as long as these are open.
+    /// The same faults and, in addition, upgrades and maintenance by operators. Clients send large
+    /// messages, come in surges, and use their connections for as long as these are open.
     Operations,
 }
 
-/// Where a backend is.
+/// The zone and cell of a backend, which decide with which others it deduplicates keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendLocation {
-    /// Position of its zone in [`ZONE_NAMES`].
+    /// Index of its zone in [`ZONE_NAMES`].
     pub zone: usize,
-    /// Number of its cell.
+    /// Number of its cell, from 0.
     pub cell: u16,
 }
 
-/// What one seed runs.
+/// What the run of one seed does: its settings, sizes and faults.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The seed.
+    /// The seed from which the plan was drawn.
     pub seed: u64,
-    /// What the plan is made of.
+    /// Which kinds of faults and operations the plan contains.
     pub scenario: Scenario,
-    /// Number of nodes.
+    /// Number of nodes, each a proxy process of its own.
     pub nodes: usize,
-    /// Number of backends.
+    /// Number of backends, including those that join later.
     pub backends: usize,
-    /// Where each backend is.
+    /// Location of each backend, by [`BackendIndex`].
     pub locations: Vec<BackendLocation>,
-    /// Classes of requests.
+    /// Request classes, by [`ClassIndex`].
     pub classes: Vec<RequestClass>,
-    /// Endpoint lists are pushed, not polled.
+    /// Whether changes of the endpoint list are pushed to nodes; otherwise nodes only poll.
     pub discovery_pushed: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging_allowed: bool,
-    /// Responses carry load reports.
+    /// Whether the backends' responses carry load reports; otherwise backends never report load.
     pub load_reports: bool,
-    /// Requests per second at each node.
+    /// Usual rate of client requests at each node, in requests per second.
     pub requests_per_second: f64,
-    /// Time in which a core of a warm backend serves a request.
+    /// Time in which a core of a backend serves a request.
     pub service_time: Duration,
-    /// Time in which nodes have to stop sending to a draining backend.
+    /// Grace period after which nodes must not start attempts at a backend, from the moment at
+    /// which they were notified of its drain or removal, or confirmed its maintenance.
     pub drain_grace: Duration,
-    /// Fraction of its capacity that a backend has when it starts.
+    /// Fraction of its full capacity, from 0 to 1, that a backend has when it starts.
     pub slow_start_initial_capacity: f64,
     /// Time from its start until a backend has its full capacity.
     pub slow_start_duration: Duration,
-    /// Multiple of its present capacity above which a backend in slow start is overloaded.
+    /// Multiple of its available capacity above which a backend in slow start is overloaded.
     pub overload_multiple: f64,
-    /// Connections to backends are closed after this time without a request.
+    /// Time without a request after which a connection to a backend is closed.
     pub idle_timeout: Duration,
-    /// How long there is traffic.
+    /// How long clients send requests.
     pub traffic_duration: Duration,
-    /// What goes wrong, in order of time.
+    /// The faults, in order of time.
     pub faults: Vec<ScheduledFault>,
 }
 
 impl Plan {
-    /// Draws what a seed runs.
+    /// Draws the plan of a seed in [`Scenario::Faults`], with `nodes` nodes.
+    ///
+    /// The order and number of draws must not change, since a seed names its plan.
     pub fn draw(seed: u64, nodes: usize, traffic_duration: Duration) -> Self {
         let random = &mut SmallRng::seed_from_u64(seed);
         let backends = random.random_range(6..=10);
@@ -119,12 +124,13 @@
         plan
     }
 
-    /// Draws one to three clusters of faults that begin within the same second.
+    /// Draws one to three bursts of two to four faults. The faults of a burst begin within one
+    /// second.
     fn draw_faults(&mut self, random: &mut SmallRng) {
         for _ in 0..random.random_range(1..=3) {
-            let cluster = random.random_range(0.5..self.traffic_duration.as_secs_f64() * 0.6);
+            let burst_start = random.random_range(0.5..self.traffic_duration.as_secs_f64() * 0.6);
             for _ in 0..random.random_range(2..=4) {
-                let at = Duration::from_secs_f64(cluster + random.random_range(0.0..1.0));
+                let at = Duration::from_secs_f64(burst_start + random.random_range(0.0..1.0));
                 let duration = Duration::from_secs_f64(random.random_range(0.5..3.0));
                 let fault = self.draw_fault(random);
                 self.faults.push(ScheduledFault {
@@ -137,10 +143,12 @@
         self.faults.sort_by_key(|fault| fault.at);
     }
 
+    /// Draws a kind of fault and what it affects.
     fn draw_fault(&self, random: &mut SmallRng) -> Fault {
-        // Both are drawn for every fault, so that a seed's draws don't depend on its kind.
-        let nodes = draw_positions(random, self.nodes, NodeIndex);
-        let backends = draw_positions(random, self.backends / 2, BackendIndex);
+        // Both are drawn for every fault, so that these draws don't depend on the kind of the
+        // fault.
+        let nodes = draw_indices(random, self.nodes, NodeIndex);
+        let backends = draw_indices(random, self.backends / 2, BackendIndex);
         match random.random_range(0..17) {
             0 | 1 => Fault::TerminateNodes(nodes),
             2 => Fault::KillNodes(nodes),
@@ -159,14 +167,14 @@
         }
     }
 
-    /// Whether a backend is not listed at first.
+    /// Returns whether a backend joins during the run and is not listed by discovery until then.
     pub fn joins_later(&self, backend: BackendIndex) -> bool {
         self.faults.iter().any(|scheduled| {
             matches!(&scheduled.fault, Fault::JoinBackends(joining) if joining.contains(&backend))
         })
     }
 
-    /// The longest that a client waits.
+    /// Returns the longest deadline of the request classes: no client sets a longer timeout.
     pub fn longest_deadline(&self) -> Duration {
         self.classes
             .iter()
@@ -176,6 +184,7 @@
     }
 }
 
+/// Draws the request classes, one for each [`Idempotency`]. All have the same key scope.
 fn draw_classes(random: &mut SmallRng) -> Vec<RequestClass> {
     let key_scope = choose(random, &[KeyScope::All, KeyScope::Zone, KeyScope::Cell]);
     let mut draw_class = |name, idempotency| RequestClass {
@@ -192,6 +201,7 @@
     ]
 }
 
+/// Draws, with equal probability, slow discovery or a reset of all watches.
 fn draw_slow_discovery_or_reset(random: &mut SmallRng) -> Fault {
     if random.random_bool(0.5) {
         Fault::DiscoverySlow(draw_milliseconds(random, 100..=1500))
@@ -200,6 +210,7 @@
     }
 }
 
+/// Draws, with equal probability, impatient clients or malformed peers.
 fn draw_client_fault(random: &mut SmallRng) -> Fault {
     if random.random_bool(0.5) {
         Fault::ImpatientClients
@@ -208,6 +219,8 @@
     }
 }
 
+/// Returns the location of the backend at this index: zones alternate, and a cell has three
+/// backends.
 fn location(backend: usize) -> BackendLocation {
     BackendLocation {
         zone: backend % ZONE_NAMES.len(),
@@ -215,19 +228,21 @@
     }
 }
 
+/// Draws a whole number of milliseconds in `range`.
 fn draw_milliseconds(random: &mut SmallRng, range: std::ops::RangeInclusive<u64>) -> Duration {
     Duration::from_millis(random.random_range(range))
 }
 
+/// Draws one of `choices`, which must not be empty.
 fn choose<T: Copy>(random: &mut SmallRng, choices: &[T]) -> T {
     *choices.choose(random).expect("there are choices")
 }
 
-/// Up to half of `count` positions, in random order.
-fn draw_positions<T>(random: &mut SmallRng, count: usize, position: impl Fn(usize) -> T) -> Vec<T> {
+/// Draws from one to half (rounded up) of the indices below `count`, in random order.
+fn draw_indices<T>(random: &mut SmallRng, count: usize, to_index: impl Fn(usize) -> T) -> Vec<T> {
     let amount = random.random_range(1..=count.div_ceil(2));
     rand::seq::index::sample(random, count, amount)
         .into_iter()
-        .map(position)
+        .map(to_index)
         .collect()
 }
--- a/crates/soak-test/src/plan/operations.rs
+++ b/crates/soak-test/src/plan/operations.rs
@@ -1,7 +1,8 @@
-//! Plans of [`Scenario::Operations`].
+//! Draws the plans of [`Scenario::Operations`]: upgrades, maintenance, and either a surge of
+//! traffic or impatient clients, in addition to the faults of [`Scenario::Faults`].
 
 use super::{
-    draw_milliseconds, draw_positions, location, BackendBehavior, BackendIndex, Fault, NodeIndex,
+    draw_indices, draw_milliseconds, location, BackendBehavior, BackendIndex, Fault, NodeIndex,
     Plan, Scenario, ScheduledFault, CORES_PER_BACKEND,
 };
 use rand::rngs::SmallRng;
@@ -9,26 +10,31 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Sets the draws of operations apart from those of the faults of the same seed.
+/// Combined with the seed by XOR, so that operations are drawn independently of the seed's faults.
 const SEED_MASK: u64 = 0x6f70_6572_6174_6e73;
-/// How often backends are taken out of use.
+/// Number of times that a plan puts a backend into maintenance.
 const MAINTENANCE_COUNT: usize = 3;
-/// Utilization of the backends by the usual traffic.
+/// Range of the backends' utilization by the usual traffic.
 const USUAL_UTILIZATION: Range<f64> = 0.3..0.5;
-/// Utilization of the backends by a crowd.
+/// Utilization of the backends during a crowd, a surge of traffic ([`Fault::Crowd`]).
 const CROWD_UTILIZATION: f64 = 0.85;
-/// Backends of a plan with a crowd, so that each serves many requests.
+/// Number of backends of a plan with a crowd, few enough for each to serve many requests.
 const CROWD_BACKENDS: usize = 7;
-/// Of these, those that join in the crowd: the last, to which nothing else happens.
+/// Number of backends that join during a crowd: the last ones, which no other fault affects. The
+/// last backends of plans without a crowd are not put into maintenance either.
 const JOINING_BACKENDS: usize = 2;
-/// Multiple of its present capacity above which a backend in slow start is overloaded in a crowd.
+/// Multiple of its available capacity above which a backend in slow start is overloaded, in a plan
+/// with a crowd.
 const CROWD_OVERLOAD_MULTIPLE: f64 = 1.2;
-/// Fraction of their capacity that backends have when they start in a crowd.
+/// Range of the fraction of its full capacity that a backend has when it starts, in a plan with a
+/// crowd.
 const CROWD_INITIAL_CAPACITY: Range<f64> = 0.04..0.08;
 
 impl Plan {
-    /// Draws what a seed runs in [`Scenario::Operations`]: in one half of the seeds with a crowd, in
-    /// the other with clients that leave.
+    /// Draws the plan of a seed in [`Scenario::Operations`], with `nodes` nodes: a seed has either
+    /// a crowd or impatient clients, each with probability 0.5.
+    ///
+    /// The order and number of draws must not change, since a seed names its plan.
     pub fn draw_operations(seed: u64, nodes: usize, traffic_duration: Duration) -> Self {
         let mut plan = Plan::draw(seed, nodes, traffic_duration);
         let random = &mut SmallRng::seed_from_u64(seed ^ SEED_MASK);
@@ -45,7 +51,7 @@
         } else {
             plan.service_time = draw_milliseconds(random, 40..=60);
             plan.slow_start_duration = draw_milliseconds(random, 800..=1500);
-            plan.schedule_impatience(random);
+            plan.schedule_impatient_clients(random);
         }
         plan.requests_per_second = usual_utilization * plan.capacity() / nodes as f64;
         plan.schedule_upgrades(random);
@@ -54,11 +60,13 @@
         plan
     }
 
-    /// Requests per second that all backends can serve together.
+    /// Returns the requests per second that all backends, at full capacity, can serve together.
     fn capacity(&self) -> f64 {
         (self.backends * CORES_PER_BACKEND) as f64 / self.service_time.as_secs_f64()
     }
 
+    /// Adds a fault that begins `at` seconds after the start of the traffic and lasts for
+    /// `duration` seconds.
     fn schedule(&mut self, at: f64, duration: f64, fault: Fault) {
         self.faults.push(ScheduledFault {
             at: Duration::from_secs_f64(at),
@@ -67,33 +75,35 @@
         });
     }
 
-    /// A moment in the first half of the traffic, in seconds.
+    /// Draws a time between 0.5 s and half the duration of the traffic, in seconds from its start.
     fn draw_time(&self, random: &mut SmallRng) -> f64 {
         random.random_range(0.5..self.traffic_duration.as_secs_f64() * 0.5)
     }
 
+    /// Schedules one upgrade of some of the nodes, all at the same time.
     fn schedule_upgrades(&mut self, random: &mut SmallRng) {
-        let nodes = draw_positions(random, self.nodes, NodeIndex);
+        let nodes = draw_indices(random, self.nodes, NodeIndex);
         let at = self.draw_time(random);
         self.schedule(at, 0.0, Fault::UpgradeNodes(nodes));
     }
 
-    /// Maintenance of a few backends, and state files that cannot be written around some of the calls.
+    /// Schedules maintenance of a few backends, and failing writes of the operator state around
+    /// some of the admin calls that begin or end it.
     fn schedule_maintenance(&mut self, random: &mut SmallRng) {
         for _ in 0..MAINTENANCE_COUNT {
-            let nodes = draw_positions(random, self.nodes, NodeIndex);
+            let nodes = draw_indices(random, self.nodes, NodeIndex);
             let backend = BackendIndex(random.random_range(0..self.backends - JOINING_BACKENDS));
             let at = self.draw_time(random);
             let duration = random.random_range(1.0..3.0);
             if random.random_bool(0.7) {
-                let failing_at = at
+                let admin_call_at = at
                     + if random.random_bool(0.5) {
                         0.0
                     } else {
                         duration
                     };
                 self.schedule(
-                    (failing_at - 0.2).max(0.0),
+                    (admin_call_at - 0.2).max(0.0),
                     0.4,
                     Fault::FailStateWrites(nodes.clone()),
                 );
@@ -102,19 +112,23 @@
         }
     }
 
-    /// A crowd, in which some backends join.
-    fn schedule_crowd(&mut self, random: &mut SmallRng, factor: f64) {
+    /// Schedules a crowd at `rate_multiple` times the usual rate, during which some backends join.
+    fn schedule_crowd(&mut self, random: &mut SmallRng, rate_multiple: f64) {
         let at = self.draw_time(random);
         let joining = (self.backends - JOINING_BACKENDS..self.backends).map(BackendIndex);
-        self.schedule(at, 2.5, Fault::Crowd(factor));
+        self.schedule(at, 2.5, Fault::Crowd(rate_multiple));
         self.schedule(at + 0.3, 0.0, Fault::JoinBackends(joining.collect()));
     }
 
-    /// Clients that leave, while backends reject late.
-    fn schedule_impatience(&mut self, random: &mut SmallRng) {
+    /// Schedules clients that disconnect early while some backends reject requests late.
+    fn schedule_impatient_clients(&mut self, random: &mut SmallRng) {
         let at = self.draw_time(random);
-        let late = draw_positions(random, self.backends, BackendIndex);
+        let rejecting = draw_indices(random, self.backends, BackendIndex);
         self.schedule(at, 3.0, Fault::ImpatientClients);
-        self.schedule(at, 3.0, Fault::Misbehave(late, BackendBehavior::RejectLate));
+        self.schedule(
+            at,
+            3.0,
+            Fault::Misbehave(rejecting, BackendBehavior::RejectLate),
+        );
     }
 }
--- a/crates/soak-test/src/plan/positions.rs
+++ b/crates/soak-test/src/plan/positions.rs
@@ -1,14 +1,15 @@
-//! The positions by which nodes, backends and classes are named.
+//! Index types that identify the nodes, backends and request classes of a plan.
 
 use std::fmt;
 
-macro_rules! positions {
+/// Defines index types that print as bare numbers, so that a plan's faults print compactly.
+macro_rules! index_types {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, PartialEq, Eq, Hash)]
         pub struct $name(pub usize);
 
-        /// Prints the bare number.
+        /// Prints the bare number, without the type's name.
         impl fmt::Debug for $name {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 self.0.fmt(f)
@@ -23,11 +24,11 @@
     )*};
 }
 
-positions! {
-    /// Position of a node in the run's fleet.
+index_types! {
+    /// Index of a node among the nodes of a run, from 0.
     NodeIndex;
-    /// Position of a backend in the run's fleet.
+    /// Index of a backend among the backends of a run, from 0.
     BackendIndex;
-    /// Position of a class in [`Plan::classes`](super::Plan::classes).
+    /// Index of a request class in [`Plan::classes`](super::Plan::classes).
     ClassIndex;
 }
--- a/crates/soak-test/src/plan/request_class.rs
+++ b/crates/soak-test/src/plan/request_class.rs
@@ -1,40 +1,42 @@
-//! Classes of requests.
+//! Request classes: which requests may be executed more than once, and how long their clients wait.
 
 use std::time::Duration;
 
-/// How far the requests of a class may be repeated.
+/// How often a request of a class may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Any number of times.
     Idempotent,
-    /// With an idempotency key, within a scope of backends and for a time.
+    /// Any number of times with an idempotency key, within a scope of backends and for a limited
+    /// time.
     Keyed,
-    /// Only once every earlier attempt is known not to have been executed.
+    /// At most once: it may be sent again only if every earlier attempt is known not to have been
+    /// executed.
     NonIdempotent,
 }
 
-/// Backends that deduplicate requests with the same idempotency key.
+/// The backends that together deduplicate requests with the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every backend.
+    /// All backends.
     All,
-    /// The backends of one zone.
+    /// The backends of the same zone.
     Zone,
-    /// The backends of one cell.
+    /// The backends of the same cell.
     Cell,
 }
 
-/// A class of requests.
+/// A request class of a plan: the properties that its requests share.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The first part of its path.
+    /// Its name in the settings, which is also the first segment of its requests' paths.
     pub name: &'static str,
-    /// How far its requests may be repeated.
+    /// How often its requests may be executed.
     pub idempotency: Idempotency,
-    /// Where repeats are deduplicated.
+    /// Which backends deduplicate its requests together; applies if the class is keyed.
     pub key_scope: KeyScope,
-    /// For how long they are.
+    /// For how long they deduplicate them; applies if the class is keyed.
     pub key_window: Duration,
-    /// How long its clients wait in all.
+    /// The longest time that its clients wait for a response in all.
     pub deadline: Duration,
 }
--- a/crates/soak-test/src/plan/settings.rs
+++ b/crates/soak-test/src/plan/settings.rs
@@ -1,18 +1,19 @@
-//! The settings of a run's nodes, as the protocol writes them.
+//! Writes the settings of a run's nodes in the JSON form that nodes read.
 
 use super::{Idempotency, KeyScope, Plan, RequestClass, OVERLOAD_DURATION, ZONE_NAMES};
 use serde_json::{json, Value};
 use std::time::Duration;
 
 impl Plan {
-    /// The settings of a node in the first zone, as JSON.
+    /// Returns the JSON settings of a node in the first zone. For a node in another zone, the
+    /// caller replaces `zone`, an index into [`ZONE_NAMES`].
     pub fn settings(&self) -> Value {
         let registry_mode = if self.discovery_pushed {
             "automatic"
         } else {
             "subscribe"
         };
-        let how = if self.load_reports {
+        let reporting = if self.load_reports {
             "piggyback"
         } else {
             "silent"
@@ -28,7 +29,7 @@
                 "second_copies": self.hedging_allowed, "retry_after": true,
                 "max_retry_after_ns": 500_000_000u64,
             },
-            "report": {"how": how, "fields": ["utilization", "backlog"]},
+            "report": {"how": reporting, "fields": ["utilization", "backlog"]},
             "rules": {
                 "ask_every_ns": 10_000_000_000u64, "cold_from": self.slow_start_initial_capacity,
                 "drain_grace_ns": nanoseconds(self.drain_grace),
@@ -40,6 +41,7 @@
     }
 }
 
+/// Returns the entry of a request class in `profiles`. Its latency objective is half its deadline.
 fn profile(class: &RequestClass) -> Value {
     let effect = match class.idempotency {
         Idempotency::Idempotent => "free",
--- a/crates/soak-test/tests/plan.rs
+++ b/crates/soak-test/tests/plan.rs
@@ -1,4 +1,4 @@
-//! A seed runs the same faults in every version, so that a failure can be run again.
+//! Checks that a seed draws the same plan in every version, so that a failed seed can be run again.
 
 use soak_test::plan::{
     BackendBehavior, BackendIndex, Fault, Idempotency, KeyScope, NodeIndex, Plan, Scenario,
@@ -6,8 +6,11 @@
 };
 use std::time::Duration;
 
+/// The seed whose plan is compared with known values.
 const SEED: u64 = 2;
+/// Number of nodes in each plan.
 const NODES: usize = 4;
+/// Duration of the traffic in each plan, on which the times of the faults depend.
 const TRAFFIC_DURATION: Duration = Duration::from_secs(6);
 
 fn plan() -> Plan {
@@ -18,21 +21,29 @@
     Duration::from_millis(count)
 }
 
-fn nodes(positions: [usize; 2]) -> Vec<NodeIndex> {
-    positions.map(NodeIndex).to_vec()
+fn nodes(indices: [usize; 2]) -> Vec<NodeIndex> {
+    indices.map(NodeIndex).to_vec()
 }
 
-fn backends(positions: [usize; 2]) -> Vec<BackendIndex> {
-    positions.map(BackendIndex).to_vec()
+fn backends(indices: [usize; 2]) -> Vec<BackendIndex> {
+    indices.map(BackendIndex).to_vec()
 }
 
 #[test]
 fn settings_and_sizes_of_a_seed_stay_the_same() {
     let plan = plan();
     assert_eq!((plan.seed, plan.nodes, plan.backends), (2, 4, 9));
-    let cells: Vec<u16> = plan.locations.iter().map(|place| place.cell).collect();
+    let cells: Vec<u16> = plan
+        .locations
+        .iter()
+        .map(|location| location.cell)
+        .collect();
     assert_eq!(cells, [0, 0, 0, 1, 1, 1, 2, 2, 2]);
-    let zones: Vec<usize> = plan.locations.iter().map(|place| place.zone).collect();
+    let zones: Vec<usize> = plan
+        .locations
+        .iter()
+        .map(|location| location.zone)
+        .collect();
     assert_eq!(zones, [0, 1, 0, 1, 0, 1, 0, 1, 0]);
     assert!(!plan.discovery_pushed && !plan.hedging_allowed && plan.load_reports);
     assert_eq!(plan.requests_per_second, 62.945_112_402_707_78);
@@ -60,40 +71,40 @@
     assert!(classes
         .iter()
         .all(|class| class.key_scope == KeyScope::Zone));
-    let windows: Vec<Duration> = classes.iter().map(|class| class.key_window).collect();
-    assert_eq!(windows, [1768, 1431, 1108].map(milliseconds));
+    let key_windows: Vec<Duration> = classes.iter().map(|class| class.key_window).collect();
+    assert_eq!(key_windows, [1768, 1431, 1108].map(milliseconds));
     let deadlines: Vec<Duration> = classes.iter().map(|class| class.deadline).collect();
     assert_eq!(deadlines, [764, 1601, 1547].map(milliseconds));
 }
 
 #[test]
 fn faults_of_a_seed_stay_the_same() {
-    let fault = |at, duration, fault| ScheduledFault {
-        at: Duration::from_nanos(at),
-        duration: Duration::from_nanos(duration),
+    let scheduled_fault = |at_ns, duration_ns, fault| ScheduledFault {
+        at: Duration::from_nanos(at_ns),
+        duration: Duration::from_nanos(duration_ns),
         fault,
     };
     assert_eq!(
         plan().faults,
         [
-            fault(
+            scheduled_fault(
                 1_562_976_517,
                 2_905_596_844,
                 Fault::PauseNodes(nodes([2, 0]))
             ),
-            fault(1_607_445_087, 592_223_309, Fault::KillNodes(nodes([0, 3]))),
-            fault(
+            scheduled_fault(1_607_445_087, 592_223_309, Fault::KillNodes(nodes([0, 3]))),
+            scheduled_fault(
                 1_847_728_756,
                 1_981_226_917,
                 Fault::TerminateNodes(nodes([2, 0]))
             ),
-            fault(
+            scheduled_fault(
                 1_863_286_681,
                 2_835_895_896,
                 Fault::DrainBackends(backends([1, 3]))
             ),
-            fault(2_181_021_717, 847_922_688, Fault::PauseNodes(nodes([0, 2]))),
-            fault(
+            scheduled_fault(2_181_021_717, 847_922_688, Fault::PauseNodes(nodes([0, 2]))),
+            scheduled_fault(
                 2_221_624_858,
                 665_839_901,
                 Fault::Misbehave(backends([1, 2]), BackendBehavior::Garbage)
@@ -108,9 +119,9 @@
     let plan = draw();
     assert_eq!(plan.scenario, Scenario::Operations);
     assert_eq!(plan.faults, draw().faults);
-    let is_operation = |fault: &&ScheduledFault| {
+    let is_operation = |scheduled: &&ScheduledFault| {
         matches!(
-            fault.fault,
+            scheduled.fault,
             Fault::UpgradeNodes(_) | Fault::Maintenance(..) | Fault::FailStateWrites(_)
         )
     };
@@ -133,9 +144,9 @@
     );
 }
 
-/// The faults of a seed are the same in both scenarios.
+/// The plan of a seed with operations contains all faults of its plan without them, and more.
 #[test]
-fn operations_come_beside_the_faults_of_their_seed() {
+fn operations_are_added_to_the_faults_of_their_seed() {
     for seed in 1..50 {
         let faults = Plan::draw(seed, NODES, TRAFFIC_DURATION).faults;
         let plan = Plan::draw_operations(seed, NODES, TRAFFIC_DURATION);
