--- a/crates/soak-test/src/lib.rs
+++ b/crates/soak-test/src/lib.rs
@@ -1,9 +1,10 @@
-//! Runs real proxy processes on loopback under overlapping faults, and checks invariants on what crosses
-//! the sockets.
+//! Runs real proxy processes on loopback under overlapping faults, and checks invariants on the
+//! traffic that crosses the sockets.
 //!
-//! A seed decides settings, sizes and faults ([`plan`]), and runs the same again. [`run()`](run::run)
-//! starts the [`cluster`] of a plan: proxy processes, backends, discovery and clients. What these do
-//! and see goes to the checker of the [`invariants`], which knows nothing of a node's inside.
+//! A seed determines settings, sizes and faults ([`plan`]), so that running it again repeats the
+//! same faults. [`run()`](run::run) starts the [`cluster`] of a plan: proxy processes, backends,
+//! discovery and clients. Their actions and observations are reported to the checker of the
+//! [`invariants`], which sees nothing of a node's internal state.
 
 pub mod backend;
 pub mod clients;
--- a/crates/soak-test/src/main.rs
+++ b/crates/soak-test/src/main.rs
@@ -1,7 +1,8 @@
-//! `soak-test`: runs the plans of consecutive seeds, several at a time.
+//! `soak-test`: runs the plans of consecutive seeds, several in parallel.
 //!
-//! The last lines count the violated invariants and give the verdict; the program fails if any
-//! invariant was violated or any seed proved nothing.
+//! The last lines of the output count the violations of each invariant and give the verdict. The
+//! program fails if any invariant was violated or if any seed had no conclusive run, which the
+//! output calls "unproven".
 
 use clap::Parser;
 use soak_test::invariants::Invariant;
@@ -18,60 +19,69 @@
 use tempfile::TempDir;
 use tokio::task::LocalSet;
 
-/// A run whose observer was later than this proves nothing, and is repeated.
+/// Largest lag of the observer, this program itself, at which a run is conclusive. A run with a
+/// longer lag proves nothing and is repeated.
 const MAX_OBSERVER_LAG: Duration = Duration::from_millis(75);
-/// How often a seed is run at most.
-const MAX_RUNS: usize = 3;
-/// Violations of one run that are printed one by one.
+/// Number of runs after which a seed without a conclusive run is reported as unproven.
+const MAX_RUNS_PER_SEED: usize = 3;
+/// Number of violations of one run that are printed in full; the rest are only counted.
 const MAX_PRINTED_VIOLATIONS: usize = 6;
-/// The first network of the runs within 127.0.0.0/8; each that runs at the same time has its own.
+/// Second octet of the addresses, within 127.0.0.0/8, that the runs of the first job use. Each
+/// further job uses the next number, so that parallel runs have separate addresses.
 const FIRST_NETWORK: u8 = 100;
 
 /// Runs proxy processes under overlapping faults and checks their invariants.
 #[derive(Parser)]
 #[command(version)]
 struct Options {
-    /// The first seed.
+    /// First seed to run.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// Runs at a time.
+    /// Number of seeds to run in parallel.
     #[arg(long, default_value_t = 4)]
     jobs: u8,
-    /// Nodes of each run.
+    /// Number of proxy nodes in each run.
     #[arg(long, default_value_t = 4)]
     nodes: usize,
-    /// Seconds of traffic of each run.
+    /// Duration of each run's traffic, in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
-    /// What the runs are made of.
+    /// Kinds of faults and operations from which the plans are drawn.
     #[arg(long, value_enum, default_value_t)]
     scenario: Scenario,
-    /// The proxy; by default the one that was built beside this program.
+    /// Path of the proxy program; by default `balancer-proxy` in this program's folder.
     #[arg(long)]
     proxy: Option<PathBuf>,
-    /// The fault injection library; by default the one that was built beside this program.
+    /// Path of the fault injection library; by default the one in this program's folder, or else in
+    /// its `deps` subfolder.
     #[arg(long)]
     fault_library: Option<PathBuf>,
-    /// Keeps the folders of runs that violated an invariant, with the nodes' logs, here.
+    /// Folder into which the folders of runs that violated an invariant, with the nodes' logs, are
+    /// moved; by default they are deleted.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-/// What came of all runs.
+/// Results of all seeds.
 #[derive(Default)]
 struct Summary {
+    /// Number of seeds whose conclusive run violated no invariant.
     passed: u64,
+    /// Seeds whose conclusive run violated an invariant.
     failed_seeds: Vec<u64>,
+    /// Seeds that had no conclusive run.
     unproven_seeds: Vec<u64>,
+    /// Number of violations of each violated invariant.
     violations: BTreeMap<Invariant, usize>,
 }
 
-/// A run that proved something.
-struct ProvenRun {
+/// A run in which the observer's lag was at most [`MAX_OBSERVER_LAG`].
+struct ConclusiveRun {
     report: RunReport,
+    /// The run's folder, which is deleted on drop: it holds the nodes' configurations and logs.
     folder: TempDir,
 }
 
@@ -106,7 +116,8 @@
     }
 }
 
-/// The library stands beside this program, or among what it depends on.
+/// Returns the path of the fault injection library in this program's folder, or else in its `deps`
+/// subfolder. The latter path may not exist.
 fn find_fault_library(this_program: &Path) -> PathBuf {
     let name = "libfault_injection_preload.so";
     let beside = this_program.with_file_name(name);
@@ -117,7 +128,7 @@
     }
 }
 
-/// Runs all seeds, one thread for each of the runs at a time.
+/// Runs all seeds, with one thread for each parallel job.
 fn run_all_seeds(options: &Options, programs: Programs<'_>) -> Summary {
     let next_seed = AtomicU64::new(options.seed);
     let summary = Mutex::new(Summary::default());
@@ -129,31 +140,34 @@
                 if seed >= options.seed + options.count {
                     return;
                 }
-                let proven = run_seed(seed, FIRST_NETWORK + job, options, programs);
-                lock(summary).add(seed, proven, options.keep.as_deref());
+                let conclusive_run = run_seed(seed, FIRST_NETWORK + job, options, programs);
+                lock(summary).add(seed, conclusive_run, options.keep.as_deref());
             });
         }
     });
     summary.into_inner().unwrap_or_default()
 }
 
-/// A thread that panicked has counted what it did.
+/// Locks the summary, even if a thread panicked while holding the lock: what that thread had
+/// counted until then stays counted.
 fn lock(summary: &Mutex<Summary>) -> MutexGuard<'_, Summary> {
     summary.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs a seed until a run proves something. `None`: none did.
+/// Runs a seed until a run is conclusive, at most [`MAX_RUNS_PER_SEED`] times, and prints that
+/// run's report. Returns `None` if no run was conclusive or a temporary folder could not be
+/// created.
 fn run_seed(
     seed: u64,
     network: u8,
     options: &Options,
     programs: Programs<'_>,
-) -> Option<ProvenRun> {
-    for _ in 0..MAX_RUNS {
+) -> Option<ConclusiveRun> {
+    for _ in 0..MAX_RUNS_PER_SEED {
         let folder = match tempfile::tempdir() {
             Ok(folder) => folder,
             Err(error) => {
-                eprintln!("soak-test: cannot create a folder: {error}");
+                eprintln!("soak-test: cannot create a temporary folder: {error}");
                 return None;
             }
         };
@@ -165,11 +179,11 @@
         match run_once(plan, network, folder.path(), programs) {
             Ok(report) if report.max_observer_lag > MAX_OBSERVER_LAG => {
                 let lag = report.max_observer_lag.as_millis();
-                println!("seed {seed}: the observer was {lag} ms late itself, again");
+                println!("seed {seed}: inconclusive run, the observer lagged by {lag} ms");
             }
             Ok(report) => {
                 print_report(seed, &report);
-                return Some(ProvenRun { report, folder });
+                return Some(ConclusiveRun { report, folder });
             }
             Err(error) => eprintln!("soak-test: seed {seed} could not be run: {error}"),
         }
@@ -177,6 +191,7 @@
     None
 }
 
+/// Runs a plan once, in a single-threaded runtime of its own.
 fn run_once(
     plan: Plan,
     network: u8,
@@ -189,6 +204,7 @@
     LocalSet::new().block_on(&runtime, run(plan, network, folder, programs))
 }
 
+/// Prints the result of a conclusive run: its totals, its faults and the first of its violations.
 fn print_report(seed: u64, report: &RunReport) {
     let verdict = if report.violations.is_empty() {
         "ok"
@@ -224,9 +240,10 @@
 }
 
 impl Summary {
-    /// Counts a seed. The folder of a violated invariant is moved to `keep`, where that is given.
-    fn add(&mut self, seed: u64, proven: Option<ProvenRun>, keep: Option<&Path>) {
-        let Some(ProvenRun { report, folder }) = proven else {
+    /// Adds the result of a seed. If the run violated an invariant and `keep` is given, the run's
+    /// folder is moved into `keep`, on a best-effort basis.
+    fn add(&mut self, seed: u64, conclusive_run: Option<ConclusiveRun>, keep: Option<&Path>) {
+        let Some(ConclusiveRun { report, folder }) = conclusive_run else {
             return self.unproven_seeds.push(seed);
         };
         for violation in &report.violations {
@@ -243,11 +260,12 @@
         }
     }
 
+    /// Whether every seed had a conclusive run and none violated an invariant.
     fn is_success(&self) -> bool {
         self.failed_seeds.is_empty() && self.unproven_seeds.is_empty()
     }
 
-    /// Prints the verdict. CI reads these lines.
+    /// Prints the violations per invariant and the verdict. CI parses these lines.
     fn print(&self) {
         for (invariant, count) in &self.violations {
             println!("violated: {invariant:?} {count}");
--- a/crates/soak-test/src/proxy_node.rs
+++ b/crates/soak-test/src/proxy_node.rs
@@ -1,4 +1,4 @@
-//! Proxy nodes: real processes that are started, signalled, ended and started again.
+//! Proxy nodes: real processes that are started, signalled, stopped and started again.
 
 mod upgrade;
 
@@ -25,79 +25,80 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// A node has to be ready this soon after its start.
+/// Limit of the waits for a node to be ready and, after SIGKILL, for its process to exit.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A single readiness check is given up after this.
+/// Timeout of the response to a single readiness check.
 const READY_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// New connections go on coming for this long after SIGTERM.
-const FRONT_NOTICE_DELAY: Duration = Duration::from_millis(300);
-/// SIGKILL comes no earlier than this plus the longest deadline after SIGTERM.
+/// Clients still open connections this long after SIGTERM, as until a load balancer notices it.
+const TRAFFIC_STOP_DELAY: Duration = Duration::from_millis(300);
+/// Least time from SIGTERM to SIGKILL, beyond the longest deadline of any request class.
 const KILL_DELAY_BEYOND_DEADLINE: Duration = Duration::from_millis(700);
-/// The longest deadline counts as this where it is shorter.
+/// Lower bound of the longest deadline in the computation of the shutdown timeout.
 const MIN_LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// More time than that to end with the run.
+/// Time that a process may take to exit at the end of the run, beyond the shutdown timeout.
 const FINAL_STOP_ALLOWANCE: Duration = Duration::from_secs(1);
-/// No reload is signalled right after a node's start.
+/// Wait at the beginning of a reload, so that none is signalled right after a node's start.
 const RELOAD_DELAY: Duration = Duration::from_millis(100);
-/// After a reload the old address of discovery closes its open connections.
+/// A node's previous discovery address accepts connections for this long after a reload.
 const OLD_DISCOVERY_LIFETIME: Duration = Duration::from_millis(1500);
-/// Pause between two looks at a process.
+/// Interval at which a process is checked for readiness or exit.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Pause between the signals of a series.
-const SIGNAL_PAUSE: Duration = Duration::from_millis(50);
+/// Interval between repeated signals. Only plans with operations repeat signals.
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The programs of a run.
+/// Paths of the program and the library that a run executes.
 #[derive(Clone, Copy)]
 pub struct Programs<'a> {
-    /// The proxy.
+    /// The proxy program.
     pub proxy: &'a Path,
-    /// The fault injection library that is preloaded into it.
+    /// The fault injection library that is preloaded into each proxy process.
     pub fault_library: &'a Path,
 }
 
-/// One node: a process, and what is needed to start it again.
+/// One proxy node: its process, and all that is needed to start it again.
 pub struct ProxyNode {
-    /// Its position.
+    /// The node's position among the nodes of the run.
     pub index: NodeIndex,
-    /// Where clients connect.
+    /// Address at which the node accepts clients; every process of the node listens there.
     pub address: SocketAddr,
-    /// The faults of its system calls.
+    /// Controls the faults of system calls in the node's processes.
     pub control: ControlFile,
     cluster: Rc<TestCluster>,
+    /// Folder of the node's configuration, log, temporary files and fault control file.
     folder: PathBuf,
     program: PathBuf,
     fault_library: PathBuf,
-    /// The process, while it runs.
+    /// The current process; `None` before the first start and once its exit was noticed.
     process: RefCell<Option<Child>>,
-    /// The process before an upgrade, while it runs.
+    /// The old process of an upgrade, from the new one's start until the upgrade is over.
     retiring_process: RefCell<Option<Child>>,
-    /// The listening socket for clients, where processes inherit it.
+    /// Listening socket that processes inherit; `None` if each process binds the address itself.
     listener: Option<TcpListener>,
-    /// Where operators call the present process.
+    /// Address of the current admin server. Its port is 0 if none has been started.
     admin_address: Cell<SocketAddr>,
-    /// It was ended for good.
+    /// Whether it was stopped for good by [`ProxyNode::stop`].
     has_stopped: Cell<bool>,
-    /// Counts the processes.
+    /// Number of processes started so far; see [`ProxyNode::generation`].
     generation: Cell<u64>,
-    /// The last generation that was killed.
+    /// Generation of the last process that a fault killed; 0 if none was.
     killed_generation: Cell<u64>,
-    /// The front sends it new requests.
+    /// Whether a load balancer in front of the node would send it new requests.
     receives_traffic: Cell<bool>,
-    /// It was signalled to end, so that its end is no crash.
+    /// Whether the process was signalled to exit or is being replaced: its exit is no crash then.
     ending: Cell<bool>,
-    /// Serves its present address of discovery.
+    /// Task that accepts connections at the node's current discovery address.
     discovery_task: RefCell<Option<AbortHandle>>,
-    /// Counts its addresses of discovery.
+    /// Number of discovery addresses that the node has had so far.
     discovery_generation: Cell<usize>,
 }
 
 impl ProxyNode {
-    /// A node that is not started yet.
+    /// Creates a node and serves its discovery address. Starts no process. Needs a `LocalSet`.
     ///
     /// # Errors
     ///
-    /// Its folder or files cannot be written, or an address cannot be bound.
+    /// The node's folder or files cannot be written, or one of its addresses cannot be bound.
     pub async fn new(
         cluster: &Rc<TestCluster>,
         index: NodeIndex,
@@ -107,7 +108,7 @@
         let folder = folder.join(format!("n{index}"));
         std::fs::create_dir_all(folder.join("tmp"))?;
         let control = ControlFile::create(&folder.join("faults"))?;
-        // The system gives out the port once, and the node keeps it: nobody else uses the address.
+        // The system chooses a port once, and the node keeps it: nothing else uses the IP address.
         let listener = TcpListener::bind(cluster.address(AddressGroup::Nodes, index.0))?;
         let address = listener.local_addr()?;
         let inherits_listener = cluster.plan.scenario == Scenario::Operations;
@@ -133,41 +134,42 @@
             folder,
         });
         node.control.set_seed(cluster.plan.seed);
-        node.move_discovery().await?;
+        node.change_discovery_address().await?;
         Ok(node)
     }
 
-    /// Number of processes started so far, the present one included.
+    /// Returns the number of processes started so far, including the current one. The new process
+    /// of an upgrade counts once it is ready or the wait for it has timed out.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Whether the process of this generation, or one after it, was killed.
+    /// Whether a fault killed the process of this generation or a later one.
     pub fn was_killed(&self, generation: u64) -> bool {
         self.killed_generation.get() >= generation
     }
 
-    /// Whether it was signalled to end, or is being replaced.
+    /// Whether its process was signalled to exit, or is being replaced by an upgrade.
     pub fn is_ending(&self) -> bool {
         self.ending.get()
     }
 
-    /// Whether it was ended for good.
+    /// Whether it was stopped for good: no process is started again.
     pub fn has_stopped(&self) -> bool {
         self.has_stopped.get()
     }
 
-    /// Where operators call it.
+    /// Returns the current admin server's address. Only plans with operations have admin servers.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin_address.get()
     }
 
-    /// The checker of the run.
+    /// Borrows the checker of the run's invariants; see [`TestCluster::checker`].
     pub fn checker(&self) -> RefMut<'_, InvariantChecker> {
         self.cluster.checker()
     }
 
-    /// Calls that have failed so far by which operator state is stored.
+    /// Returns how many syncs and renames, which store operator state, were made to fail so far.
     pub fn state_writes_failed(&self) -> u64 {
         [SystemCall::Sync, SystemCall::Rename]
             .map(|call| self.control.faults(call).failure_count())
@@ -175,19 +177,20 @@
             .sum()
     }
 
-    /// Connections of its processes that have been made to break so far.
+    /// Returns how many connections of its processes were made to break so far.
     pub fn connections_broken(&self) -> u64 {
         self.control.faults(SystemCall::Receive).failure_count()
     }
 
-    /// Whether the front sends it new requests.
+    /// Whether a load balancer in front of the node would send it new requests. If not, clients of
+    /// plans with operations still send requests on their open connections.
     pub fn receives_traffic(&self) -> bool {
         self.receives_traffic.get()
     }
 
-    /// Opens another address of discovery and writes it into the configuration. Returns the task that
-    /// serves the address before.
-    async fn move_discovery(&self) -> io::Result<Option<AbortHandle>> {
+    /// Opens the node's next discovery address and writes it into the configuration. Returns the
+    /// task that accepts connections at the previous address, or `None` if there was none.
+    async fn change_discovery_address(&self) -> io::Result<Option<AbortHandle>> {
         let generation = self
             .discovery_generation
             .replace(self.discovery_generation.get() + 1);
@@ -199,6 +202,7 @@
         Ok(previous)
     }
 
+    /// Replaces the node's configuration file atomically.
     fn write_config(&self, discovery: SocketAddr) -> io::Result<()> {
         let plan = &self.cluster.plan;
         let mut settings = plan.settings();
@@ -211,44 +215,44 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
             "settings": settings,
         });
-        let next = self.folder.join("next");
-        std::fs::write(&next, config.to_string())?;
-        std::fs::rename(next, self.config_path())
+        let temporary_path = self.folder.join("next");
+        std::fs::write(&temporary_path, config.to_string())?;
+        std::fs::rename(temporary_path, self.config_path())
     }
 
     fn config_path(&self) -> PathBuf {
         self.folder.join("config.json")
     }
 
-    /// Starts a process and waits until it is ready.
+    /// Starts a process and waits until it is ready. Records a violation if either fails.
     pub async fn start(&self) {
         self.generation.set(self.generation.get() + 1);
         self.ending.set(false);
         self.cluster.checker().node_started(self.index);
         match self.spawn() {
             Ok(process) => *self.process.borrow_mut() = Some(process),
-            Err(error) => return self.violated(&format!("could not be started: {error}")),
+            Err(error) => return self.record_violation(&format!("could not be started: {error}")),
         }
         if timeout(READY_TIMEOUT, self.until_ready()).await.is_err() {
-            self.violated(&format!("not ready within {} s", READY_TIMEOUT.as_secs()));
+            self.record_violation(&format!("not ready within {} s", READY_TIMEOUT.as_secs()));
         }
         self.receives_traffic.set(true);
     }
 
-    /// Starts a process, at a new admin address where there is an admin server.
+    /// Spawns a process. If it inherits a listener, it also gets an admin server at a new address.
     fn spawn(&self) -> io::Result<Child> {
         let mut command = self.command();
         let Some(listener) = &self.listener else {
             return command.spawn();
         };
-        // The system gives out the port once, as for the address for clients.
+        // The system chooses a free port, as for the address for clients.
         let admin_address = self.cluster.address(AddressGroup::Admin, self.index.0);
         let admin_address = TcpListener::bind(admin_address)?.local_addr()?;
         self.admin_address.set(admin_address);
         command
             .env("GW_CONSOLE", admin_address.to_string())
             .env("GW_LISTEN_FD", listener.as_raw_fd().to_string());
-        // Processes of other nodes that start at this moment inherit it too, and do not use it.
+        // Processes of other nodes spawned meanwhile inherit the socket too, but do not use it.
         let listener = SockRef::from(listener);
         listener.set_cloexec(false)?;
         let process = command.spawn();
@@ -256,6 +260,7 @@
         process
     }
 
+    /// Returns the command that starts a process, with no environment variables but those set here.
     fn command(&self) -> Command {
         let log = File::options()
             .create(true)
@@ -283,6 +288,7 @@
         }
     }
 
+    /// Whether a readiness check on a new connection gets status 200 in time.
     async fn is_ready(&self) -> bool {
         let Ok(socket) = TcpStream::connect(self.address).await else {
             return false;
@@ -297,7 +303,8 @@
         }
     }
 
-    fn violated(&self, problem: &str) {
+    /// Records a violation of [`Invariant::ProcessLifecycle`] by this node.
+    fn record_violation(&self, problem: &str) {
         let problem = format!("node {}: {problem}", self.index);
         self.cluster
             .checker()
@@ -308,18 +315,18 @@
         send_signal(self.process.borrow().as_ref(), signal);
     }
 
-    /// Sends SIGTERM, in a series with other signals where the plan has operations.
+    /// Sends SIGTERM. In plans with operations, SIGHUP and another SIGTERM follow at intervals.
     async fn terminate(&self) {
         self.signal(libc::SIGTERM);
         if self.cluster.plan.scenario == Scenario::Operations {
             for signal in [libc::SIGHUP, libc::SIGTERM] {
-                sleep(SIGNAL_PAUSE).await;
+                sleep(SIGNAL_INTERVAL).await;
                 self.signal(signal);
             }
         }
     }
 
-    /// Whether its process runs. Notes a crash.
+    /// Whether the current process runs. Records a violation if it has exited unasked.
     pub fn check_running(&self) -> bool {
         let mut process = self.process.borrow_mut();
         let exit_status = process
@@ -330,13 +337,13 @@
         };
         *process = None;
         if !self.ending.get() {
-            self.violated(&format!("crashed: {exit_status}"));
+            self.record_violation(&format!("crashed: {exit_status}"));
         }
         false
     }
 
-    /// Waits for the process's end. Returns `false` where it still runs at the deadline.
-    async fn ended_by(&self, deadline: Instant) -> bool {
+    /// Waits until the process has exited. Returns `false` if it still runs at the deadline.
+    async fn exits_by(&self, deadline: Instant) -> bool {
         while self.check_running() {
             if Instant::now() >= deadline {
                 return false;
@@ -346,58 +353,60 @@
         true
     }
 
-    /// How long a process may take to end after SIGTERM.
+    /// Returns how long a process may take to exit after SIGTERM.
     fn shutdown_timeout(&self) -> Duration {
         let longest_deadline = self.cluster.plan.longest_deadline();
         longest_deadline.max(MIN_LONGEST_DEADLINE) + KILL_DELAY_BEYOND_DEADLINE
     }
 
-    /// Sends SIGTERM, and starts a new process once it has ended.
+    /// Sends SIGTERM, and SIGKILL after the shutdown timeout, and starts a new process afterwards.
+    /// Does nothing if the current process is already ending or being replaced.
     pub async fn restart(&self) {
         if self.ending.replace(true) {
             return;
         }
-        let signalled = Instant::now();
+        let signalled_at = Instant::now();
         self.terminate().await;
-        sleep(FRONT_NOTICE_DELAY.saturating_sub(signalled.elapsed())).await;
+        sleep(TRAFFIC_STOP_DELAY.saturating_sub(signalled_at.elapsed())).await;
         self.receives_traffic.set(false);
-        if !self.ended_by(signalled + self.shutdown_timeout()).await {
+        if !self.exits_by(signalled_at + self.shutdown_timeout()).await {
             self.signal(libc::SIGKILL);
-            self.ended_by(Instant::now() + READY_TIMEOUT).await;
+            self.exits_by(Instant::now() + READY_TIMEOUT).await;
         }
         self.start().await;
     }
 
-    /// Sends SIGKILL, and starts a new process at once.
+    /// Sends SIGKILL, and starts a new process as soon as the old one has exited. Does nothing if
+    /// the current process is already ending or being replaced.
     pub async fn kill(&self) {
         if self.ending.replace(true) {
             return;
         }
         self.killed_generation.set(self.generation.get());
         if self.listener.is_some() {
-            // Connections would wait for the next process.
+            // The inherited listener stays open: new connections would wait for the next process.
             self.receives_traffic.set(false);
         }
         self.signal(libc::SIGKILL);
-        self.ended_by(Instant::now() + READY_TIMEOUT).await;
+        self.exits_by(Instant::now() + READY_TIMEOUT).await;
         self.receives_traffic.set(false);
         self.start().await;
     }
 
-    /// Writes a configuration with another address of discovery, and sends SIGHUP. Does nothing where
-    /// the node is not ready or ends.
+    /// Writes a configuration with a new discovery address, and sends SIGHUP, twice in plans with
+    /// operations. Does nothing if the node is not ready, is ending or is being upgraded.
     pub async fn reload(&self) {
         sleep(RELOAD_DELAY).await;
         if self.ending.get() || !self.receives_traffic.get() {
             return;
         }
-        let Ok(previous) = self.move_discovery().await else {
+        let Ok(previous) = self.change_discovery_address().await else {
             return;
         };
         self.cluster.checker().node_reloaded(self.index);
         self.signal(libc::SIGHUP);
         if self.cluster.plan.scenario == Scenario::Operations {
-            sleep(SIGNAL_PAUSE).await;
+            sleep(SIGNAL_INTERVAL).await;
             self.signal(libc::SIGHUP);
         }
         sleep(OLD_DISCOVERY_LIFETIME).await;
@@ -406,23 +415,25 @@
         }
     }
 
-    /// Ends it for good with SIGTERM.
+    /// Stops the node for good with SIGTERM, after any restart or upgrade in progress. Records a
+    /// violation, and sends SIGKILL, if the process does not exit in time.
     pub async fn stop(&self) {
-        let is_changing = || self.ending.get() && !self.receives_traffic.get();
-        while is_changing() || self.retiring_process.borrow().is_some() {
+        let is_restarting = || self.ending.get() && !self.receives_traffic.get();
+        while is_restarting() || self.retiring_process.borrow().is_some() {
             sleep(POLL_INTERVAL).await;
         }
         self.has_stopped.set(true);
         self.ending.set(true);
         self.signal(libc::SIGTERM);
         let deadline = Instant::now() + self.shutdown_timeout() + FINAL_STOP_ALLOWANCE;
-        if !self.ended_by(deadline).await {
-            self.violated("did not end on SIGTERM");
+        if !self.exits_by(deadline).await {
+            self.record_violation("did not exit in time after SIGTERM");
             self.signal(libc::SIGKILL);
         }
     }
 }
 
+/// Sends a signal to a process. Does nothing if there is none, or if it was already waited for.
 fn send_signal(process: Option<&Child>, signal: i32) {
     let Some(pid) = process
         .and_then(Child::id)
@@ -430,8 +441,7 @@
     else {
         return;
     };
-    // SAFETY: The process is a child of this one that was not waited for yet, so that its number is
-    // its own.
+    // SAFETY: The process is a child that was not waited for yet, so its id was not reused.
     #[expect(unsafe_code, reason = "signals a process by its number")]
     unsafe {
         libc::kill(pid, signal);
--- a/crates/soak-test/src/proxy_node/upgrade.rs
+++ b/crates/soak-test/src/proxy_node/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrades: a new process of a node takes over from the old one, on the same listener.
+//! Upgrades of a node: a new process takes over from the old one on the same, inherited listener.
 
 use super::{send_signal, ProxyNode, POLL_INTERVAL};
 use crate::http::Connection;
@@ -6,17 +6,19 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The new process has to be ready this soon.
-const READY_TIMEOUT: Duration = Duration::from_secs(6);
-/// A single check of that is given up after this.
-const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time within which the new process must be ready after its start.
+const UPGRADE_READY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Timeout of the response to a single check of whether the new process is ready.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl ProxyNode {
-    /// Starts a new process beside the present one, and ends that with SIGTERM once the new one is
-    /// ready. Does nothing while the node starts, ends or is upgraded.
+    /// Starts a new process beside the current one, and sends SIGTERM to the old one once the new
+    /// one is ready. If the new one is not ready in time, that is recorded as a violation and the
+    /// upgrade goes on. Does nothing while the node starts, is ending or is being upgraded.
     pub async fn upgrade(&self) {
-        let is_changing = self.retiring_process.borrow().is_some() || !self.receives_traffic();
-        if is_changing || self.ending.replace(true) {
+        let is_starting_or_upgrading =
+            self.retiring_process.borrow().is_some() || !self.receives_traffic();
+        if is_starting_or_upgrading || self.ending.replace(true) {
             return;
         }
         self.checker().upgrade_started(self.index);
@@ -24,13 +26,18 @@
             Ok(process) => process,
             Err(error) => {
                 self.ending.set(false);
-                return self.violated(&format!("could not be upgraded: {error}"));
+                return self.record_violation(&format!(
+                    "new process of an upgrade could not be started: {error}"
+                ));
             }
         };
         let old_process = self.process.replace(Some(new_process));
         *self.retiring_process.borrow_mut() = old_process;
-        if timeout(READY_TIMEOUT, self.until_healthy()).await.is_err() {
-            self.violated("the new process of an upgrade was not ready in time");
+        if timeout(UPGRADE_READY_TIMEOUT, self.wait_until_healthy())
+            .await
+            .is_err()
+        {
+            self.record_violation("the new process of an upgrade was not ready in time");
         }
         self.checker().upgrade_ready(self.index);
         self.generation.set(self.generation.get() + 1);
@@ -38,12 +45,14 @@
         self.end_retiring_process().await;
     }
 
-    async fn until_healthy(&self) {
+    async fn wait_until_healthy(&self) {
         while !self.is_healthy().await {
             sleep(POLL_INTERVAL).await;
         }
     }
 
+    /// Whether the admin server of the current process answers a health check with status 200 in
+    /// time.
     async fn is_healthy(&self) -> bool {
         let Ok(socket) = TcpStream::connect(self.admin_address()).await else {
             return false;
@@ -51,13 +60,14 @@
         let mut connection = Connection::new(socket);
         let request = b"GET /healthcheck HTTP/1.1\r\nHost: a\r\n\r\n";
         let _ = connection.write(request).await;
-        match timeout(CHECK_TIMEOUT, connection.read()).await {
+        match timeout(HEALTH_CHECK_TIMEOUT, connection.read()).await {
             Ok(Ok(response)) => response.status() == Some(200),
             Ok(Err(_)) | Err(_) => false,
         }
     }
 
-    /// Sends SIGTERM to the old process, and SIGKILL at the earliest that the protocol allows.
+    /// Sends SIGTERM to the old process, waits until it has exited or the shutdown timeout is over,
+    /// and sends SIGKILL if it still runs then.
     async fn end_retiring_process(&self) {
         send_signal(self.retiring_process.borrow().as_ref(), libc::SIGTERM);
         let deadline = Instant::now() + self.shutdown_timeout();
@@ -68,6 +78,7 @@
         *self.retiring_process.borrow_mut() = None;
     }
 
+    /// Whether the old process of an upgrade still runs.
     fn retiring_process_runs(&self) -> bool {
         let mut process = self.retiring_process.borrow_mut();
         process
