--- a/crates/soak-test/src/clients/malformed_peer.rs
+++ b/crates/soak-test/src/clients/malformed_peer.rs
@@ -1,4 +1,4 @@
-//! Peers that send no proper request, with
+//! Peers that send malformed or incomplete requests, and the check of
 //! [`Invariant::MalformedPeerRejected`].
 
 use super::Clients;
@@ -6,11 +6,11 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Malformed peers are owed an error or a close within this.
-const RESPONSE_LIMIT: Duration = Duration::from_millis(3050);
-/// The smallest status code of an error.
+/// Time within which a node must send a malformed peer an error response or close its connection.
+const RESPONSE_TIME_LIMIT: Duration = Duration::from_millis(3050);
+/// Smallest status code of an error response.
 const FIRST_ERROR_STATUS: u16 = 400;
-/// What they send.
+/// Malformed or incomplete requests that peers send in turn.
 const MALFORMED_REQUESTS: [&str; 6] = [
     "",
     "GET /read HT",
@@ -21,7 +21,9 @@
 ];
 
 impl Clients {
-    /// Sends one malformed request and waits for an error or a close.
+    /// Sends the malformed request that `number` selects, and waits for an error response or a
+    /// close. Records a violation if the node responds with another status or not in time, unless
+    /// it was killed meanwhile.
     pub(super) async fn run_malformed_peer(&self, number: u64) {
         let Some(mut connection) = self.connect().await else {
             return;
@@ -31,7 +33,7 @@
         if connection.write(text.as_bytes()).await.is_err() {
             return;
         }
-        let response = timeout(RESPONSE_LIMIT + OBSERVER_ALLOWANCE, connection.read()).await;
+        let response = timeout(RESPONSE_TIME_LIMIT + OBSERVER_ALLOWANCE, connection.read()).await;
         let problem = match response {
             Ok(Ok(response))
                 if response
@@ -42,7 +44,7 @@
             }
             Ok(_) => return,
             Err(_) if self.node.was_killed(generation) => return,
-            Err(_) => "got neither an error nor a close",
+            Err(_) => "received neither an error response nor a close",
         };
         self.cluster.checker().violated(
             Invariant::MalformedPeerRejected,
--- a/crates/soak-test/src/clients/mod.rs
+++ b/crates/soak-test/src/clients/mod.rs
@@ -1,5 +1,6 @@
-//! Clients: an open loop of requests at each node over kept connections, clients that leave early,
-//! clients that let connections rest, and peers that send no proper request.
+//! Simulated clients of the nodes: an open loop of requests over reused connections, clients that
+//! disconnect early, clients that reuse a connection about when the node closes it as idle, and
+//! peers that send malformed requests.
 
 mod malformed_peer;
 
@@ -19,71 +20,86 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Chance that a connection is kept for another request.
-const KEEP_PROBABILITY: f64 = 0.9;
-/// Clients at each node that let their connections rest.
-const RESTING_CLIENTS: usize = 12;
-/// Pause after which a client tries again to get a connection.
+/// Probability that an open-loop client keeps a reusable connection for another request.
+const REUSE_PROBABILITY: f64 = 0.9;
+/// Number of idle-timeout clients at each node.
+const IDLE_TIMEOUT_CLIENTS: usize = 12;
+/// Pause before an idle-timeout client without a connection tries again to get one.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// About how long they do: as long as a node keeps a connection without a request.
-const REST_DURATION: Duration = Duration::from_secs(5);
-/// Chance that a request is written in two parts.
+/// About how long idle-timeout clients leave a connection idle: as long as a node keeps a client
+/// connection without a request.
+const IDLE_DURATION: Duration = Duration::from_secs(5);
+/// Probability that a request is written in two parts.
 const SPLIT_PROBABILITY: f64 = 0.05;
-/// Chance that a request or its response is large, where clients send large messages.
-const LARGE_PROBABILITY: f64 = 0.03;
-/// Sizes of large bodies, in bytes: more than a node buffers.
-const LARGE_BYTES: std::ops::Range<f64> = 70_000.0..300_000.0;
-/// Pause between the two parts.
+/// Probability that a body is large, drawn for requests and responses separately. Only plans with
+/// operations have large bodies.
+const LARGE_BODY_PROBABILITY: f64 = 0.03;
+/// Range of the sizes of large bodies, in bytes: more than a node buffers.
+const LARGE_BODY_BYTES: std::ops::Range<f64> = 70_000.0..300_000.0;
+/// Pause between the two parts of a request.
 const SPLIT_PAUSE: Duration = Duration::from_millis(60);
-/// Chance that an impatient client leaves a request.
-const LEAVE_PROBABILITY: f64 = 0.4;
-/// Chance that a malformed peer comes in place of a client.
+/// Probability that a client disconnects before its response, while clients are impatient.
+const DISCONNECT_PROBABILITY: f64 = 0.4;
+/// Probability that a malformed peer takes the place of an open-loop client, while there are such
+/// peers.
 const MALFORMED_PROBABILITY: f64 = 0.3;
-/// A client gives up a connection that is not established by then.
+/// Timeout of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How much longer than a response may take a patient client waits for it.
-const PATIENCE: Duration = Duration::from_millis(200);
-/// A reset follows the end of a connection within this, where something on it was not read.
-const RESET_FOLLOWS_WITHIN: Duration = Duration::from_millis(1500);
+/// Time beyond all allowances for which a client that does not disconnect early awaits its
+/// response.
+const EXTRA_WAIT: Duration = Duration::from_millis(200);
+/// Time within which a reset follows the close of a connection if the node left something on it
+/// unread.
+const RESET_WAIT: Duration = Duration::from_millis(1500);
 
-/// What the clients of a node do. Each has random numbers of its own.
+/// Kind of the clients of a node. Each kind has a random number stream of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientKind {
+    /// Start requests at random times, independent of responses.
     OpenLoop = 0,
-    Resting = 1,
+    /// Send another request on a connection at about the time at which the node closes it as idle.
+    IdleTimeout = 1,
 }
 
-/// The clients of one node.
+/// The clients of one kind at one node.
 pub struct Clients {
     cluster: Rc<TestCluster>,
     node: Rc<ProxyNode>,
+    /// Open connections that no request uses; the last one is reused first.
     idle_connections: RefCell<Vec<Connection>>,
+    /// Source of all random draws of these clients.
     random: RefCell<SmallRng>,
 }
 
-/// A request as a client writes it.
+/// A request to be sent.
 struct ClientRequest {
+    /// The whole request, head and body.
     text: String,
-    /// How long the client waits.
+    /// Time that the client gives the request, sent as its `X-Timeout`.
     timeout: Duration,
-    /// Least size of the body of a response that succeeds.
+    /// Requested size of a successful response's body, in bytes; 0 for a small response of any
+    /// size.
     response_bytes: usize,
 }
 
-/// Whether the connection of a request is good for another.
-enum Exchange {
+/// What becomes of a connection after a request on it.
+enum ConnectionAfterRequest {
+    /// It can be used for another request.
     Reusable(Connection),
+    /// It was closed, or has to be.
     Closed,
 }
 
 impl Clients {
+    /// Creates the clients of a kind, with a random number stream that depends on the plan's seed,
+    /// the node and the kind.
     fn new(cluster: Rc<TestCluster>, node: Rc<ProxyNode>, kind: ClientKind) -> Rc<Self> {
-        let stream = node.index.0 as u64 * 2 + kind as u64;
+        let random_stream = node.index.0 as u64 * 2 + kind as u64;
         let seed = cluster
             .plan
             .seed
             .wrapping_mul(0x9e37_79b9)
-            .wrapping_add(stream);
+            .wrapping_add(random_stream);
         Rc::new(Clients {
             cluster,
             node,
@@ -92,22 +108,24 @@
         })
     }
 
-    /// Clients that let a connection rest until about the time at which the node closes it, and then
-    /// send another request on it.
-    pub async fn run_resting(cluster: Rc<TestCluster>, node: Rc<ProxyNode>) {
-        let clients = Clients::new(cluster, node, ClientKind::Resting);
-        let tasks: Vec<_> = (0..RESTING_CLIENTS)
-            .map(|number| spawn_local(clients.clone().run_resting_client(number)))
+    /// Runs the clients that leave a connection idle until about the time at which the node closes
+    /// it, and then send another request on it. Returns when all of them have ended.
+    pub async fn run_idle_timeout_clients(cluster: Rc<TestCluster>, node: Rc<ProxyNode>) {
+        let clients = Clients::new(cluster, node, ClientKind::IdleTimeout);
+        let tasks: Vec<_> = (0..IDLE_TIMEOUT_CLIENTS)
+            .map(|number| spawn_local(clients.clone().run_idle_timeout_client(number)))
             .collect();
         for task in tasks {
             let _ = task.await;
         }
     }
 
-    async fn run_resting_client(self: Rc<Self>, number: usize) {
+    /// Runs rounds of a request, an idle time and another request on the same connection, until the
+    /// traffic ends. In plans without operations, the client ends at the first failure to connect.
+    async fn run_idle_timeout_client(self: Rc<Self>, number: usize) {
         sleep(Duration::from_secs_f64(self.uniform())).await;
         for round in 0.. {
-            let Some(connection) = self.connection().await else {
+            let Some(connection) = self.acquire_connection().await else {
                 if self.use_connections_until_exit() && !self.cluster.traffic_ended.get() {
                     sleep(RECONNECT_PAUSE).await;
                     continue;
@@ -115,26 +133,28 @@
                 return;
             };
             let id = format!("{}-r{number}-{round}", self.node.index);
-            let exchange = self.send_request(&id, connection).await;
+            let connection_after = self.send_request(&id, connection).await;
             if self.cluster.traffic_ended.get() {
                 return;
             }
-            sleep(REST_DURATION.mul_f64(0.97 + 0.06 * self.uniform())).await;
-            // Whatever the connection looks like: the node may be closing it at this moment.
-            if let Exchange::Reusable(connection) = exchange {
+            sleep(IDLE_DURATION.mul_f64(0.97 + 0.06 * self.uniform())).await;
+            // Sent without checking that the connection is open: the node may be closing it right
+            // now.
+            if let ConnectionAfterRequest::Reusable(connection) = connection_after {
                 self.send_request(&format!("{id}b"), connection).await;
             }
         }
     }
 
-    /// Sends requests until the traffic ends, and waits for the last responses.
+    /// Starts requests at random times until the traffic ends, and waits until all clients have
+    /// ended.
     pub async fn run_open_loop(cluster: Rc<TestCluster>, node: Rc<ProxyNode>) {
         let clients = Clients::new(cluster, node, ClientKind::OpenLoop);
         let mut number = 0;
         let mut tasks = Vec::new();
         while !clients.cluster.traffic_ended.get() {
             sleep(clients.draw_interarrival_time()).await;
-            // The front sends nothing new to a node that has been down for long.
+            // A load balancer sends nothing new to a node that has been down for a while.
             if !clients.node.receives_traffic() && !clients.use_connections_until_exit() {
                 continue;
             }
@@ -155,38 +175,41 @@
         }
     }
 
-    /// A number from 0 to 1.
+    /// Draws a number from 0 up to, but not including, 1.
     fn uniform(&self) -> f64 {
         self.random.borrow_mut().random_range(0.0..1.0)
     }
 
-    /// The time until the next request of a Poisson process.
+    /// Draws the time until the next request of a Poisson process with the current request rate.
     fn draw_interarrival_time(&self) -> Duration {
         let exponential = -self.uniform().max(1e-9).ln();
-        let rate = self.cluster.plan.requests_per_second * self.cluster.crowd_factor.get();
+        let rate = self.cluster.plan.requests_per_second * self.cluster.request_rate_multiple.get();
         Duration::from_secs_f64(exponential / rate)
     }
 
-    /// Whether clients go on using the connections that they have to a node that gets no new ones.
+    /// Whether clients go on using their open connections to a node that gets no new connections.
     fn use_connections_until_exit(&self) -> bool {
         self.cluster.plan.scenario == Scenario::Operations
     }
 
-    /// An idle connection, or else a new one.
-    async fn connection(&self) -> Option<Connection> {
-        match self.idle_connection() {
+    /// Returns an idle connection, or else a new one; `None` if none can be established.
+    async fn acquire_connection(&self) -> Option<Connection> {
+        match self.take_idle_connection() {
             Some(connection) => Some(connection),
             None => self.connect().await,
         }
     }
 
-    fn idle_connection(&self) -> Option<Connection> {
+    /// Takes the most recently used idle connection that is still open, and drops those that are
+    /// not.
+    fn take_idle_connection(&self) -> Option<Connection> {
         let mut idle = self.idle_connections.borrow_mut();
         std::iter::from_fn(|| idle.pop()).find(|connection| Connection::is_open(&connection.socket))
     }
 
-    /// A new connection. Where the node's listener outlives its processes the front makes none to a
-    /// node without a process: it would wait for the next one.
+    /// Opens a new connection; `None` if it is not established in time. In plans with operations
+    /// the node's listener outlives its processes, and a connection to a node without a process
+    /// would wait for the next one. None is opened then while the node receives no traffic.
     async fn connect(&self) -> Option<Connection> {
         if self.use_connections_until_exit() && !self.node.receives_traffic() {
             return None;
@@ -196,21 +219,24 @@
         connected.ok()?.ok().map(Connection::new)
     }
 
-    /// Sends one request, and keeps its connection at times.
+    /// Sends one request, and keeps its connection with a probability of [`REUSE_PROBABILITY`].
     async fn run_client(&self, number: u64) {
-        let Some(connection) = self.connection().await else {
+        let Some(connection) = self.acquire_connection().await else {
             return;
         };
         let id = format!("{}-{number}", self.node.index);
-        if let Exchange::Reusable(connection) = self.send_request(&id, connection).await {
-            if self.uniform() < KEEP_PROBABILITY {
+        if let ConnectionAfterRequest::Reusable(connection) =
+            self.send_request(&id, connection).await
+        {
+            if self.uniform() < REUSE_PROBABILITY {
                 self.idle_connections.borrow_mut().push(connection);
             }
         }
     }
 
-    /// Sends one request and waits for its response, or leaves it.
-    async fn send_request(&self, id: &str, mut connection: Connection) -> Exchange {
+    /// Sends one request of a random class and waits for its response, or disconnects early.
+    /// Reports to the checker how the request ended.
+    async fn send_request(&self, id: &str, mut connection: Connection) -> ConnectionAfterRequest {
         let generation = self.node.generation();
         let connections_broken = self.node.connections_broken();
         let class = self.draw_class();
@@ -218,20 +244,25 @@
         self.cluster
             .checker()
             .request_started(id, class, self.node.index, request.timeout);
-        if self.write(&connection, &request.text).await.is_err() {
+        if self
+            .write_request(&connection, &request.text)
+            .await
+            .is_err()
+        {
             self.cluster.checker().request_unread();
-            return Exchange::Closed;
+            return ConnectionAfterRequest::Closed;
         }
         self.cluster.checker().request_sent(id);
-        let leaves = self.cluster.clients_impatient.get() && self.uniform() < LEAVE_PROBABILITY;
-        let patience = if leaves {
+        let disconnects_early =
+            self.cluster.clients_impatient.get() && self.uniform() < DISCONNECT_PROBABILITY;
+        let wait_limit = if disconnects_early {
             request.timeout.mul_f64(self.uniform() * 0.8)
         } else {
-            request.timeout + RESPONSE_ALLOWANCE + OBSERVER_ALLOWANCE + PATIENCE
+            request.timeout + RESPONSE_ALLOWANCE + OBSERVER_ALLOWANCE + EXTRA_WAIT
         };
-        match timeout(patience, connection.read()).await {
-            // It may have waited at the listener for the next process, which knows nothing of the time
-            // that passed.
+        match timeout(wait_limit, connection.read()).await {
+            // The request may have waited at the listener for the next process, which does not know
+            // how long it waited.
             Ok(Ok(_)) if self.use_connections_until_exit() && self.node.was_killed(generation) => {
                 self.cluster.checker().request_unread();
             }
@@ -246,7 +277,7 @@
                 self.connection_ended(id, &connection, end, generation)
                     .await;
             }
-            Err(_) if leaves => {
+            Err(_) if disconnects_early => {
                 drop(connection);
                 self.cluster.checker().client_disconnected(id);
             }
@@ -258,14 +289,16 @@
                 .checker()
                 .request_lost(id, "no response in time"),
         }
-        Exchange::Closed
+        ConnectionAfterRequest::Closed
     }
 
+    /// Draws the class of a request.
     fn draw_class(&self) -> ClassIndex {
         let classes = self.cluster.plan.classes.len();
         ClassIndex(self.random.borrow_mut().random_range(0..classes))
     }
 
+    /// Draws a request's timeout, between 0.3 and 1 times its class's deadline, and its body sizes.
     fn draw_request(&self, id: &str, class: ClassIndex) -> ClientRequest {
         let plan = &self.cluster.plan;
         let class = &plan.classes[class.0];
@@ -275,7 +308,7 @@
         let head = format!(
             "HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id}\r\nX-Timeout: {timeout_ms}m\r\nX-Cost: {cost}\r\n"
         );
-        let response_bytes = self.draw_large_bytes();
+        let response_bytes = self.draw_body_bytes();
         ClientRequest {
             text: self.request_text(id, class, &head, response_bytes),
             timeout: Duration::from_millis(timeout_ms),
@@ -283,7 +316,8 @@
         }
     }
 
-    /// The whole request, with the end of its first line and its common headers in `head`.
+    /// Returns the whole request. `head` holds the end of its request line and the headers that all
+    /// requests have.
     fn request_text(
         &self,
         id: &str,
@@ -293,7 +327,7 @@
     ) -> String {
         let name = class.name;
         let query = if response_bytes > 0 {
-            message_body::query(response_bytes)
+            message_body::size_query(response_bytes)
         } else {
             String::new()
         };
@@ -305,22 +339,22 @@
             Idempotency::Idempotent | Idempotency::NonIdempotent => String::new(),
         };
         let mut body = "body".to_owned();
-        message_body::fill(&mut body, self.draw_large_bytes());
+        message_body::pad(&mut body, self.draw_body_bytes());
         let length = body.len();
         format!("POST /{name}/x{query} {head}{key}Content-Length: {length}\r\n\r\n{body}")
     }
 
-    /// The size of a body; 0 for a small one.
-    fn draw_large_bytes(&self) -> usize {
-        let sends_large = self.cluster.plan.scenario == Scenario::Operations;
-        if !sends_large || self.uniform() >= LARGE_PROBABILITY {
+    /// Draws the size of a body, in bytes; 0 for a small one.
+    fn draw_body_bytes(&self) -> usize {
+        let sends_large_bodies = self.cluster.plan.scenario == Scenario::Operations;
+        if !sends_large_bodies || self.uniform() >= LARGE_BODY_PROBABILITY {
             return 0;
         }
-        self.random.borrow_mut().random_range(LARGE_BYTES) as usize
+        self.random.borrow_mut().random_range(LARGE_BODY_BYTES) as usize
     }
 
-    /// Writes a request, at times in two parts.
-    async fn write(&self, connection: &Connection, text: &str) -> std::io::Result<()> {
+    /// Writes a request, in two parts with a probability of [`SPLIT_PROBABILITY`].
+    async fn write_request(&self, connection: &Connection, text: &str) -> std::io::Result<()> {
         if self.uniform() >= SPLIT_PROBABILITY {
             return connection.write(text.as_bytes()).await;
         }
@@ -330,13 +364,15 @@
         connection.write(second.as_bytes()).await
     }
 
+    /// Reports a complete response to the checker, and an altered or too short body of a success.
+    /// Returns whether the connection can be used again.
     fn response_received(
         &self,
         id: &str,
         connection: Connection,
         request: &ClientRequest,
         response: &Message,
-    ) -> Exchange {
+    ) -> ConnectionAfterRequest {
         let status = response.status().unwrap_or(0);
         let mut checker = self.cluster.checker();
         checker.response_received(id, status, response);
@@ -350,14 +386,14 @@
             .header("connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"));
         if closes {
-            Exchange::Closed
+            ConnectionAfterRequest::Closed
         } else {
-            Exchange::Reusable(connection)
+            ConnectionAfterRequest::Reusable(connection)
         }
     }
 
-    /// The connection ended within a large response, which the client can tell. Only a backend or a
-    /// network that broke it off excuses that.
+    /// Reports that the connection ended within a large response, as the client can tell. That is
+    /// excused only by a killed node, a backend that restarted or a network failure.
     fn response_ended_early(&self, id: &str, network_failed: bool, generation: u64) {
         let mut checker = self.cluster.checker();
         if self.node.was_killed(generation) {
@@ -369,8 +405,9 @@
         }
     }
 
-    /// The connection ended before the response: a request that was not read is sent again
-    /// elsewhere, any other is lost.
+    /// Reports that the connection ended before the response. A request that the node has not read,
+    /// or whose node was killed, counts as unanswered, since a client may send it again elsewhere;
+    /// any other is lost.
     async fn connection_ended(
         &self,
         id: &str,
@@ -387,17 +424,24 @@
         if self.node.was_killed(generation) {
             checker.request_unread();
         } else if checker.was_forwarded(id) {
-            checker.request_lost(id, "forwarded, and its connection ended without a response");
+            checker.request_lost(
+                id,
+                "forwarded to a backend, but the connection ended without a response",
+            );
         } else if unread {
             checker.request_unread();
         } else {
-            checker.request_lost(id, "read, and its connection closed without a response");
+            checker.request_lost(
+                id,
+                "read by the node, but the connection closed without a response",
+            );
         }
     }
 }
 
-/// Whether a connection that the peer has closed is reset as well: the peer left something unread.
+/// Whether a reset follows within [`RESET_WAIT`] on a connection that the peer has closed, which
+/// means that the peer left something unread.
 async fn reset_follows(connection: &Connection) -> bool {
     let failed = connection.socket.ready(Interest::ERROR);
-    matches!(timeout(RESET_FOLLOWS_WITHIN, failed).await, Ok(Ok(ready)) if ready.is_error())
+    matches!(timeout(RESET_WAIT, failed).await, Ok(Ok(ready)) if ready.is_error())
 }
--- a/crates/soak-test/src/cluster.rs
+++ b/crates/soak-test/src/cluster.rs
@@ -1,4 +1,5 @@
-//! What all parts of one run share.
+//! The state that all tasks of one run share: its plan, its backends, the behavior of discovery and
+//! clients, and the invariant checker.
 
 use crate::discovery_mode::DiscoveryMode;
 use crate::invariants::InvariantChecker;
@@ -10,79 +11,86 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// What discovery lists about a backend.
+/// State of a backend in discovery's endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// Listed as accepting requests.
     Active,
-    /// It finishes what it has.
+    /// Listed as draining: it finishes the requests that it has and should get no new ones.
     Draining,
-    /// It is not listed any more.
+    /// Not listed: it has been removed, or has not joined yet.
     Removed,
 }
 
-/// A backend of the cluster.
+/// A simulated backend of the cluster.
 pub struct Backend {
-    /// Its address.
+    /// Address at which it accepts connections; it stays the same when the backend restarts.
     pub address: SocketAddr,
-    /// What discovery lists.
+    /// Its state in the endpoint list.
     pub state: Cell<EndpointState>,
-    /// When it started last, in Unix milliseconds; 0 for long ago.
+    /// When it started or joined last during the run, in Unix milliseconds; 0 if it was already up
+    /// before the run, long enough for its slow start to be over.
     pub started_at_ms: Cell<u64>,
-    /// The list's revision that changed it last.
-    pub changed_in: Cell<u64>,
-    /// How it treats requests.
+    /// Revision of the endpoint list in which its entry changed last.
+    pub changed_at_revision: Cell<u64>,
+    /// How it treats requests at present.
     pub behavior: Cell<BackendBehavior>,
-    /// Counts its starts: connections of an earlier one are reset.
-    pub starts: watch::Sender<u64>,
-    /// Requests in work or queued.
+    /// Number of its restarts. A change resets the connections made before it.
+    pub restart_count: watch::Sender<u64>,
+    /// Number of requests that it is executing or that wait for one of its cores.
     pub in_flight: Cell<usize>,
 }
 
-/// The fleet of one run: its plan, its backends, how discovery and clients behave, and the checker of
-/// its invariants.
+/// The cluster of one run: its plan, its backends, how discovery and clients behave at present, and
+/// the checker of its invariants.
 pub struct TestCluster {
-    /// What is run.
+    /// The plan that is run.
     pub plan: Plan,
-    /// The backends.
+    /// All backends of the plan, by [`BackendIndex`], listed or not.
     pub backends: Vec<Backend>,
-    /// How discovery behaves.
+    /// How discovery behaves at present. Changed by
+    /// [`discovery::set_mode`](crate::discovery::set_mode), which tells the checker as well.
     pub discovery_mode: watch::Sender<DiscoveryMode>,
-    /// The revision of the endpoint list.
+    /// Current revision of the endpoint list, from 1.
     pub list_revision: watch::Sender<u64>,
-    /// Counts the times at which all open watches are reset.
+    /// Number of times that discovery has reset all of its open connections.
     pub watch_resets: watch::Sender<u64>,
-    /// Clients disconnect early.
+    /// Whether some clients disconnect before their response.
     pub clients_impatient: Cell<bool>,
-    /// Peers come that send no proper request.
+    /// Whether some of the requests are replaced by peers that send a malformed or incomplete
+    /// request.
     pub malformed_peers: Cell<bool>,
-    /// Multiple of the usual rate at which requests come.
-    pub crowd_factor: Cell<f64>,
-    /// No more requests begin.
+    /// Request rate as a multiple of the plan's; usually 1.
+    pub request_rate_multiple: Cell<f64>,
+    /// Whether the traffic is over. Open-loop clients then start no further requests; idle-timeout
+    /// clients check it only after the first request of each round.
     pub traffic_ended: Cell<bool>,
     checker: RefCell<InvariantChecker>,
-    /// Second octet of the run's addresses within 127.0.0.0/8.
+    /// Second octet of all addresses of the run, which are within 127.0.0.0/8.
     network: u8,
 }
 
-/// The groups into which a run's addresses are divided: their third octet.
+/// A group of a run's addresses. Each group has a third octet of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressGroup {
-    /// Of nodes.
+    /// Addresses at which nodes accept clients.
     Nodes,
-    /// Of the nodes' admin servers.
+    /// Addresses of the nodes' admin servers.
     Admin,
-    /// Of backends.
+    /// Addresses of backends.
     Backends,
-    /// Of discovery: a node that moves to another address of it gets one of the next generation.
+    /// Addresses of discovery. A node whose discovery address changes gets one of the next
+    /// generation.
     Discovery {
-        /// Counts a node's addresses of discovery.
+        /// Number of discovery addresses that the node has had before. Generations that differ by a
+        /// multiple of 100 share a third octet.
         generation: usize,
     },
 }
 
 impl AddressGroup {
-    fn octet(self) -> u8 {
+    /// Returns the third octet of the group's addresses.
+    fn third_octet(self) -> u8 {
         match self {
             AddressGroup::Nodes => 1,
             AddressGroup::Admin => 3,
@@ -92,16 +100,18 @@
     }
 }
 
-/// A cluster, and the listeners of its backends in their order.
+/// A new cluster, with the bound listeners that its backends have yet to serve.
 pub struct NewCluster {
-    /// The cluster.
+    /// The cluster, in which nothing runs yet.
     pub cluster: Rc<TestCluster>,
-    /// Where its backends accept connections.
+    /// The listener of each backend, by [`BackendIndex`].
     pub backend_listeners: Vec<TcpListener>,
 }
 
 impl TestCluster {
-    /// Makes the cluster of a plan on a network of its own within 127.0.0.0/8.
+    /// Creates the cluster of a plan and binds the addresses of its backends. `network` is the
+    /// second octet of all its addresses within 127.0.0.0/8. Backends that the plan lets join later
+    /// are not listed at first.
     ///
     /// # Errors
     ///
@@ -115,7 +125,7 @@
             watch_resets: watch::Sender::new(0),
             clients_impatient: Cell::default(),
             malformed_peers: Cell::default(),
-            crowd_factor: Cell::new(1.0),
+            request_rate_multiple: Cell::new(1.0),
             traffic_ended: Cell::default(),
             network,
             plan,
@@ -139,39 +149,47 @@
         })
     }
 
-    /// The checker of the run's invariants. Must not be held across an await.
+    /// Borrows the checker of the run's invariants. The borrow must not be held across an await,
+    /// nor while another is taken, which panics.
     pub fn checker(&self) -> RefMut<'_, InvariantChecker> {
         self.checker.borrow_mut()
     }
 
-    /// An address of the run's own, with the port left to the system.
+    /// Returns the address of the member at position `member` of a group, counted from 0. Its port
+    /// is 0, so that the system chooses a free one when the address is bound.
     ///
     /// # Panics
     ///
-    /// Panics if there are more than 255 members.
+    /// Panics if the group has more than 255 members: if `member` is above 254.
     pub fn address(&self, group: AddressGroup, member: usize) -> SocketAddr {
-        let member = u8::try_from(member + 1).expect("a small fleet");
-        (Ipv4Addr::new(127, self.network, group.octet(), member), 0).into()
+        let member = u8::try_from(member + 1).expect("an address group has at most 255 members");
+        (
+            Ipv4Addr::new(127, self.network, group.third_octet(), member),
+            0,
+        )
+            .into()
     }
 
-    /// Lists a backend as draining or removed.
-    pub fn take_out(&self, backend: BackendIndex, state: EndpointState) {
+    /// Lists a backend as draining, or removes it from the endpoint list, and tells the checker.
+    /// The backend itself goes on responding.
+    pub fn withdraw_backend(&self, backend: BackendIndex, state: EndpointState) {
         self.checker().backend_taken_out(backend);
         self.change_endpoint(backend, |backend| backend.state.set(state));
     }
 
-    /// Restarts a backend under its id: its connections are reset and its slow start begins.
+    /// Restarts a backend, which keeps its id and address: its connections are reset, it forgets
+    /// its requests, and its slow start begins.
     pub fn restart_backend(&self, backend: BackendIndex) {
         self.checker().backend_started(backend);
         let started_at = unix_milliseconds();
         self.backends[backend.0]
-            .starts
-            .send_modify(|starts| *starts += 1);
+            .restart_count
+            .send_modify(|restart_count| *restart_count += 1);
         self.backends[backend.0].in_flight.set(0);
         self.change_endpoint(backend, |backend| backend.started_at_ms.set(started_at));
     }
 
-    /// Lists a backend that has just started and was not listed before.
+    /// Lists a backend that was not listed before, as one that has just started.
     pub fn join_backend(&self, backend: BackendIndex) {
         self.checker().backend_started(backend);
         let started_at = unix_milliseconds();
@@ -181,30 +199,33 @@
         });
     }
 
-    /// Changes a backend's entry in the endpoint list.
+    /// Changes a backend's entry in the endpoint list, and then publishes the next revision of the
+    /// list.
     fn change_endpoint(&self, backend: BackendIndex, change: impl FnOnce(&Backend)) {
         let revision = *self.list_revision.borrow() + 1;
         let backend = &self.backends[backend.0];
         change(backend);
-        backend.changed_in.set(revision);
+        backend.changed_at_revision.set(revision);
         self.list_revision.send_replace(revision);
     }
 }
 
 impl Backend {
+    /// Creates a backend that behaves normally and has been up since long before the run.
     fn new(address: SocketAddr, state: EndpointState) -> Self {
         Backend {
             address,
             state: Cell::new(state),
             started_at_ms: Cell::new(0),
-            changed_in: Cell::new(1),
+            changed_at_revision: Cell::new(1),
             behavior: Cell::new(BackendBehavior::Normal),
-            starts: watch::Sender::new(0),
+            restart_count: watch::Sender::new(0),
             in_flight: Cell::new(0),
         }
     }
 }
 
+/// Returns the current wall clock time, in milliseconds since the Unix epoch.
 fn unix_milliseconds() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/soak-test/src/http.rs
+++ b/crates/soak-test/src/http.rs
@@ -1,4 +1,5 @@
-//! As much HTTP/1.1 as clients, backends and discovery of the soak test need.
+//! A minimal HTTP/1.1 implementation for the clients, backends and discovery of the soak test.
+//! Bodies are delimited by `Content-Length` only.
 
 use std::io;
 use std::os::fd::AsRawFd;
@@ -7,29 +8,30 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Largest message, in bytes.
+/// Largest number of received bytes that a connection buffers, and so the largest message.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Ends a message's head.
+/// The empty line that ends a message's head, with the line end before it.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A message as it was received.
+/// A received request or response.
 pub struct Message {
-    /// Request line or status line.
+    /// Request line or status line, without its line end.
     pub start_line: String,
     headers: Vec<Header>,
-    /// As much as its `Content-Length` covers.
+    /// Body, as long as `Content-Length` says; empty without that header.
     pub body: Vec<u8>,
-    /// When its first byte was seen.
+    /// When the reader first had a byte of the message.
     pub first_byte: Instant,
 }
 
+/// One header field.
 struct Header {
     name: String,
     value: String,
 }
 
 impl Message {
-    /// A message without its body.
+    /// Parses a head into a message with an empty body. Lines without a colon are ignored.
     fn from_head(head: &str, first_byte: Instant) -> Self {
         let mut lines = head.trim_end().lines();
         let start_line = lines.next().unwrap_or_default().to_owned();
@@ -42,7 +44,8 @@
         }
     }
 
-    /// The value of a header.
+    /// Returns the value of the first header with this name, which is matched without regard to
+    /// case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -50,11 +53,13 @@
             .map(|header| header.value.as_str())
     }
 
-    /// The status code of a response.
+    /// Returns the status code of a response; `None` if its status line has no number in second
+    /// place.
     pub fn status(&self) -> Option<u16> {
         self.start_line.split(' ').nth(1)?.parse().ok()
     }
 
+    /// Returns the length of the body in bytes: 0 without a valid `Content-Length`.
     fn content_length(&self) -> usize {
         self.header("content-length")
             .and_then(|value| value.parse().ok())
@@ -63,6 +68,7 @@
 }
 
 impl Header {
+    /// Parses a header line; `None` if it has no colon.
     fn parse(line: &str) -> Option<Self> {
         let (name, value) = line.split_once(':')?;
         Some(Header {
@@ -75,22 +81,22 @@
 /// How a connection ended before a message was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The peer closed it, after this many bytes of a message.
+    /// The peer closed it, after this many bytes of an incomplete message.
     Closed(usize),
-    /// It was reset.
+    /// It was reset or failed otherwise, or the message was too large.
     Reset,
 }
 
-/// A connection that is read message by message.
+/// A TCP connection from which HTTP messages are read one by one.
 pub struct Connection {
-    /// The socket, shared with whoever has to know whether it is still open.
+    /// The socket, shared with those who check whether it is still open.
     pub socket: Rc<TcpStream>,
-    /// Bytes that were received and belong to no message yet.
+    /// Bytes that were received but not yet returned as part of a message.
     received: Vec<u8>,
 }
 
 impl Connection {
-    /// A connection on a socket from which nothing was read.
+    /// Wraps a socket from which nothing was read yet, and disables Nagle's algorithm on it.
     pub fn new(socket: TcpStream) -> Self {
         let _ = socket.set_nodelay(true);
         Connection {
@@ -99,12 +105,12 @@
         }
     }
 
-    /// Bytes received of a message that is not complete.
+    /// Returns the number of bytes received of a message that is not complete.
     pub fn incomplete_bytes(&self) -> usize {
         self.received.len()
     }
 
-    /// Writes all of these bytes.
+    /// Writes all of these bytes, waiting while the socket's send buffer is full.
     ///
     /// # Errors
     ///
@@ -121,8 +127,8 @@
         Ok(())
     }
 
-    /// Receives some more bytes.
-    async fn fill(&mut self) -> Result<(), ConnectionEnd> {
+    /// Waits for more bytes and adds them to `received`.
+    async fn receive_more(&mut self) -> Result<(), ConnectionEnd> {
         loop {
             self.socket
                 .readable()
@@ -144,30 +150,30 @@
     ///
     /// # Errors
     ///
-    /// The connection ended before the message was complete.
+    /// The connection ended before the message was complete, or the message is too large.
     ///
     /// # Cancellation
     ///
-    /// Bytes that were received stay for the next call.
+    /// Bytes that were received are kept for the next call.
     pub async fn read(&mut self) -> Result<Message, ConnectionEnd> {
         if self.received.is_empty() {
-            self.fill().await?;
+            self.receive_more().await?;
         }
         let first_byte = Instant::now();
-        let head_length = self.read_head().await?;
+        let head_length = self.receive_head().await?;
         let head = String::from_utf8_lossy(&self.received[..head_length]);
         let mut message = Message::from_head(&head, first_byte);
         let length = head_length + message.content_length();
         while self.received.len() < length {
-            self.fill().await?;
+            self.receive_more().await?;
         }
         message.body = self.received[head_length..length].to_vec();
         self.received.drain(..length);
         Ok(message)
     }
 
-    /// Receives until a head is complete. Returns its length, in bytes.
-    async fn read_head(&mut self) -> Result<usize, ConnectionEnd> {
+    /// Receives until `received` holds a complete head. Returns the head's length, in bytes.
+    async fn receive_head(&mut self) -> Result<usize, ConnectionEnd> {
         loop {
             let end = self
                 .received
@@ -175,12 +181,13 @@
                 .position(|bytes| bytes == HEAD_END);
             match end {
                 Some(end) => return Ok(end + HEAD_END.len()),
-                None => self.fill().await?,
+                None => self.receive_more().await?,
             }
         }
     }
 
-    /// Whether the peer has neither closed nor reset it, as the system knows.
+    /// Whether the peer has neither closed nor reset the connection, as far as the operating system
+    /// has reported. A closed connection counts as open while bytes from it are unread.
     pub fn is_open(socket: &TcpStream) -> bool {
         match socket.try_io(Interest::READABLE, || peek(socket)) {
             Ok(read) => read > 0,
@@ -188,16 +195,18 @@
         }
     }
 
-    /// Lets its end be a reset.
-    pub fn reset(&self) {
+    /// Makes the connection end with a reset (RST) once its socket is closed.
+    pub fn reset_on_close(&self) {
         let _ = self.socket.set_zero_linger();
     }
 }
 
-/// Looks at the next byte and leaves it. Asks the system, whatever the runtime knows.
+/// Receives one byte without consuming it, and returns how many there were: 0 at the end of the
+/// stream. Asks the operating system directly, whatever readiness the runtime has recorded.
 fn peek(socket: &TcpStream) -> io::Result<usize> {
     let mut byte = [0u8];
-    // SAFETY: The descriptor is the socket's, which is borrowed, and the buffer is one byte long.
+    // SAFETY: The descriptor belongs to the socket, which stays borrowed, and the given length is
+    // that of the buffer.
     #[expect(unsafe_code, reason = "no safe interface peeks without the runtime")]
     let read = unsafe {
         libc::recv(
--- a/crates/soak-test/src/message_body.rs
+++ b/crates/soak-test/src/message_body.rs
@@ -1,18 +1,20 @@
-//! Large bodies, of which each end can tell whether they arrived unaltered.
+//! Large message bodies, padded with a known pattern so that the receiver can detect alterations.
 
-/// The bytes that fill a body up.
-const PATTERN: &[u8] = b"0123456789abcdefghijklmnopqrstuvwxyz";
-/// Stands before the filling.
+/// Bytes that are repeated to pad a body.
+const PADDING_PATTERN: &[u8] = b"0123456789abcdefghijklmnopqrstuvwxyz";
+/// Separates a body's content from its padding.
 const SEPARATOR: char = '|';
-/// Query parameter by which a client asks for a response of some size.
+/// Start of the query by which a client requests a response body of a given size; the number of
+/// bytes follows.
 const SIZE_PARAMETER: &str = "bytes=";
 
-/// The request target's query that asks for a response body of this many bytes.
-pub fn query(bytes: usize) -> String {
+/// Returns the query, from its question mark on, that requests a response body of this many bytes.
+pub fn size_query(bytes: usize) -> String {
     format!("?{SIZE_PARAMETER}{bytes}")
 }
 
-/// The size of the response body that a request line asks for, or 0.
+/// Returns the response body size, in bytes, that a request line requests, or 0 if it requests
+/// none.
 pub fn requested_bytes(request_line: &str) -> usize {
     let parameter = request_line
         .split(' ')
@@ -24,15 +26,16 @@
         .unwrap_or_default()
 }
 
-/// Fills a body up to this many bytes, if it is shorter.
-pub fn fill(body: &mut String, bytes: usize) {
+/// Pads a body with a separator and the pattern to a length of `bytes` bytes. Leaves it unchanged
+/// if there is no room for any byte after the separator.
+pub fn pad(body: &mut String, bytes: usize) {
     if body.len() + SEPARATOR.len_utf8() >= bytes {
         return;
     }
     body.push(SEPARATOR);
     let missing = bytes - body.len();
     body.extend(
-        PATTERN
+        PADDING_PATTERN
             .iter()
             .cycle()
             .take(missing)
@@ -40,12 +43,13 @@
     );
 }
 
-/// Whether what follows the separator is the filling, as far as there is any.
+/// Whether all bytes after the first separator are the padding pattern. A body without a separator
+/// is intact.
 pub fn is_intact(body: &[u8]) -> bool {
     let separator = body.iter().position(|&byte| byte == SEPARATOR as u8);
     separator.is_none_or(|at| {
         body[at + 1..]
             .iter()
-            .eq(PATTERN.iter().cycle().take(body.len() - at - 1))
+            .eq(PADDING_PATTERN.iter().cycle().take(body.len() - at - 1))
     })
 }
--- a/crates/soak-test/src/run.rs
+++ b/crates/soak-test/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: starts the cluster of a plan, lets its faults happen, and reports what the checker found.
+//! One run of a plan: starts its cluster, generates traffic, injects its faults, and reports what
+//! the invariant checker found.
 
 use crate::backend;
 use crate::clients::Clients;
@@ -15,31 +16,35 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep;
 
-/// How often the observer measures its own lag and looks at the processes.
+/// Interval at which the observer, the soak test's own process, measures its scheduling lag and
+/// checks the nodes' processes for crashes.
 const OBSERVATION_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What came of one run.
+/// Result of one run.
 pub struct RunReport {
-    /// What was run.
+    /// The plan that was run.
     pub plan: Plan,
-    /// What was counted.
+    /// Numbers of requests, by result, and of attempts.
     pub totals: Totals,
     /// The violated invariants, in order of time.
     pub violations: Vec<Violation>,
-    /// The longest time by which the observer itself was late. Its verdict proves nothing where this
-    /// is long.
+    /// Longest lag of the observer, the soak test's own process. If it is long, the run proves
+    /// nothing, since the measured times are those of the observer.
     pub max_observer_lag: Duration,
 }
 
-/// Runs a plan in a folder of its own, on a network of its own within 127.0.0.0/8. Needs a `LocalSet`.
+/// Runs a plan. `folder` takes the nodes' files; `network` is the second octet of the addresses
+/// within 127.0.0.0/8 that the run uses. Runs in parallel need different folders and networks. Must
+/// be called within a `LocalSet`.
 ///
 /// # Errors
 ///
-/// The folder cannot be written or an address cannot be bound.
+/// The folder cannot be written, or an address of a backend, a node or discovery cannot be bound.
 ///
 /// # Cancellation
 ///
-/// Dropping the future leaves tasks behind in the `LocalSet`; dropping that ends the processes.
+/// Dropping the future leaves its tasks running in the `LocalSet`. Dropping the `LocalSet` kills
+/// the nodes' processes.
 pub async fn run(
     plan: Plan,
     network: u8,
@@ -58,7 +63,7 @@
         ));
     }
     let nodes = start_nodes(&cluster, folder, programs).await?;
-    spawn_local(measure_lag(cluster.clone()));
+    spawn_local(measure_observer_lag(cluster.clone()));
     spawn_local(watch_for_crashes(nodes.clone()));
     run_traffic(&cluster, &nodes).await;
     join(spawn_for_each(&nodes, |node| async move {
@@ -74,6 +79,8 @@
     })
 }
 
+/// Creates the plan's nodes and starts them concurrently; returns once each is ready or has been
+/// recorded as not ready in time.
 async fn start_nodes(
     cluster: &Rc<TestCluster>,
     folder: &Path,
@@ -90,25 +97,27 @@
     Ok(nodes)
 }
 
-/// Runs clients and faults until the traffic is over and the last client has its response.
+/// Runs clients and faults for the plan's traffic duration, and then waits until every client has
+/// its response or has given up and every fault has ended.
 async fn run_traffic(cluster: &Rc<TestCluster>, nodes: &[Rc<ProxyNode>]) {
     cluster.checker().traffic_started();
     let mut tasks = Vec::new();
     for node in nodes {
         let open_loop = Clients::run_open_loop(cluster.clone(), node.clone());
         tasks.push(spawn_local(open_loop));
-        let resting = Clients::run_resting(cluster.clone(), node.clone());
-        tasks.push(spawn_local(resting));
+        let idle_timeout_clients = Clients::run_idle_timeout_clients(cluster.clone(), node.clone());
+        tasks.push(spawn_local(idle_timeout_clients));
     }
     for fault in &cluster.plan.faults {
-        let injecting = fault_injector::inject(cluster.clone(), nodes.to_vec(), fault.clone());
-        tasks.push(spawn_local(injecting));
+        let injection = fault_injector::inject(cluster.clone(), nodes.to_vec(), fault.clone());
+        tasks.push(spawn_local(injection));
     }
     sleep(cluster.plan.traffic_duration).await;
     cluster.traffic_ended.set(true);
     join(tasks).await;
 }
 
+/// Spawns `task` for each node; the tasks run concurrently.
 fn spawn_for_each<F: Future<Output = ()> + 'static>(
     nodes: &[Rc<ProxyNode>],
     task: impl Fn(Rc<ProxyNode>) -> F,
@@ -119,14 +128,16 @@
         .collect()
 }
 
-/// Waits for all tasks, whether or not they panic.
+/// Waits until all tasks have ended, whether or not they panic.
 async fn join(tasks: Vec<JoinHandle<()>>) {
     for task in tasks {
         let _ = task.await;
     }
 }
 
-async fn measure_lag(cluster: Rc<TestCluster>) {
+/// Reports to the checker how much later than due this process's timers fire. Runs until it is
+/// dropped.
+async fn measure_observer_lag(cluster: Rc<TestCluster>) {
     loop {
         let before = Instant::now();
         sleep(OBSERVATION_INTERVAL).await;
@@ -135,6 +146,8 @@
     }
 }
 
+/// Checks regularly whether a node's process has exited without being told to, and records that as
+/// a violation. Runs until it is dropped.
 async fn watch_for_crashes(nodes: Vec<Rc<ProxyNode>>) {
     loop {
         sleep(OBSERVATION_INTERVAL).await;
