--- a/crates/proxy/tests/common/builder.rs
+++ b/crates/proxy/tests/common/builder.rs
@@ -1,27 +1,30 @@
-//! Builds the configuration of a proxy process under test and starts it.
+//! Configures a proxy process under test and starts it.
 
 use super::faults::FaultInjection;
 use super::folder::StateFolder;
-use super::process::{ProxyProcess, Spawn};
+use super::process::{ProxyProcess, SpawnOptions};
 use super::servers::{ScriptedServer, WatchStream};
 use super::settings::{endpoint, settings, MEMORY_MB};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Descriptors that a process is configured with by default.
+/// Number of descriptors that the configuration allows a process by default.
 const DESCRIPTORS: u32 = 1024;
 
-/// A proxy process that is not started yet.
+/// The configuration and the environment of a proxy process that is to be started.
 #[derive(Clone)]
 pub struct ProxyBuilder<'a> {
     config: Value,
+    /// Environment variables, by name.
     variables: Vec<(String, String)>,
+    /// Limit on descriptors that the system enforces; `None` leaves the limit of the test.
     descriptor_limit: Option<u32>,
+    /// Listener for clients that the process inherits instead of binding its own.
     inherited_listener: Option<&'a std::net::TcpListener>,
 }
 
 impl<'a> ProxyBuilder<'a> {
-    /// A process with the usual settings that listens on a port of the system's choice.
+    /// Configures a process with the default settings that listens on a port chosen by the system.
     pub fn new(discovery: SocketAddr) -> Self {
         ProxyBuilder {
             config: json!({
@@ -38,51 +41,54 @@
         }
     }
 
-    /// Sets a key of the configuration.
+    /// Sets a top-level key of the configuration.
     pub fn config(mut self, key: &str, value: impl Into<Value>) -> Self {
         self.config[key] = value.into();
         self
     }
 
-    /// The address for clients.
+    /// Sets the address on which the process listens for clients.
     pub fn listen(self, address: SocketAddr) -> Self {
         self.config("listen", address.to_string())
     }
 
-    /// The settings of the protocol.
+    /// Replaces the default settings.
     pub fn settings(self, settings: Value) -> Self {
         self.config("settings", settings)
     }
 
-    /// The descriptors that the configuration allows.
+    /// Sets the number of descriptors that the configuration allows the process.
     pub fn descriptors(self, count: u32) -> Self {
         self.config("limits", json!({"sockets": count, "memory_mb": MEMORY_MB}))
     }
 
-    /// An admin address, on a port of the system's choice.
+    /// Adds an admin server, on a port chosen by the system.
     pub fn admin(self) -> Self {
         self.config("console", "127.0.0.1:0")
     }
 
-    /// An environment variable.
+    /// Adds an environment variable.
     pub fn variable(mut self, name: &str, value: &str) -> Self {
         self.variables.push((name.into(), value.into()));
         self
     }
 
-    /// Leaves a key out of the configuration.
+    /// Removes a top-level key from the configuration.
     pub fn without(mut self, key: &str) -> Self {
-        let keys = self.config.as_object_mut().expect("an object");
+        let keys = self
+            .config
+            .as_object_mut()
+            .expect("the configuration should be an object");
         keys.remove(key);
         self
     }
 
-    /// The folder in which the process keeps its state.
+    /// Sets the folder in which the process keeps its state.
     pub fn state_folder(self, folder: &StateFolder) -> Self {
         self.variable("TMPDIR", folder.as_str())
     }
 
-    /// System calls that fail as the test says.
+    /// Preloads fault injection, through which the test makes system calls fail.
     pub fn faults(mut self, faults: &FaultInjection) -> Self {
         for (name, value) in faults.variables() {
             self = self.variable(name, value);
@@ -90,39 +96,43 @@
         self
     }
 
-    /// A limit on descriptors that the system enforces, whatever the configuration says.
+    /// Sets a limit on descriptors that the system enforces, whatever the configuration allows.
     pub fn descriptor_limit(mut self, count: u32) -> Self {
         self.descriptor_limit = Some(count);
         self
     }
 
-    /// A listener for clients that the process inherits.
+    /// Lets the process inherit this listener for clients, and configures its address.
     pub fn inherit(mut self, listener: &'a std::net::TcpListener) -> Self {
         self.inherited_listener = Some(listener);
         self.config(
             "listen",
-            listener.local_addr().expect("an address").to_string(),
+            listener
+                .local_addr()
+                .expect("the local address")
+                .to_string(),
         )
     }
 
-    /// The configuration's text.
+    /// Returns the text of the configuration file.
     pub fn config_text(&self) -> String {
         self.config.to_string()
     }
 
-    /// Starts the process and waits until it listens.
+    /// Starts the process and waits until it listens for clients.
     pub async fn start(self) -> ProxyProcess {
-        let spawn = Spawn {
+        let options = SpawnOptions {
             config: &self.config.to_string(),
             variables: &self.variables,
             descriptor_limit: self.descriptor_limit,
             inherited_listener: self.inherited_listener,
         };
-        let started = spawn.start();
-        ProxyProcess::listening(started, self.config).await
+        let spawned = options.spawn();
+        ProxyProcess::wait_until_listening(spawned, self.config).await
     }
 
-    /// Starts the process, sends it a first endpoint list and waits until it is ready.
+    /// Starts the process, sends it a first endpoint list on its watch and waits until it is ready.
+    /// The returned watch is open.
     pub async fn start_ready(
         self,
         discovery: &ScriptedServer,
@@ -136,7 +146,7 @@
     }
 }
 
-/// The active endpoints of these backends.
+/// Returns an active endpoint for each of these backends, given by their ids.
 fn active_endpoints(backends: &[(&str, &ScriptedServer)]) -> Vec<Value> {
     backends
         .iter()
@@ -144,7 +154,8 @@
         .collect()
 }
 
-/// A ready process with the usual settings that serves from these backends.
+/// Starts a process with the default settings and these backends, and waits until it is ready.
+/// Returns it with its discovery server and the open watch.
 pub async fn serve(
     backends: &[(&str, &ScriptedServer)],
 ) -> (ProxyProcess, ScriptedServer, WatchStream) {
@@ -155,7 +166,7 @@
     (proxy, discovery, watch)
 }
 
-/// The same with system calls that may fail.
+/// Does the same as [`serve`], with system calls that the test can make fail.
 pub async fn serve_with_faults(
     faults: &FaultInjection,
     backends: &[(&str, &ScriptedServer)],
@@ -168,7 +179,7 @@
     (proxy, discovery, watch)
 }
 
-/// The same with an admin address.
+/// Does the same as [`serve`], with an admin server.
 pub async fn serve_with_admin(
     backends: &[(&str, &ScriptedServer)],
 ) -> (ProxyProcess, ScriptedServer, WatchStream) {
--- a/crates/proxy/tests/common/connection.rs
+++ b/crates/proxy/tests/common/connection.rs
@@ -1,4 +1,5 @@
-//! HTTP messages and connections that a test reads and writes byte by byte.
+//! Connections on which a test reads and writes HTTP messages itself, malformed and partial ones
+//! too.
 
 use super::spawn_lock::CloseGuarded;
 use super::within;
@@ -8,78 +9,88 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 
-/// A received HTTP message.
+/// A received HTTP request or response.
 #[derive(Debug)]
 pub struct Message {
-    /// Request or status line.
+    /// The request line or the status line.
     pub start: String,
+    /// Names and values, in the order received.
     headers: Vec<(String, String)>,
+    /// The body; empty where a method returns it separately.
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// Returns the value of the first header of this name, in whatever case it was written.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|h| h.0.eq_ignore_ascii_case(name))
-            .map(|h| h.1.as_str())
+            .find(|header| header.0.eq_ignore_ascii_case(name))
+            .map(|header| header.1.as_str())
     }
 
+    /// Returns the status of a response.
     pub fn status(&self) -> u16 {
         self.start
             .split(' ')
             .nth(1)
-            .and_then(|s| s.parse().ok())
-            .expect("a status line")
+            .and_then(|status| status.parse().ok())
+            .expect("the message should start with a status line")
     }
 }
 
-/// A TCP connection, accepted or made by the test.
+/// A TCP connection that the test has accepted or opened.
 pub struct Connection(CloseGuarded<BufReader<TcpStream>>);
 
 impl Connection {
+    /// Wraps an established connection.
     pub fn new(stream: TcpStream) -> Self {
         Connection(CloseGuarded(Some(BufReader::new(stream))))
     }
 
+    /// Opens a connection to this address.
     pub async fn connect(address: SocketAddr) -> Self {
         Connection::new(
             within("a connection", TcpStream::connect(address))
                 .await
-                .expect("a connection"),
+                .expect("connecting failed"),
         )
     }
 
-    /// Closes the connection and waits until the peer has closed it as well.
+    /// Closes the sending half, and waits until the peer has closed the connection without sending
+    /// more.
     pub async fn close(mut self) {
-        self.0.get_mut().shutdown().await.expect("the closing");
+        self.0.get_mut().shutdown().await.expect("closing failed");
         self.expect_closed().await;
     }
 
-    /// Resets the connection.
+    /// Closes the connection by a TCP reset.
     pub fn reset(self) {
         self.0
             .get_ref()
             .set_zero_linger()
-            .expect("a socket to reset");
+            .expect("setting the linger time failed");
     }
 
-    /// Whether the peer has closed the connection by now; does not wait.
+    /// Returns, without waiting, whether the peer has closed the connection by now. Unread bytes on
+    /// the socket count as closed too.
     pub fn is_closed(&self) -> bool {
         let mut byte = [std::mem::MaybeUninit::uninit()];
         let peeked = SockRef::from(self.0.get_ref()).peek(&mut byte);
         !peeked.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
+    /// Writes bytes as they are; fails the test if the connection is closed.
     pub async fn write(&mut self, text: &str) {
         self.0
             .get_mut()
             .write_all(text.as_bytes())
             .await
-            .expect("writing");
+            .expect("writing failed");
     }
 
-    /// The next message; `None` if the connection ends first.
+    /// Reads the next message, whose body has a `Content-Length` or is empty; `None` if the
+    /// connection ends first.
     pub async fn read(&mut self) -> Option<Message> {
         within("a message", self.read_message()).await
     }
@@ -90,6 +101,7 @@
         assert_eq!(response.status(), status, "{}", response.start);
     }
 
+    /// Does the same as [`Self::read`], without a timeout.
     async fn read_message(&mut self) -> Option<Message> {
         let mut lines = Vec::new();
         loop {
@@ -103,11 +115,11 @@
             }
         }
         let start = lines.remove(0);
-        let split = |l: String| {
-            l.split_once(':')
-                .map(|(n, v)| (n.to_owned(), v.trim().to_owned()))
+        let parse_header = |line: String| {
+            line.split_once(':')
+                .map(|(name, value)| (name.to_owned(), value.trim().to_owned()))
         };
-        let headers = lines.into_iter().filter_map(split).collect();
+        let headers = lines.into_iter().filter_map(parse_header).collect();
         let mut message = Message {
             start,
             headers,
@@ -115,24 +127,30 @@
         };
         let length = message
             .header("content-length")
-            .map_or(0, |l| l.parse().expect("a length"));
+            .map_or(0, |length| length.parse().expect("a body length"));
         message.body = vec![0; length];
         self.0.read_exact(&mut message.body).await.ok()?;
         Some(message)
     }
 
-    /// The head of the next message and its body, decoded by its framing; no body if it ends early.
+    /// Reads the next message and decodes its body, by `Content-Length` or else as chunks without
+    /// trailers. The body is returned beside the message; it is `None` if the connection ends
+    /// before it is complete or if a chunk is malformed.
     pub async fn read_streamed(&mut self) -> (Message, Option<Vec<u8>>) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            head.push(within("a head", self.0.read_u8()).await.expect("a head"));
+            head.push(
+                within("the head of a message", self.0.read_u8())
+                    .await
+                    .expect("the connection ended in a head"),
+            );
         }
-        let head = String::from_utf8(head).expect("text");
+        let head = String::from_utf8(head).expect("the head should be valid UTF-8");
         let mut lines = head.trim_end().lines().map(str::to_owned);
-        let start = lines.next().expect("a first line");
-        let headers = lines.filter_map(|l| {
-            l.split_once(':')
-                .map(|(n, v)| (n.to_owned(), v.trim().to_owned()))
+        let start = lines.next().expect("the head should not be empty");
+        let headers = lines.filter_map(|line| {
+            line.split_once(':')
+                .map(|(name, value)| (name.to_owned(), value.trim().to_owned()))
         });
         let message = Message {
             start,
@@ -141,7 +159,7 @@
         };
         let body = match message
             .header("content-length")
-            .map(|l| l.parse().expect("a length"))
+            .map(|length| length.parse().expect("a body length"))
         {
             Some(length) => self.read_bytes(length).await,
             None => self.read_chunks().await,
@@ -149,11 +167,14 @@
         (message, body)
     }
 
+    /// Reads a chunked body to its last chunk and the empty line after it.
     async fn read_chunks(&mut self) -> Option<Vec<u8>> {
         let mut body = Vec::new();
         loop {
             let mut line = String::new();
-            within("a chunk", self.0.read_line(&mut line)).await.ok()?;
+            within("the size of a chunk", self.0.read_line(&mut line))
+                .await
+                .ok()?;
             let size = usize::from_str_radix(line.trim_end().split(';').next()?, 16).ok()?;
             body.extend(self.read_bytes(size).await?);
             self.read_bytes(2).await?;
@@ -163,58 +184,64 @@
         }
     }
 
-    /// Exactly this many bytes; `None` if the connection ends first.
+    /// Reads exactly this many bytes; `None` if the connection ends first.
     pub async fn read_bytes(&mut self, count: usize) -> Option<Vec<u8>> {
         let mut bytes = vec![0; count];
-        within("bytes", self.0.read_exact(&mut bytes))
+        within("more bytes", self.0.read_exact(&mut bytes))
             .await
             .ok()
             .map(|_| bytes)
     }
 
-    /// Waits for the peer to close, without sending anything more.
+    /// Waits for the peer to close, and asserts that it sends nothing more.
     pub async fn expect_closed(&mut self) {
         let mut rest = Vec::new();
-        let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
+        let _ = within("the connection to close", self.0.read_to_end(&mut rest)).await;
         assert!(
             rest.is_empty(),
-            "closed only after {:?}",
+            "the peer sent {:?} before it closed",
             String::from_utf8_lossy(&rest)
         );
     }
 
-    /// Writes as much as the peer reads before it closes.
+    /// Writes as much of this text as the peer takes; it may close before the end.
     pub async fn write_until_closed(&mut self, text: &str) {
-        let _ = within("writing", self.0.get_mut().write_all(text.as_bytes())).await;
+        let _ = within(
+            "the write to end",
+            self.0.get_mut().write_all(text.as_bytes()),
+        )
+        .await;
     }
 
-    /// Waits for the peer to close, and returns whether it did so without reading all that was sent.
+    /// Waits for the peer to close, asserts that it sends nothing more, and returns whether it
+    /// closed with unread bytes.
     pub async fn closed_over_unread_bytes(&mut self) -> bool {
         let mut rest = Vec::new();
-        let ended = within("the connection's end", self.0.read_to_end(&mut rest)).await;
+        let ended = within("the connection to close", self.0.read_to_end(&mut rest)).await;
         assert!(
             rest.is_empty(),
-            "ended only after {:?}",
+            "the peer sent {:?} before it closed",
             String::from_utf8_lossy(&rest)
         );
-        // A close over unread bytes resets the connection, which may show a moment after its end.
+        // A close with unread bytes resets the connection. The reset may be noticed a moment after
+        // the end of the stream.
         let reset = ended.is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionReset);
         reset
             || within(
-                "the reset",
+                "the connection's reset",
                 self.0.get_ref().ready(tokio::io::Interest::ERROR),
             )
             .await
             .is_ok_and(tokio::io::Ready::is_error)
     }
 
-    /// Waits for the peer to close, whatever it still sends.
+    /// Waits for the peer to close, and discards what it still sends.
     pub async fn drain_until_closed(&mut self) {
         let mut rest = Vec::new();
-        let _ = within("the connection's end", self.0.read_to_end(&mut rest)).await;
+        let _ = within("the connection to close", self.0.read_to_end(&mut rest)).await;
     }
 
-    /// Writes a response with further header lines, each terminated, and a body.
+    /// Writes a response with a body. `headers` holds further header lines, each with its line end.
     pub async fn respond(&mut self, status: &str, headers: &str, body: &str) {
         let length = body.len();
         self.write(&format!(
@@ -223,52 +250,59 @@
         .await;
     }
 
-    /// Sends a request of a class and returns its response.
+    /// Sends a request of a class with a timeout of 20 s, and returns its response; `None` if the
+    /// connection ends first.
     pub async fn request(&mut self, class: &str) -> Option<Message> {
         self.send(class, "20000m").await;
         self.read().await
     }
 
-    pub async fn send(&mut self, class: &str, wait: &str) {
+    /// Sends a request without a body, with an id of its own. `timeout` is the value of its
+    /// `X-Timeout`.
+    pub async fn send(&mut self, class: &str, timeout: &str) {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         self.send_with_id(
             &format!("r{}", NEXT.fetch_add(1, Ordering::Relaxed)),
             class,
-            wait,
+            timeout,
         )
         .await;
     }
 
-    /// Sends a non-idempotent request with a body.
+    /// Sends a non-idempotent request with a body and a timeout of 60 s.
     pub async fn send_with_body(&mut self, id: &str, body: &str) {
-        let length = format!("Content-Length: {}\r\n\r\n{body}", body.len());
-        self.begin_unsafe(id, &length).await;
+        let headers_and_body = format!("Content-Length: {}\r\n\r\n{body}", body.len());
+        self.send_non_idempotent(id, &headers_and_body).await;
     }
 
-    /// The same with a chunked body.
+    /// Sends a non-idempotent request with a chunked body of 3 bytes and a timeout of 60 s.
     pub async fn send_chunked(&mut self, id: &str) {
-        self.begin_unsafe(
+        self.send_non_idempotent(
             id,
             "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
         )
         .await;
     }
 
-    async fn begin_unsafe(&mut self, id: &str, rest: &str) {
+    /// Sends a non-idempotent request that ends with `headers_and_body`: its framing header lines,
+    /// the empty line and its body.
+    async fn send_non_idempotent(&mut self, id: &str, headers_and_body: &str) {
         let head = format!(
             "POST /unsafe HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id}\r\nX-Timeout: 60000m\r\n"
         );
-        self.write(&format!("{head}X-Tenant-Id: one\r\n{rest}"))
+        self.write(&format!("{head}X-Tenant-Id: one\r\n{headers_and_body}"))
             .await;
     }
 
-    /// Half-closes the connection and waits for the peer to close.
+    /// Closes the sending half, and waits for the peer to close, whatever it still sends.
     pub async fn half_close(&mut self) {
-        self.0.get_mut().shutdown().await.expect("the closing");
+        self.0.get_mut().shutdown().await.expect("closing failed");
         self.drain_until_closed().await;
     }
 
-    pub async fn send_with_id(&mut self, id: &str, class: &str, wait: &str) {
+    /// Sends a request without a body: a GET if its class is `safe`, otherwise a POST, with an
+    /// idempotency key if its class is `keyed`. `timeout` is the value of its `X-Timeout`.
+    pub async fn send_with_id(&mut self, id: &str, class: &str, timeout: &str) {
         let method = if class == "safe" { "GET" } else { "POST" };
         let key = if class == "keyed" {
             "Idempotency-Key: k\r\n"
@@ -276,7 +310,7 @@
             ""
         };
         let head = format!(
-            "{method} /{class} HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id}\r\nX-Timeout: {wait}\r\n"
+            "{method} /{class} HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id}\r\nX-Timeout: {timeout}\r\n"
         );
         self.write(&format!(
             "{head}X-Tenant-Id: one\r\nX-Cost: 90000\r\n{key}Content-Length: 0\r\n\r\n"
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,6 +1,7 @@
-//! A proxy process under test, and scripted clients, backends and discovery around it.
+//! Shared test support: starts proxy processes, and stands in for their clients, their backends and
+//! discovery.
 
-#![allow(dead_code, unused_imports)] // Each test file uses its part.
+#![allow(dead_code, unused_imports)] // Each test file uses only some of it.
 
 mod builder;
 mod connection;
@@ -23,12 +24,13 @@
 use std::future::Future;
 use std::time::Duration;
 
-/// Longest time for which a test waits.
+/// Longest time that a test waits for one thing.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Fails a test that waits for something that never comes; nothing is measured by it.
+/// Waits for `future`, and fails the test after [`TEST_TIMEOUT`]. `what` names in the failure what
+/// was waited for. The timeout only ends tests that hang; it checks no timing of the proxy.
 pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     tokio::time::timeout(TEST_TIMEOUT, future)
         .await
-        .unwrap_or_else(|_| panic!("{what}: nothing came"))
+        .unwrap_or_else(|_| panic!("timed out waiting for {what}"))
 }
--- a/crates/proxy/tests/common/servers.rs
+++ b/crates/proxy/tests/common/servers.rs
@@ -1,4 +1,4 @@
-//! Listeners that stand in for backends and for discovery.
+//! Servers that stand in for backends and for discovery, scripted by the test.
 
 use super::connection::{Connection, Message};
 use super::spawn_lock::CloseGuarded;
@@ -9,8 +9,9 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A loopback address of this test's own, with port 0. Ports are soon reused: on a shared address a
-/// connection to a stopped listener could reach another test's.
+/// Returns a loopback address that no other test uses, with port 0. The system reuses ports soon:
+/// on a shared address, a connection to a stopped listener could reach the listener of another
+/// test.
 pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let process = std::process::id();
@@ -23,6 +24,7 @@
 pub struct ScriptedServer(CloseGuarded<TcpListener>);
 
 impl ScriptedServer {
+    /// Listens on an address of its own.
     pub async fn new() -> Self {
         ScriptedServer::at(unique_address()).await
     }
@@ -30,39 +32,42 @@
     /// Listens on a given address.
     pub async fn at(address: SocketAddr) -> Self {
         ScriptedServer(CloseGuarded(Some(
-            TcpListener::bind(address).await.expect("a port"),
+            TcpListener::bind(address).await.expect("binding failed"),
         )))
     }
 
+    /// Returns the address and port that it listens on.
     pub fn address(&self) -> SocketAddr {
-        self.0.local_addr().expect("an address")
+        self.0.local_addr().expect("the local address")
     }
 
+    /// Accepts the next connection.
     pub async fn accept(&self) -> Connection {
-        within("a connection to be accepted", self.accept_when_it_comes()).await
+        within("a connection to accept", self.accept_when_it_comes()).await
     }
 
-    /// The same, however long it takes.
+    /// Accepts the next connection, without a timeout.
     pub async fn accept_when_it_comes(&self) -> Connection {
         let accepted = self.0.accept().await;
-        Connection::new(accepted.expect("a connection").0)
+        Connection::new(accepted.expect("accepting failed").0)
     }
 
-    /// A new connection and the first request on it.
+    /// Accepts the next connection and reads the first request on it.
     pub async fn accept_request(&self) -> (Connection, Message) {
         let mut connection = self.accept().await;
         let request = connection.read().await.expect("a request");
         (connection, request)
     }
 
-    /// Whether no connection arrives for a moment.
+    /// Returns whether no connection arrives within 50 ms.
     pub async fn is_untouched(&self) -> bool {
         tokio::time::timeout(Duration::from_millis(50), self.0.accept())
             .await
             .is_err()
     }
 
-    /// Accepts a discovery watch and starts its response; returns the request line too.
+    /// Accepts a discovery watch and sends the head of its response. Returns the watch and its
+    /// request line.
     pub async fn accept_watch(&self) -> (WatchStream, String) {
         let (mut connection, request) = self.accept_request().await;
         connection
@@ -72,32 +77,37 @@
     }
 }
 
-/// A listener whose accept queue is full: a further connection waits for the kernel's SYN retry.
+/// Creates a listener whose accept queue is full: a further connection is established only by the
+/// kernel's SYN retry, after the queue has room. Returns the listener, its address and the
+/// connections that fill the queue.
 pub async fn full_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind(unique_address()).expect("a port");
-    let listener = socket.listen(1).expect("a listener");
-    let address = listener.local_addr().expect("an address");
-    let patience = Duration::from_millis(300);
-    let mut filling = Vec::new();
-    while let Ok(stream) = tokio::time::timeout(patience, TcpStream::connect(address)).await {
-        filling.push(stream.expect("a connection"));
+    let socket = tokio::net::TcpSocket::new_v4().expect("creating a socket failed");
+    socket.bind(unique_address()).expect("binding failed");
+    let listener = socket.listen(1).expect("listening failed");
+    let address = listener.local_addr().expect("the local address");
+    let connect_timeout = Duration::from_millis(300);
+    let mut queued = Vec::new();
+    while let Ok(stream) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await
+    {
+        queued.push(stream.expect("connecting failed"));
     }
-    (listener, address, filling)
+    (listener, address, queued)
 }
 
-/// An open watch.
+/// The discovery side of an open watch, on which the test sends endpoint lists.
 pub struct WatchStream(pub Connection);
 
 impl WatchStream {
+    /// Sends one line as one chunk of the response.
     pub async fn send_line(&mut self, line: &str) {
         self.0
             .write(&format!("{:x}\r\n{line}\n\r\n", line.len() + 1))
             .await;
     }
 
-    /// Sends a list; [`ProxyProcess::wait_for_revision`](super::ProxyProcess::wait_for_revision)
-    /// waits until it is applied.
+    /// Sends an endpoint list: a snapshot if it is `complete`, otherwise a delta. It does not wait
+    /// until the list is applied;
+    /// [`ProxyProcess::wait_for_revision`](super::ProxyProcess::wait_for_revision) does.
     pub async fn send_list(&mut self, revision: u64, complete: bool, members: &[Value]) {
         let list = json!({"revision": revision, "complete": complete, "members": members});
         self.send_line(&list.to_string()).await;
--- a/crates/proxy/tests/common/settings.rs
+++ b/crates/proxy/tests/common/settings.rs
@@ -1,15 +1,16 @@
-//! Settings and endpoint list entries in the protocol's form.
+//! Settings and endpoint list entries, as JSON in the form that the proxy reads.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// An endpoint as discovery describes it.
+/// An endpoint as discovery lists it. `phase` is `active`, `leaving` or `left`.
 pub fn endpoint(id: &str, address: SocketAddr, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "here", "flavor": "std", "cell": 1,
            "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// Settings with a class of each kind: `safe`, `keyed` and `unsafe`.
+/// Settings with one request class of each kind: `safe` is idempotent, `keyed` is idempotent by its
+/// key, and `unsafe` is non-idempotent.
 pub fn settings() -> Value {
     let class = |name, effect| {
         json!({"name": name, "effect": effect, "promise_ns": 20_000_000_000u64, "importance": 1.0,
@@ -27,5 +28,5 @@
     })
 }
 
-/// Memory limit in the configuration, in MB: enough for 128 clients with large bodies.
+/// Memory limit in the configuration, in MB; suffices for 128 clients with large bodies.
 pub const MEMORY_MB: u64 = 64;
--- a/crates/proxy/tests/common/spawn_lock.rs
+++ b/crates/proxy/tests/common/spawn_lock.rs
@@ -1,9 +1,9 @@
-//! Keeps child processes from holding sockets open that a test closes.
+//! Prevents child processes from holding sockets open that a test closes.
 //!
-//! A child begins with copies of all descriptors of this process. It gives those of sockets up when
-//! it executes its program (close-on-exec), which is not done yet when spawning returns: the parent
-//! goes on as soon as the child has its new memory. A socket closed before then stays open for its
-//! peer, and a listener even accepts connections.
+//! A child process starts with copies of all descriptors of this process. Those of sockets are
+//! closed when the child executes its program (close-on-exec), which may not have happened yet when
+//! spawning returns: the parent continues as soon as the child has its new memory. A socket that
+//! the test closes before then stays open for its peer, and a listener even accepts connections.
 
 use std::io;
 use std::ops::{Deref, DerefMut};
@@ -11,22 +11,27 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How often a started process is asked whether it runs.
+/// How often a spawned process is checked for whether it runs its own program yet.
 const EXEC_POLL_INTERVAL: Duration = Duration::from_micros(100);
-/// Part of the C library's file name.
+/// Part of the path of the C library, by which it is found among a process's mappings.
 const C_LIBRARY: &str = "/libc.so";
 
-/// Held while a process starts, and while a socket is closed.
+/// Held while a process is spawned, and while a socket is closed.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
+/// Locks [`SPAWN_LOCK`], also after a test panicked while it held it.
 fn lock() -> MutexGuard<'static, ()> {
     SPAWN_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Starts a process by `spawn`, and returns once that holds no copies of this process's sockets.
-/// `process_id` tells the id of what `spawn` returns.
+/// Starts a process by `spawn`, and returns once it holds no copies of this process's sockets.
+/// `process_id` returns the process id of what `spawn` returns; `None` skips the wait.
+///
+/// # Errors
+///
+/// Returns the error of `spawn`.
 pub fn spawn_locked<C>(
     spawn: impl FnOnce() -> io::Result<C>,
     process_id: impl FnOnce(&C) -> Option<u32>,
@@ -39,16 +44,18 @@
     Ok(child)
 }
 
-/// Waits until a child runs code of its own program, or has ended.
+/// Waits until a child process runs code of its own program, or has exited.
 fn wait_for_exec(process_id: u32) {
     while !runs_own_program(process_id) {
         std::thread::sleep(EXEC_POLL_INTERVAL);
     }
 }
 
-/// Whether a child runs code of its own program, or has ended. To begin with it shares this
-/// program's memory. The system then maps the program and the dynamic linker, and closes
-/// descriptors; the C library is mapped by the dynamic linker, which runs after that.
+/// Returns whether a child process runs code of its own program, or has exited.
+///
+/// At first the child shares this program's memory. The kernel then maps the new program and the
+/// dynamic linker, and closes descriptors. The C library is mapped by the dynamic linker, which
+/// runs only after that: once it is mapped, the descriptors are closed.
 fn runs_own_program(process_id: u32) -> bool {
     let folder = PathBuf::from(format!("/proc/{process_id}"));
     let (Ok(program), Ok(mappings)) = (
@@ -57,23 +64,28 @@
     ) else {
         return true;
     };
-    let own = std::env::current_exe().expect("the test's own program");
-    program != own && mappings.contains(C_LIBRARY)
+    let test_program = std::env::current_exe().expect("the path of the test program");
+    program != test_program && mappings.contains(C_LIBRARY)
 }
 
-/// A socket, or its owner, that is closed only while no process is being started.
+/// Owns a socket, or a value that holds one, and closes it only while no process is being spawned.
+/// The value is `None` only while it is dropped.
 pub struct CloseGuarded<T>(pub Option<T>);
 
 impl<T> Deref for CloseGuarded<T> {
     type Target = T;
     fn deref(&self) -> &T {
-        self.0.as_ref().expect("taken only when dropped")
+        self.0
+            .as_ref()
+            .expect("the value is present until it is dropped")
     }
 }
 
 impl<T> DerefMut for CloseGuarded<T> {
     fn deref_mut(&mut self) -> &mut T {
-        self.0.as_mut().expect("taken only when dropped")
+        self.0
+            .as_mut()
+            .expect("the value is present until it is dropped")
     }
 }
 
