--- a/crates/proxy/tests/test_support.rs
+++ b/crates/proxy/tests/test_support.rs
@@ -1,4 +1,4 @@
-//! What the other tests rely on in `common`.
+//! Tests of the support code in `common` that the other tests rely on.
 
 mod common;
 use common::*;
@@ -9,23 +9,26 @@
 use std::thread::JoinHandle;
 use tokio::net::TcpStream;
 
-/// Threads that start processes at the same time.
+/// Number of threads that spawn processes at the same time.
 const SPAWNING_THREADS: usize = 4;
-/// Processes that are started while listeners are closed.
+/// Number of processes that are spawned while listeners are closed.
 const PROCESSES: usize = 2000;
 
-/// Starts one short process after another until `started` has reached [`PROCESSES`].
+/// Starts a thread that spawns one short-lived process after another until `started`, which all
+/// threads increment, has reached [`PROCESSES`].
 fn spawn_processes(started: Arc<AtomicUsize>) -> JoinHandle<()> {
     std::thread::spawn(move || {
         while started.fetch_add(1, Ordering::Relaxed) < PROCESSES {
             let spawn = || Command::new("true").spawn();
-            let mut child = spawn_locked(spawn, |child: &Child| Some(child.id())).expect("true");
-            child.wait().expect("its status");
+            let mut child = spawn_locked(spawn, |child: &Child| Some(child.id()))
+                .expect("true could not be spawned");
+            child.wait().expect("the exit status of true");
         }
     })
 }
 
-/// A child that still held a copy of the listener would accept the connection.
+/// A child process that still holds a copy of a listener's descriptor would keep it open, and
+/// accept connections to it, after the test has closed it.
 #[tokio::test]
 async fn closed_listener_refuses_connections_while_processes_start() {
     let started = Arc::new(AtomicUsize::new(0));
@@ -43,7 +46,7 @@
         }
     }
     for thread in threads {
-        thread.join().expect("processes that start and end");
+        thread.join().expect("spawning a process failed");
     }
     assert_eq!(accepted, 0, "connections accepted by closed listeners");
 }
