--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -1,44 +1,51 @@
-//! Clients that disconnect while their request waits: nothing more is sent for them.
+//! Clients that disconnect while their request is in flight: nothing more may be sent to backends
+//! for them.
 
 mod common;
 use common::*;
 
+/// One request class of each kind; see [`settings`].
 const CLASSES: [&str; 3] = ["safe", "keyed", "unsafe"];
 
+/// The header line by which a backend states that it has not executed the request.
 const NOT_PROCESSED: &str = "X-Not-Processed: 1\r\n";
 
-/// Bytes that may stand between a request and the end of its connection.
+/// Returns what a client may send between a request and the end of its connection: nothing, another
+/// request, a part of one, a malformed one, or more than the process buffers.
 fn trailing_bytes() -> [String; 5] {
-    let head = "GET /safe HTTP/1.1\r\nHost: a\r\nX-Request-ID: behind\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n\r\n";
-    let (part, junk) = (head[..20].to_owned(), "no request\r\n\r\n".to_owned());
+    let request = "GET /safe HTTP/1.1\r\nHost: a\r\nX-Request-ID: behind\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n\r\n";
+    let (partial_request, malformed) = (request[..20].to_owned(), "no request\r\n\r\n".to_owned());
     [
         String::new(),
-        head.to_owned(),
-        part,
-        junk,
+        request.to_owned(),
+        partial_request,
+        malformed,
         "much ".repeat(20_000),
     ]
 }
 
-/// The same, short enough for the kernel to buffer while the process reads nothing.
+/// Returns the same, cut to a length that the kernel buffers while the process reads nothing.
 fn trailing_bytes_that_fit() -> [String; 5] {
     trailing_bytes().map(|bytes| bytes.chars().take(24_000).collect())
 }
 
-/// The request is over by then, and its id may be used again.
+/// The connection to the backend is established only after the client has disconnected, because the
+/// backend's accept queue was full. The request is over by then: it must not be written to that
+/// connection, and its id may be used again.
 #[tokio::test]
 async fn late_upstream_connection_carries_nothing_for_a_disconnected_client() {
     for class in CLASSES {
-        let (listener, address, filling) = full_listener().await;
+        let (listener, address, queued) = full_listener().await;
         let discovery = ScriptedServer::new().await;
         let (mut proxy, _watch) = ProxyBuilder::new(discovery.address())
             .start_ready(&discovery, &[endpoint("s", address, "active")])
             .await;
         let mut client = proxy.connect().await;
         client.send_with_id("left", class, "20000m").await;
-        proxy.get("/health/live").await; // The request has been read, and its connection is under way.
+        // Afterwards the request has been read, and its connection is being established.
+        proxy.get("/health/live").await;
         client.close().await;
-        for _ in 0..filling.len() {
+        for _ in 0..queued.len() {
             within("a connection", listener.accept())
                 .await
                 .expect("a connection");
@@ -56,7 +63,7 @@
             }
         };
         tokio::select! {
-            () = sent => panic!("{class} was sent on"),
+            () = sent => panic!("a request of class {class} was sent to the backend"),
             line = proxy.wait_for_log("stats ") => assert!(line.contains(" client_disconnected=1 ") && line.contains(" in_flight=0 "), "{line}"),
         }
         let mut client = proxy.connect().await;
@@ -74,9 +81,11 @@
     }
 }
 
-/// The client may close or reset its connection, with unread bytes before that.
+/// A client sends further bytes after its request and closes its sending half, or its connection is
+/// reset with unread bytes. The process must detect the disconnect behind these bytes; otherwise it
+/// retries the rejected request although nobody waits for the response.
 #[tokio::test]
-async fn no_retry_for_a_client_that_closed_after_further_bytes() {
+async fn no_retry_for_a_client_that_disconnects_after_trailing_bytes() {
     for (class, chunked) in [
         ("safe", false),
         ("keyed", false),
@@ -84,7 +93,7 @@
         ("unsafe", true),
     ] {
         for bytes in trailing_bytes() {
-            // A process of its own: rejected attempts make a process shed load.
+            // Each case needs a new process, since rejected attempts make a process shed load.
             let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
             let (proxy, _discovery, _watch) = serve(&[("one", &one), ("two", &two)]).await;
             let mut client = proxy.connect().await;
@@ -94,8 +103,8 @@
                 client.send(class, "60000m").await;
             }
             let ((mut connection, _), other) = tokio::select! {
-                got = one.accept_request() => (got, &two),
-                got = two.accept_request() => (got, &one),
+                accepted = one.accept_request() => (accepted, &two),
+                accepted = two.accept_request() => (accepted, &one),
             };
             client.write_until_closed(&bytes).await;
             client.half_close().await;
@@ -108,15 +117,16 @@
                 .await;
             assert!(
                 other.is_untouched().await,
-                "{class} was sent again, {} bytes before the close",
+                "a request of class {class} was sent again, with {} trailing bytes",
                 bytes.len()
             );
         }
     }
 }
 
-/// The process was stopped while the request and its disconnect arrived, so it reads both in one
-/// turn.
+/// The process is stopped while a request and its client's disconnect arrive, so it reads both in
+/// one turn of its event loop. The client may close or reset its connection, with trailing bytes
+/// before that. The request must not be sent to the backend, although a connection is ready for it.
 #[tokio::test]
 async fn request_read_together_with_its_disconnect_is_not_sent() {
     let backend = ScriptedServer::new().await;
@@ -126,7 +136,8 @@
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
     first.expect_status(200).await;
-    tokio::time::sleep(std::time::Duration::from_millis(50)).await; // The connection is ready for the next.
+    // Afterwards the connection to the backend can be reused.
+    tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     for class in CLASSES {
         for bytes in &trailing_bytes()[..3] {
             for body in [0, 100, 60_000] {
@@ -144,17 +155,17 @@
                         drop(client);
                     }
                     proxy.signal("CONT").await;
-                    let mut fence = proxy.connect().await;
-                    fence.send_with_id("fence", "safe", "20000m").await;
+                    let mut next_client = proxy.connect().await;
+                    next_client.send_with_id("next", "safe", "20000m").await;
                     let request = connection.read().await.expect("a request");
                     let case = format!(
                         "{class}, body {body}, {} trailing bytes, reset {reset}",
                         bytes.len()
                     );
-                    assert_eq!(request.header("x-request-id"), Some("fence"), "{case}");
+                    assert_eq!(request.header("x-request-id"), Some("next"), "{case}");
                     connection.respond("200 OK", "", "").await;
                     assert_eq!(
-                        fence.read().await.expect("an answer").status(),
+                        next_client.read().await.expect("a response").status(),
                         200,
                         "{case}"
                     );
@@ -165,8 +176,9 @@
     }
 }
 
-/// The process reads the rejection and the disconnect in one turn, and the bytes before the
-/// disconnect may be more than it buffers.
+/// The process is stopped while a backend's rejection and the client's disconnect arrive, so it
+/// reads both in one turn of its event loop. The bytes before the disconnect may be more than it
+/// buffers. The request must not be retried.
 #[tokio::test]
 async fn no_retry_for_a_client_that_disconnects_as_its_attempt_ends() {
     for (class, body) in [("safe", 0), ("keyed", 0), ("unsafe", 0), ("unsafe", 60_000)] {
@@ -184,8 +196,8 @@
                     }
                 }
                 let ((mut connection, _), other) = tokio::select! {
-                    got = one.accept_request() => (got, &two),
-                    got = two.accept_request() => (got, &one),
+                    accepted = one.accept_request() => (accepted, &two),
+                    accepted = two.accept_request() => (accepted, &one),
                 };
                 proxy.signal("STOP").await;
                 connection
@@ -206,23 +218,28 @@
                     "{class}, body {body}, {} trailing bytes, reset {reset}",
                     bytes.len()
                 );
-                assert!(other.is_untouched().await, "sent again: {case}");
+                assert!(
+                    other.is_untouched().await,
+                    "the request was sent again: {case}"
+                );
             }
         }
     }
 }
 
-/// The client sends more than the kernel buffers for the process, so its FIN comes behind all that.
+/// The client sends more than the kernel buffers for the process, so its FIN arrives only behind
+/// all that. A process that stops reading while a request is in flight would not notice the
+/// disconnect.
 #[tokio::test]
 async fn disconnect_after_endless_sending_is_detected() {
     let backend = ScriptedServer::new().await;
     let (mut proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "60000m").await;
-    let (_wire, _) = backend.accept_request().await;
+    let (_connection, _) = backend.accept_request().await;
     client.write_until_closed(&"much ".repeat(2_000_000)).await;
     drop(client);
-    while !within("the leaving to be counted", proxy.wait_for_log("stats "))
+    while !within("the disconnect to be counted", proxy.wait_for_log("stats "))
         .await
         .contains(" client_disconnected=1 ")
     {}
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,9 +1,10 @@
-//! SIGTERM and SIGKILL under load.
+//! SIGTERM and SIGKILL while requests are in flight.
 
 mod common;
 use common::*;
 
-/// Requests in flight and those that arrive for a moment after the signal are answered first.
+/// Requests that are in flight at SIGTERM, and those that arrive for a moment after it, must be
+/// answered before the process exits; otherwise their clients lose them.
 #[tokio::test]
 async fn sigterm_ends_the_process_after_the_last_response() {
     let backend = ScriptedServer::new().await;
@@ -18,20 +19,20 @@
     let mut after = proxy.connect().await;
     after.send("unsafe", "20000m").await;
     let (mut second, _) = backend.accept_request().await;
-    idle.expect_closed().await; // It takes no more.
+    idle.expect_closed().await; // The process takes no more requests on it.
     for (connection, client) in [(&mut first, &mut before), (&mut second, &mut after)] {
         connection.respond("200 OK", "", "served").await;
-        let answer = client.read().await.expect("an answer");
+        let response = client.read().await.expect("a response");
         assert_eq!(
-            (answer.status(), answer.header("connection")),
+            (response.status(), response.header("connection")),
             (200, Some("close"))
         );
     }
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// A head or a body may be incomplete at SIGTERM, on a kept connection too. Further signals change
-/// nothing.
+/// At SIGTERM the head or the body of a request may be incomplete, on a new connection or on one
+/// that is kept alive. Such a request must still be answered. Further signals change nothing.
 #[tokio::test]
 async fn partially_received_requests_are_answered_during_shutdown() {
     let backend = ScriptedServer::new().await;
@@ -39,41 +40,46 @@
     let head = |id: &str| {
         format!("POST /unsafe HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\n")
     };
-    let (mut new, mut kept, mut body) = (
+    let (mut new_connection, mut kept_alive, mut in_body) = (
         proxy.connect().await,
         proxy.connect().await,
         proxy.connect().await,
     );
-    kept.send("unsafe", "20000m").await;
+    kept_alive.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection
         .respond("200 OK", "Connection: close\r\n", "")
         .await;
-    kept.expect_status(200).await;
+    kept_alive.expect_status(200).await;
     let mut idle = proxy.connect().await;
-    new.write(&head("new")[..30]).await;
-    kept.write(&head("kept")[..30]).await;
-    body.write(&(head("body") + "Content-Length: 4\r\n\r\nab"))
+    new_connection.write(&head("new")[..30]).await;
+    kept_alive.write(&head("kept")[..30]).await;
+    in_body
+        .write(&(head("body") + "Content-Length: 4\r\n\r\nab"))
         .await;
-    proxy.get("/health/live").await; // They have been read by now.
+    proxy.get("/health/live").await; // The partial requests have been read by then.
     proxy.signal("TERM").await;
     proxy.wait_for_log("shutting down").await;
     idle.expect_closed().await;
     proxy.signal("TERM").await;
     proxy.signal("HUP").await;
-    new.write(&(head("new")[30..].to_owned() + "\r\n")).await;
-    kept.write(&(head("kept")[30..].to_owned() + "\r\n")).await;
-    body.write("cd").await;
+    new_connection
+        .write(&(head("new")[30..].to_owned() + "\r\n"))
+        .await;
+    kept_alive
+        .write(&(head("kept")[30..].to_owned() + "\r\n"))
+        .await;
+    in_body.write("cd").await;
     for _ in 0..3 {
         let (mut connection, _) = backend.accept_request().await;
         connection
             .respond("200 OK", "Connection: close\r\n", "")
             .await;
     }
-    for mut client in [new, kept, body] {
-        let answer = client.read().await.expect("an answer");
+    for mut client in [new_connection, kept_alive, in_body] {
+        let response = client.read().await.expect("a response");
         assert_eq!(
-            (answer.status(), answer.header("connection")),
+            (response.status(), response.header("connection")),
             (200, Some("close"))
         );
         client.expect_closed().await;
@@ -81,33 +87,38 @@
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// The process sees a request on a kept connection and the close of that connection in one turn.
+/// A client sends a request on a kept-alive connection while the process decides to close that
+/// connection. The process is stopped meanwhile, so it sees both in one turn of its event loop.
+/// Closing the connection would lose the request.
 #[tokio::test]
 async fn request_that_crosses_the_shutdown_of_its_connection_is_answered() {
     let backend = ScriptedServer::new().await;
     let (mut proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
-    let mut kept = proxy.connect().await;
-    kept.send("unsafe", "20000m").await;
+    let mut kept_alive = proxy.connect().await;
+    kept_alive.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     connection
         .respond("200 OK", "Connection: close\r\n", "")
         .await;
-    kept.expect_status(200).await;
+    kept_alive.expect_status(200).await;
     proxy.signal("TERM").await;
     proxy.wait_for_log("shutting down").await;
     proxy.signal("STOP").await;
-    kept.send("unsafe", "20000m").await;
-    tokio::time::sleep(std::time::Duration::from_secs(1)).await; // It is past the closing when it goes on.
+    kept_alive.send("unsafe", "20000m").await;
+    // When the process continues, the time to close the connection is past.
+    tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     proxy.signal("CONT").await;
     let (mut connection, _) = backend.accept_request().await;
     connection
         .respond("200 OK", "Connection: close\r\n", "")
         .await;
-    kept.expect_status(200).await;
+    kept_alive.expect_status(200).await;
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// The kernel has accepted these connections: closing them would lose their requests.
+/// While the limit on connections is reached, further ones wait in the kernel's accept queue.
+/// Clients take them for established and have sent their requests: closing the listener without
+/// accepting them would lose these requests.
 #[tokio::test]
 async fn accept_backlog_is_served_during_graceful_shutdown() {
     let backend = ScriptedServer::new().await;
@@ -128,7 +139,8 @@
     waiting.send("unsafe", "20000m").await;
     proxy.signal("TERM").await;
     proxy.wait_for_log("shutting down").await;
-    // Past the time in which connections are accepted; on a slower machine the test only sees less.
+    // Past the time in which connections are accepted. On a slower machine the test may detect
+    // less, but does not fail.
     tokio::time::sleep(std::time::Duration::from_secs(1)).await;
     for (connection, client) in connections.iter_mut().zip(&mut busy) {
         connection
@@ -142,7 +154,8 @@
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// At once, although the kernel still holds its old connections.
+/// A process that replaces a killed one must be able to listen on its address at once, although the
+/// kernel still holds connections of the old process, and must request a whole endpoint list.
 #[tokio::test]
 async fn killed_process_restarts_on_the_same_address() {
     let backend = ScriptedServer::new().await;
--- a/crates/proxy/tests/operator_state.rs
+++ b/crates/proxy/tests/operator_state.rs
@@ -1,4 +1,5 @@
-//! Operator state on a file system whose reads and writes fail for a while.
+//! Storage of the operator state: reads and writes that are slow or fail for a while, files left
+//! over by a killed process, and changes by a peer process.
 
 mod common;
 use common::*;
@@ -7,21 +8,26 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
+/// The file that holds the operator state.
 const STATE_FILE: &str = "birchswitch.json";
+/// The file that a new state is written to before it replaces [`STATE_FILE`].
 const NEW_STATE_FILE: &str = "birchswitch.json.next";
+/// The file that a process locks while it changes the state.
 const LOCK_FILE: &str = "birchswitch.lock";
 
-/// What a process with an admin address is started with, again and again.
+/// A node whose processes, with an admin server, are started one after another on the same state
+/// folder.
 struct StatefulNode {
-    folder: StateFolder,
+    state_folder: StateFolder,
     discovery: ScriptedServer,
     endpoints: Vec<Value>,
 }
 
 impl StatefulNode {
+    /// Creates an empty state folder named after the test, and a discovery server.
     async fn new(test: &str, backends: &[(&str, &ScriptedServer)]) -> Self {
         StatefulNode {
-            folder: StateFolder::new(test),
+            state_folder: StateFolder::new(test),
             discovery: ScriptedServer::new().await,
             endpoints: backends
                 .iter()
@@ -30,11 +36,12 @@
         }
     }
 
-    /// Starts a process whose system calls may fail.
+    /// Starts a process whose system calls the test can make fail, sends it an endpoint list and
+    /// waits until it is ready.
     async fn start(&self, faults: &FaultInjection) -> (ProxyProcess, WatchStream) {
         let proxy = ProxyBuilder::new(self.discovery.address())
             .admin()
-            .state_folder(&self.folder)
+            .state_folder(&self.state_folder)
             .faults(faults)
             .start()
             .await;
@@ -44,35 +51,37 @@
         (proxy, watch)
     }
 
-    /// The state file's content.
-    fn stored(&self) -> Value {
-        let text =
-            std::fs::read(self.folder.path.join(STATE_FILE)).unwrap_or_else(|_| b"null".to_vec());
-        serde_json::from_slice(&text).expect("a whole file")
+    /// Returns the content of the state file; null if it cannot be read.
+    fn stored_state(&self) -> Value {
+        let text = std::fs::read(self.state_folder.path.join(STATE_FILE))
+            .unwrap_or_else(|_| b"null".to_vec());
+        serde_json::from_slice(&text).expect("the state file should be complete JSON")
     }
 
-    /// Replaces the state file, as a peer process does.
-    fn store(&self, state: &str) {
-        let new_file = self.folder.path.join("another");
-        std::fs::write(&new_file, state).expect("a file");
-        std::fs::rename(new_file, self.folder.path.join(STATE_FILE)).expect("a file");
+    /// Replaces the state file by renaming another file to it, as a peer process does.
+    fn replace_stored_state(&self, state: &str) {
+        let new_file = self.state_folder.path.join("another");
+        std::fs::write(&new_file, state).expect("writing the new file failed");
+        std::fs::rename(new_file, self.state_folder.path.join(STATE_FILE))
+            .expect("renaming the new file failed");
     }
 
-    /// The backends in maintenance, as the state file says.
+    /// Returns the backends in maintenance according to the state file; none if it cannot be read.
     fn in_maintenance(&self) -> Vec<String> {
-        let stored = self.stored();
+        let stored = self.stored_state();
         serde_json::from_value(stored["word"]["out"].clone()).unwrap_or_default()
     }
 
-    /// Whether the state file names backends that may still be warming up after maintenance.
+    /// Returns whether the state file names backends that may still be in slow start after
+    /// maintenance.
     fn names_returned_backends(&self) -> bool {
-        let returned = &self.stored()["word"]["returned"];
+        let returned = &self.stored_state()["word"]["returned"];
         returned.as_object().is_some_and(|names| !names.is_empty())
     }
 }
 
-/// Sends this many requests and returns how many of them each backend got.
-async fn requests_at(
+/// Sends `count` requests one after another, and returns how many of them each backend got.
+async fn count_requests_by_backend(
     proxy: &ProxyProcess,
     [a, b]: [&ScriptedServer; 2],
     count: usize,
@@ -94,73 +103,74 @@
     requests
 }
 
-/// A second after the call at the latest the backend has to be left alone, whatever storing takes.
+/// Storing the state may take long. A backend must get no requests from one second after the start
+/// of its maintenance at the latest, however long storing takes, and must get requests again only
+/// once the end of its maintenance is stored.
 #[tokio::test]
 async fn maintenance_is_in_force_while_a_slow_file_system_stores_it() {
-    const STALL: Duration = Duration::from_secs(3);
+    /// How long syncing the state file takes.
+    const SYNC_PAUSE: Duration = Duration::from_secs(3);
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
-    let node_state = StatefulNode::new("slow", &[("a", &a), ("b", &b)]).await;
+    let node = StatefulNode::new("slow", &[("a", &a), ("b", &b)]).await;
     let faults = FaultInjection::new();
-    let (proxy, _watch) = node_state.start(&faults).await;
-    faults.control.before_sync.pause_next(1, STALL);
+    let (proxy, _watch) = node.start(&faults).await;
+    faults.control.before_sync.pause_next(1, SYNC_PAUSE);
     let call = proxy.admin_call("POST", "/backends/a/maint");
     let requests = async {
         sleep(Duration::from_secs(1)).await;
-        requests_at(&proxy, [&a, &b], 16).await
+        count_requests_by_backend(&proxy, [&a, &b], 16).await
     };
     let (status, requests) = tokio::join!(call, requests);
     assert_eq!(status, 200);
     assert_eq!(requests, [0, 16]);
-    assert_eq!(node_state.in_maintenance(), ["a"]);
-    // It is used again only once that is stored.
-    faults.control.before_sync.pause_next(1, STALL);
+    assert_eq!(node.in_maintenance(), ["a"]);
+    // The backend gets requests again only once the end of its maintenance is stored.
+    faults.control.before_sync.pause_next(1, SYNC_PAUSE);
     let call = proxy.admin_call("POST", "/backends/a/ready");
-    let requests = requests_at(&proxy, [&a, &b], 16);
+    let requests = count_requests_by_backend(&proxy, [&a, &b], 16);
     let (status, requests) = tokio::join!(call, requests);
     assert_eq!(status, 200);
     assert_eq!(requests, [0, 16]);
 }
 
-/// A call that fails has changed nothing, although the backend was left alone meanwhile.
+/// An admin call that fails must have changed nothing. The backend gets no requests while its
+/// maintenance is being stored, and must get them again once storing has failed.
 #[tokio::test]
 async fn maintenance_that_cannot_be_stored_ends_with_the_call() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
-    let node_state = StatefulNode::new("not-stored", &[("a", &a), ("b", &b)]).await;
+    let node = StatefulNode::new("not-stored", &[("a", &a), ("b", &b)]).await;
     let faults = FaultInjection::new();
-    let (proxy, _watch) = node_state.start(&faults).await;
-    let syncing = faults.control.faults(SystemCall::Sync);
-    syncing.fail_next(1, &[libc::EIO]);
+    let (proxy, _watch) = node.start(&faults).await;
+    let sync_faults = faults.control.faults(SystemCall::Sync);
+    sync_faults.fail_next(1, &[libc::EIO]);
     assert_eq!(proxy.admin_call("POST", "/backends/a/maint").await, 500);
-    let requests = requests_at(&proxy, [&a, &b], 40).await;
+    let requests = count_requests_by_backend(&proxy, [&a, &b], 40).await;
     assert!(requests[0] > 0, "{requests:?}");
 }
 
-/// Whichever step of the write fails, the call fails and the file keeps its content.
+/// Whichever step of writing the state file fails, the admin call must fail and the file must keep
+/// its content. A call that succeeded too early would be forgotten by the next process.
 #[tokio::test]
 async fn admin_call_succeeds_only_once_its_state_is_durable() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
-    let node_state = StatefulNode::new("lasts", &[("a", &a), ("b", &b)]).await;
+    let node = StatefulNode::new("durable", &[("a", &a), ("b", &b)]).await;
     let faults = FaultInjection::new();
-    let (proxy, _watch) = node_state.start(&faults).await;
+    let (proxy, _watch) = node.start(&faults).await;
     assert_eq!(proxy.admin_call("POST", "/backends/a/maint").await, 200);
-    // The steps: the lock and the new file are opened, the new file is written, synced and renamed,
-    // the folder is synced. The process opens other files meanwhile, so an open is made to fail by
-    // the file's name: a folder in its place cannot be opened for writing.
+    // The steps: the lock file and the new file are opened; the new file is written, synced and
+    // renamed; the folder is synced. The process also opens other files meanwhile, so an open is
+    // made to fail by the file's name: a folder in its place cannot be opened for writing.
     for file in [LOCK_FILE, NEW_STATE_FILE] {
-        let path = node_state.folder.path.join(file);
+        let path = node.state_folder.path.join(file);
         let _ = std::fs::remove_file(&path);
-        std::fs::create_dir(&path).expect("a folder");
+        std::fs::create_dir(&path).expect("creating a folder failed");
         assert_eq!(
             proxy.admin_call("POST", "/backends/b/maint").await,
             500,
             "{file} cannot be opened"
         );
-        assert_eq!(
-            node_state.in_maintenance(),
-            ["a"],
-            "{file} cannot be opened"
-        );
-        std::fs::remove_dir(&path).expect("the folder is gone");
+        assert_eq!(node.in_maintenance(), ["a"], "{file} cannot be opened");
+        std::fs::remove_dir(&path).expect("removing the folder failed");
     }
     let steps = [
         (SystemCall::Write, 0),
@@ -168,61 +178,64 @@
         (SystemCall::Rename, 0),
         (SystemCall::Sync, 1),
     ];
-    for (call, before) in steps {
+    for (call, skipped) in steps {
         for error in [libc::ENOSPC, libc::EIO] {
-            faults.control.faults(call).fail_after(before, 1, &[error]);
+            faults.control.faults(call).fail_after(skipped, 1, &[error]);
             assert_eq!(
                 proxy.admin_call("POST", "/backends/b/maint").await,
                 500,
-                "{call:?} after {before}"
+                "{call:?} failed after {skipped} calls"
             );
             assert_eq!(
                 faults.control.faults(call).remaining_failures(),
                 0,
-                "{call:?} after {before} was not made"
+                "{call:?} was not called after {skipped} calls"
             );
             assert_eq!(
-                node_state.in_maintenance(),
+                node.in_maintenance(),
                 ["a"],
-                "{call:?} after {before}"
+                "{call:?} failed after {skipped} calls"
             );
         }
     }
     assert_eq!(proxy.admin_call("POST", "/backends/b/maint").await, 200);
-    assert_eq!(node_state.in_maintenance(), ["a", "b"]);
+    assert_eq!(node.in_maintenance(), ["a", "b"]);
 }
 
-/// A process killed between write and rename leaves it behind.
+/// A process that is killed between writing the new state file and renaming it leaves an incomplete
+/// file behind. The next process must not take it for the state, and must be able to replace it.
 #[tokio::test]
 async fn leftover_temporary_file_is_ignored() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
-    let node_state = StatefulNode::new("left-over", &[("a", &a), ("b", &b)]).await;
+    let node = StatefulNode::new("left-over", &[("a", &a), ("b", &b)]).await;
     let faults = FaultInjection::new();
     std::fs::write(
-        node_state.folder.path.join(NEW_STATE_FILE),
+        node.state_folder.path.join(NEW_STATE_FILE),
         "{\"version\":1,\"node\":\"n\"",
     )
-    .expect("a file");
-    let (proxy, _watch) = node_state.start(&faults).await;
+    .expect("writing the left-over file failed");
+    let (proxy, _watch) = node.start(&faults).await;
     assert_eq!(proxy.admin_call("POST", "/backends/a/maint").await, 200);
-    assert_eq!(node_state.in_maintenance(), ["a"]);
+    assert_eq!(node.in_maintenance(), ["a"]);
 }
 
-/// The file counts neither as empty nor as read.
+/// A state file that cannot be read for a moment must count neither as empty, which would end a
+/// backend's maintenance, nor as read, which would miss or overwrite what a peer process has
+/// stored.
 #[tokio::test]
 async fn transient_read_failure_does_not_lose_the_state() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
-    let node_state = StatefulNode::new("owed", &[("a", &a), ("b", &b)]).await;
+    let node = StatefulNode::new("read-failure", &[("a", &a), ("b", &b)]).await;
     let faults = FaultInjection::new();
-    let (proxy, watch) = node_state.start(&faults).await;
+    let (proxy, watch) = node.start(&faults).await;
     assert_eq!(proxy.admin_call("POST", "/backends/a/maint").await, 200);
     drop((proxy, watch));
-    // The first to be read is the configuration.
+    // The first file that the process opens to read is its configuration: that must succeed.
     faults
         .control
         .faults(SystemCall::OpenRead)
         .fail_after(1, 3, &[libc::EIO]);
-    let (mut proxy, _watch) = node_state.start(&faults).await;
+    let (mut proxy, _watch) = node.start(&faults).await;
     assert_eq!(
         faults
             .control
@@ -239,14 +252,14 @@
             .await;
         client.expect_status(200).await;
     }
-    // The change of another process, which cannot be read for a moment, is not lost or overwritten.
-    let another =
+    // A change by another process that cannot be read for a moment is neither lost nor overwritten.
+    let changed_by_peer =
         r#"{"version":1,"node":"n","word":{"draining":false,"out":["a","b"],"returned":{}}}"#;
     faults
         .control
         .faults(SystemCall::OpenRead)
         .fail_next(5, &[libc::EIO]);
-    node_state.store(another);
+    node.replace_stored_state(changed_by_peer);
     while faults
         .control
         .faults(SystemCall::OpenRead)
@@ -258,33 +271,35 @@
     proxy
         .wait_for_log("operator state updated from file draining=false in_maintenance=2")
         .await;
-    assert_eq!(node_state.in_maintenance(), ["a", "b"]);
+    assert_eq!(node.in_maintenance(), ["a", "b"]);
 }
 
-/// The process forgets returns from maintenance in the file, and reads there what its peer has just
-/// stored: that has to be in force, too.
+/// When a process removes backends that have completed their slow start from the state file, it
+/// reads there what its peer process has just stored. It must apply that too: otherwise it takes
+/// the state as read, and keeps sending requests to a backend in maintenance.
 #[tokio::test]
 async fn state_of_a_peer_process_that_is_read_by_a_change_is_applied() {
-    /// How long backends warm up, by the settings.
-    const WARM_UP: Duration = Duration::from_secs(1);
-    /// The peer stores its state this long before the end of the slow start.
+    /// Duration of the slow start, in the settings.
+    const SLOW_START_DURATION: Duration = Duration::from_secs(1);
+    /// How long before the end of the slow start the peer process stores its state.
     const LEAD: Duration = Duration::from_millis(5);
+    /// How often it is tried, since the two changes need not meet every time.
     const ROUNDS: usize = 5;
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
-    let node_state = StatefulNode::new("peer", &[("a", &a), ("b", &b)]).await;
-    let (proxy, _watch) = node_state.start(&FaultInjection::new()).await;
+    let node = StatefulNode::new("peer", &[("a", &a), ("b", &b)]).await;
+    let (proxy, _watch) = node.start(&FaultInjection::new()).await;
     for round in 0..ROUNDS {
         assert_eq!(proxy.admin_call("POST", "/backends/b/ready").await, 200);
         assert_eq!(proxy.admin_call("POST", "/backends/a/maint").await, 200);
         assert_eq!(proxy.admin_call("POST", "/backends/a/ready").await, 200);
-        sleep_until(Instant::now() + WARM_UP - LEAD).await;
-        let mut stored = node_state.stored();
-        stored["word"]["out"] = json!(["b"]);
-        node_state.store(&stored.to_string());
-        while node_state.names_returned_backends() {
+        sleep_until(Instant::now() + SLOW_START_DURATION - LEAD).await;
+        let mut state = node.stored_state();
+        state["word"]["out"] = json!(["b"]);
+        node.replace_stored_state(&state.to_string());
+        while node.names_returned_backends() {
             sleep(Duration::from_millis(5)).await;
         }
-        // A peer's state is read ten times a second.
+        // A process reads a peer process's state ten times a second.
         sleep(Duration::from_millis(300)).await;
         let mut client = proxy.connect().await;
         for _ in 0..8 {
