--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -1,9 +1,11 @@
-//! Admin calls: maintenance, drain, and calls that are malformed.
+//! Integration tests of the admin server: health checks, maintenance of backends, draining, invalid
+//! calls, and an unusable address.
 
 mod common;
 use common::*;
 
-/// Sends one request, answers it at whichever backend it reaches and returns that backend's name.
+/// Sends one request, responds to it at whichever of the two backends receives it, and returns that
+/// backend's id.
 async fn served_by(
     client: &mut Connection,
     backends: &[(&'static str, &ScriptedServer)],
@@ -11,8 +13,8 @@
     client.send("safe", "20000m").await;
     let (a, b) = (&backends[0], &backends[1]);
     let (name, (mut connection, _)) = tokio::select! {
-        taken = a.1.accept_request() => (a.0, taken),
-        taken = b.1.accept_request() => (b.0, taken),
+        accepted = a.1.accept_request() => (a.0, accepted),
+        accepted = b.1.accept_request() => (b.0, accepted),
     };
     connection
         .respond("200 OK", "Connection: close\r\n", "")
@@ -21,8 +23,9 @@
     name
 }
 
-/// Lists may go on naming the backend, drop it and name it again. One `ready` call ends two
-/// `maint` calls.
+/// An endpoint list must not end a backend's maintenance, whether it still names the backend, drops
+/// it, or names it again after that. One `ready` call ends the maintenance, even after two `maint`
+/// calls.
 #[tokio::test]
 async fn backend_stays_in_maintenance_across_list_updates() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -47,7 +50,9 @@
     while served_by(&mut client, &backends).await != "a" {}
 }
 
-/// A backend that the list has dropped may be put back; a list that says it drains still counts.
+/// A backend that the list has dropped can be returned from maintenance. That alone must not make
+/// it receive requests, nor must a list that names it as draining: it is used once a list names it
+/// as active.
 #[tokio::test]
 async fn backend_back_from_maintenance_is_unused_until_listed_active() {
     let (a, b) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -67,7 +72,7 @@
     assert_eq!(
         proxy.admin_call("POST", "/backends/a/ready").await,
         200,
-        "it is listed, and nothing is to be done"
+        "the backend is listed and not in maintenance: there is nothing to do"
     );
     for _ in 0..8 {
         assert_eq!(served_by(&mut client, &backends).await, "b");
@@ -88,7 +93,7 @@
     let (mut connection, _) = a.accept_request().await;
     assert_eq!(proxy.admin_call("POST", "/backends/a/maint").await, 200);
     connection.respond("200 OK", "", "whole").await;
-    assert_eq!(client.read().await.expect("an answer").body, b"whole");
+    assert_eq!(client.read().await.expect("a response").body, b"whole");
     connection.expect_closed().await;
 }
 
@@ -121,35 +126,41 @@
         .await;
     let long = format!("GET /{} HTTP/1.1\r\n", "x".repeat(20 << 10));
     for (text, status) in [("what\r\n\r\n", 400), (long.as_str(), 431)] {
-        let mut caller = proxy.connect_admin().await;
-        caller.write_until_closed(text).await;
-        assert_eq!(caller.read().await.expect("an answer").status(), status);
+        let mut connection = proxy.connect_admin().await;
+        connection.write_until_closed(text).await;
+        assert_eq!(
+            connection.read().await.expect("a response").status(),
+            status
+        );
     }
-    // The address for clients has none of these paths.
+    // The clients' listener serves none of these paths.
     assert_eq!(proxy.get("/healthcheck").await.status(), 404);
 }
 
-/// There are more idle connections than connection slots; the oldest of them are closed.
+/// Idle connections, half of them with an incomplete request, outnumber the connections that the
+/// admin server holds at a time. It must close the oldest of them, so that an operator's call still
+/// gets a response, and all of them in the end.
 #[tokio::test]
 async fn idle_admin_connections_do_not_block_operators() {
     let a = ScriptedServer::new().await;
     let (proxy, _discovery, _watch) = serve_with_admin(&[("a", &a)]).await;
-    let mut silent = Vec::new();
+    let mut idle_connections = Vec::new();
     for n in 0..40 {
-        let mut caller = proxy.connect_admin().await;
+        let mut connection = proxy.connect_admin().await;
         if n % 2 == 0 {
-            caller.write("POST /healthcheck/fa").await;
+            connection.write("POST /healthcheck/fa").await;
         }
-        silent.push(caller);
+        idle_connections.push(connection);
     }
     assert_eq!(proxy.admin_call("GET", "/healthcheck").await, 200);
-    for mut caller in silent {
-        caller.drain_until_closed().await;
+    for mut connection in idle_connections {
+        connection.drain_until_closed().await;
     }
 }
 
-/// `/health/ready` fails at once, a kept connection ends with its next response and an idle one by
-/// itself, and new connections are served while they come.
+/// While the node drains, `/health/ready` fails at once, a kept connection is closed with its next
+/// response and an idle one without a further request, and new connections are served for as long
+/// as they arrive. After the drain, connections are kept again.
 #[tokio::test]
 async fn drain_closes_client_connections_until_it_ends() {
     let a = ScriptedServer::new().await;
@@ -162,7 +173,11 @@
             .respond("200 OK", "Connection: close\r\n", "")
             .await;
         assert_eq!(
-            client.read().await.expect("an answer").header("connection"),
+            client
+                .read()
+                .await
+                .expect("a response")
+                .header("connection"),
             None
         );
     }
@@ -173,7 +188,7 @@
     assert_eq!(
         proxy.admin_call("GET", "/healthcheck").await,
         200,
-        "the process itself is well"
+        "the process itself is healthy"
     );
     for client in [&mut kept, &mut proxy.connect().await] {
         client.send("safe", "20000m").await;
@@ -181,9 +196,9 @@
         connection
             .respond("200 OK", "Connection: close\r\n", "")
             .await;
-        let answer = client.read().await.expect("an answer");
+        let response = client.read().await.expect("a response");
         assert_eq!(
-            (answer.status(), answer.header("connection")),
+            (response.status(), response.header("connection")),
             (200, Some("close"))
         );
         client.expect_closed().await;
@@ -201,7 +216,11 @@
             .respond("200 OK", "Connection: close\r\n", "")
             .await;
         assert_eq!(
-            client.read().await.expect("an answer").header("connection"),
+            client
+                .read()
+                .await
+                .expect("a response")
+                .header("connection"),
             None
         );
     }
@@ -226,44 +245,46 @@
 
 #[tokio::test]
 async fn unusable_admin_address_fails_the_start() {
-    let taken = ScriptedServer::new().await;
-    for (console, why) in [
+    let occupied = ScriptedServer::new().await;
+    for (console, expected_text) in [
         ("here", "console"),
-        (&*taken.address().to_string(), "cannot listen on"),
+        (&*occupied.address().to_string(), "cannot listen on"),
     ] {
         let config = ProxyBuilder::new(unique_address())
             .config("console", console)
             .config_text();
-        let ended = run_to_exit(&config, &[]).await;
-        assert_eq!(ended.status.code(), Some(1));
-        let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-        assert!(said.contains(why), "{said}");
+        let output = run_to_exit(&config, &[]).await;
+        assert_eq!(output.status.code(), Some(1));
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(message.contains(expected_text), "{message}");
     }
 }
 
-/// A backend hangs meanwhile; the process still ends.
+/// The node drains, and a reload and SIGTERM follow, while a backend hangs with one request and
+/// serves another. Both clients must get a response, the first one at its deadline, and the process
+/// must still exit.
 #[tokio::test]
 async fn sigterm_during_a_drain_leaves_no_request_unanswered() {
     let backend = ScriptedServer::new().await;
     let (mut proxy, _discovery, _watch) = serve_with_admin(&[("s", &backend)]).await;
     let (mut hung, mut served) = (proxy.connect().await, proxy.connect().await);
     hung.send("unsafe", "1500m").await;
-    let (_wire, _) = backend.accept_request().await;
+    let (_hung_connection, _) = backend.accept_request().await;
     served.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
     assert_eq!(proxy.admin_call("POST", "/healthcheck/fail").await, 200);
     proxy.signal("HUP").await;
     proxy.signal("TERM").await;
     proxy.wait_for_log("shutting down").await;
-    let answer = hung.read().await.expect("an answer");
+    let response = hung.read().await.expect("a response");
     assert_eq!(
-        (answer.status(), answer.header("connection")),
+        (response.status(), response.header("connection")),
         (504, Some("close"))
     );
     connection.respond("200 OK", "", "").await;
-    let answer = served.read().await.expect("an answer");
+    let response = served.read().await.expect("a response");
     assert_eq!(
-        (answer.status(), answer.header("connection")),
+        (response.status(), response.header("connection")),
         (200, Some("close"))
     );
     assert!(proxy.wait_for_exit().await.success());
--- a/crates/proxy/tests/configuration_reload.rs
+++ b/crates/proxy/tests/configuration_reload.rs
@@ -1,13 +1,16 @@
-//! A configuration that is replaced under a running process.
+//! Integration tests of the configuration reload on SIGHUP, above all of a changed discovery
+//! address.
 
 mod common;
 use common::*;
 use serde_json::json;
 
+/// Request line of a call that fetches a snapshot of the endpoint list.
 const SNAPSHOT_REQUEST: &str = "GET /registry/instances HTTP/1.1";
 
-/// Answers the request for a whole list and takes in the watch that follows it.
-async fn take_over(
+/// Responds to the call for a snapshot with these members, and accepts the watch that follows it
+/// from the snapshot's revision.
+async fn serve_snapshot_and_accept_watch(
     discovery: &ScriptedServer,
     revision: u64,
     members: &[serde_json::Value],
@@ -24,9 +27,10 @@
     watch
 }
 
-/// After SIGHUP the address in the file prevails over the environment variable. Revisions of the two
-/// lists are unrelated: a watch from the old revision would bring changes to a list that the process
-/// does not have. The old watch is closed once the new address has sent its list.
+/// After SIGHUP the discovery address in the file takes precedence over that of the environment
+/// variable. Revisions of two discovery services are unrelated: a watch from the old revision would
+/// receive changes to a list that the process does not have. So the process fetches a snapshot from
+/// the new address first, and closes the old watch once it has received that.
 #[tokio::test]
 async fn new_discovery_address_is_watched_from_its_snapshot() {
     let (kept, gone, new) = (
@@ -56,10 +60,10 @@
     proxy
         .reconfigure("discovery", json!(second.address().to_string()))
         .await;
-    let mut old = watch;
-    let mut watch = take_over(&second, 7, &listed[..1]).await;
+    let mut old_watch = watch;
+    let mut watch = serve_snapshot_and_accept_watch(&second, 7, &listed[..1]).await;
     proxy.wait_for_revision(7).await;
-    old.0.expect_closed().await;
+    old_watch.0.expect_closed().await;
     watch
         .send_list(
             8,
@@ -77,41 +81,42 @@
     connection.respond("200 OK", "", "").await;
     client.expect_status(200).await;
 
-    // A reload without a change keeps the watch; the next one moves it once more.
+    // A reload that changes nothing keeps the watch; the next one moves it to a third address.
     proxy.signal("HUP").await;
     proxy.wait_for_log("configuration reloaded").await;
     proxy
         .reconfigure("discovery", json!(third.address().to_string()))
         .await;
-    let _watch = take_over(&third, 1, &[]).await;
+    let _watch = serve_snapshot_and_accept_watch(&third, 1, &[]).await;
     proxy.wait_for_revision(1).await;
     watch.0.expect_closed().await;
     assert!(second.is_untouched().await);
 }
 
-/// A file with any error in it is not used at all.
+/// A file with any error in it is not used at all, not even for its valid keys. The process keeps
+/// its configuration and its watch until it reads a valid file.
 #[tokio::test]
 async fn invalid_configuration_changes_nothing() {
     let backend = ScriptedServer::new().await;
     let other = ScriptedServer::new().await;
     let (mut proxy, _discovery, mut watch) = serve(&[("s", &backend)]).await;
-    let good = json!({
+    let valid = json!({
         "listen": "127.0.0.1:0", "discovery": other.address().to_string(), "seed": "1f", "settings": settings(),
     });
-    let mut texts = vec![String::new(), good.to_string().split_at(200).0.to_owned()];
+    let mut invalid_texts = vec![String::new(), valid.to_string().split_at(200).0.to_owned()];
     for (key, value) in [
         ("seed", json!("none")),
         ("discovery", json!("here")),
         ("settings", json!({})),
     ] {
-        let mut bad = good.clone();
-        bad[key] = value;
-        texts.push(bad.to_string());
+        let mut invalid = valid.clone();
+        invalid[key] = value;
+        invalid_texts.push(invalid.to_string());
     }
-    let mut bad = good.clone();
-    bad["settings"]["zone"] = json!(9);
-    texts.push(bad.to_string());
-    for (k, text) in texts.iter().enumerate() {
+    let mut invalid = valid.clone();
+    invalid["settings"]["zone"] = json!(9);
+    invalid_texts.push(invalid.to_string());
+    for (k, text) in invalid_texts.iter().enumerate() {
         proxy.replace_config(text).await;
         proxy
             .wait_for_log("configuration reload rejected, keeping the current one")
@@ -120,12 +125,14 @@
         proxy.wait_for_revision(2 + k as u64).await;
     }
     assert!(other.is_untouched().await);
-    proxy.replace_config(&good.to_string()).await;
-    let _watch = take_over(&other, 1, &[]).await;
+    proxy.replace_config(&valid.to_string()).await;
+    let _watch = serve_snapshot_and_accept_watch(&other, 1, &[]).await;
     watch.0.expect_closed().await;
 }
 
-/// What the old address still writes counts as notified.
+/// A list that discovery has sent counts as known to the process, also while the process moves to
+/// another address. So lists from the old address are applied until the new address has sent its
+/// snapshot.
 #[tokio::test]
 async fn old_discovery_is_watched_until_the_new_one_sent_its_list() {
     let (backend, other) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -133,7 +140,7 @@
     proxy
         .reconfigure("discovery", json!(other.address().to_string()))
         .await;
-    let (mut call, request) = other.accept_request().await;
+    let (mut connection, request) = other.accept_request().await;
     assert_eq!(request.start, SNAPSHOT_REQUEST);
     watch
         .send_list(9, false, &[endpoint("s", backend.address(), "leaving")])
@@ -145,19 +152,20 @@
             .await
             .request("safe")
             .await
-            .expect("an answer")
+            .expect("a response")
             .status(),
         503
     );
     let list = json!({"revision": 3, "complete": true, "members": [endpoint("s", backend.address(), "active")]});
-    call.respond("200 OK", "", &list.to_string()).await;
+    connection.respond("200 OK", "", &list.to_string()).await;
     watch.0.expect_closed().await;
     let (_watch, request) = other.accept_watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=3 HTTP/1.1");
     proxy.wait_for_revision(3).await;
 }
 
-/// The new address may not answer at first, or answer with an error.
+/// The new address may at first respond with an error, with a body that is not a list, or with a
+/// delta. The process must request the snapshot again until it receives one.
 #[tokio::test]
 async fn snapshot_is_requested_until_received() {
     let backend = ScriptedServer::new().await;
@@ -176,11 +184,12 @@
         assert_eq!(request.start, SNAPSHOT_REQUEST);
         connection.respond(status, "", body).await;
     }
-    let _watch = take_over(&other, 3, &[]).await;
+    let _watch = serve_snapshot_and_accept_watch(&other, 3, &[]).await;
     proxy.wait_for_revision(3).await;
 }
 
-/// The new address is called at once, although the balancer has not asked for it.
+/// Where lists are polled, the process calls a new discovery address at once, although the balancer
+/// has not asked for a list.
 #[tokio::test]
 async fn polled_discovery_address_is_replaced() {
     let backend = ScriptedServer::new().await;
@@ -197,7 +206,9 @@
     proxy
         .reconfigure("discovery", json!(second.address().to_string()))
         .await;
-    let _watch = take_over(&second, 2, &[endpoint("s", backend.address(), "active")]).await;
+    let _watch =
+        serve_snapshot_and_accept_watch(&second, 2, &[endpoint("s", backend.address(), "active")])
+            .await;
     proxy.wait_until_ready().await;
     watch.0.expect_closed().await;
 }
@@ -218,7 +229,9 @@
     proxy
         .reconfigure("discovery", json!(other.address().to_string()))
         .await;
-    let _watch = take_over(&other, 2, &[endpoint("s", backend.address(), "active")]).await;
+    let _watch =
+        serve_snapshot_and_accept_watch(&other, 2, &[endpoint("s", backend.address(), "active")])
+            .await;
     connection.respond("200 OK", "", "").await;
     client.expect_status(200).await;
     assert!(proxy.wait_for_exit().await.success());
--- a/crates/proxy/tests/connection_limits.rs
+++ b/crates/proxy/tests/connection_limits.rs
@@ -1,10 +1,12 @@
-//! Client connections and messages against the limits on descriptors and memory.
+//! Integration tests of the limits on descriptors and memory, with many connections and with large
+//! messages.
 
 mod common;
 use common::*;
 use serde_json::json;
 
-/// Idle connections and heads that never end neither keep clients out nor use up the descriptors.
+/// Connections that send nothing, or a head that never ends, outnumber the descriptors. They must
+/// neither keep other clients out nor exhaust the descriptors.
 #[tokio::test]
 async fn idle_connections_beyond_the_descriptor_limit_are_evicted() {
     let backend = ScriptedServer::new().await;
@@ -29,19 +31,19 @@
     client.expect_status(200).await;
 }
 
-/// Idle clients take all descriptors they can get while discovery is down, and the system allows
-/// fewer descriptors than the configuration says. What the process needs itself is left: discovery's
-/// return is noticed, the admin address answers, backends are connected, and clients with requests
-/// are served.
+/// Idle clients take all the descriptors that they can get while discovery is down, and the system
+/// allows fewer descriptors than the configuration. Those that the process needs for itself must
+/// remain: it notices that discovery is back, the admin server responds, backends are connected to,
+/// and clients with requests are served.
 #[tokio::test]
 async fn clients_cannot_exhaust_the_descriptors_of_discovery_and_admin() {
-    for asked in [false, true] {
+    for is_polled in [false, true] {
         let backend = ScriptedServer::new().await;
         let discovery = ScriptedServer::new().await;
         let address = discovery.address();
-        drop(discovery); // It refuses connections until it is back.
+        drop(discovery); // Its address refuses connections until it is back.
         let mut settings = settings();
-        settings["registry_mode"] = json!(if asked { "subscribe" } else { "automatic" });
+        settings["registry_mode"] = json!(if is_polled { "subscribe" } else { "automatic" });
         let proxy = ProxyBuilder::new(address)
             .settings(settings)
             .admin()
@@ -56,7 +58,7 @@
             }
             idle_clients.push(client);
         }
-        // A third of the limit is never theirs.
+        // A third of the limit is never available to clients.
         for _ in 0..60 {
             assert!(
                 proxy.open_descriptors() <= 64,
@@ -86,8 +88,8 @@
     }
 }
 
-/// Connections that arrive at once fill every slot before the process has run; some are evicted all
-/// the same.
+/// Connections that arrive at once, while the process is stopped, fill every slot before the
+/// process has run. Some of them must be evicted all the same.
 #[tokio::test]
 async fn burst_of_idle_connections_does_not_block_new_clients() {
     let backend = ScriptedServer::new().await;
@@ -109,7 +111,8 @@
     client.expect_status(200).await;
 }
 
-/// Connections without a request are evicted, not those whose request is still to be read.
+/// More clients than there are slots send a request at once. Eviction must close connections
+/// without a request only, not those whose request is still to be read.
 #[tokio::test]
 async fn burst_of_requests_beyond_the_connection_limit_is_served() {
     let backend = ScriptedServer::new().await;
@@ -119,37 +122,38 @@
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     proxy.signal("STOP").await;
-    let mut idle_clients = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..40 {
         let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
-        idle_clients.push(client);
+        clients.push(client);
     }
     proxy.signal("CONT").await;
-    let answering = tokio::spawn(async move {
-        let mut serving = tokio::task::JoinSet::new();
+    let backend_task = tokio::spawn(async move {
+        let mut connection_tasks = tokio::task::JoinSet::new();
         loop {
             let mut connection = backend.accept().await;
-            serving.spawn(async move {
+            connection_tasks.spawn(async move {
                 while connection.read().await.is_some() {
                     connection.respond("200 OK", "", "").await;
                 }
             });
         }
     });
-    for client in &mut idle_clients {
+    for client in &mut clients {
         // Served or rejected, each gets a response.
-        assert!([200, 503].contains(&client.read().await.expect("an answer").status()));
+        assert!([200, 503].contains(&client.read().await.expect("a response").status()));
     }
-    answering.abort();
+    backend_task.abort();
 }
 
-/// Every connection slot holds a buffered body of the largest size, in both directions.
+/// Every connection slot holds a body of the largest buffered size in both directions. The process
+/// must stay within its memory limit.
 #[tokio::test]
 async fn largest_bodies_on_every_connection_fit_into_memory() {
     let backend = ScriptedServer::new().await;
     let (proxy, _discovery, _watch) = serve(&[("s", &backend)]).await;
-    let large = "x".repeat(64 << 10);
+    let buffered_body = "x".repeat(64 << 10);
     let mut clients = Vec::new();
     let mut connections = Vec::new();
     for k in 0..128 {
@@ -158,35 +162,39 @@
             "POST /unsafe HTTP/1.1\r\nX-Timeout: 20000m\r\nX-Tenant-Id: one\r\nX-Cost: 1\r\n";
         client
             .write(&format!(
-                "{head}X-Request-ID: r{k}\r\nContent-Length: {}\r\n\r\n{large}",
-                large.len()
+                "{head}X-Request-ID: r{k}\r\nContent-Length: {}\r\n\r\n{buffered_body}",
+                buffered_body.len()
             ))
             .await;
         tokio::select! {
             (connection, request) = backend.accept_request() => {
-                assert_eq!(request.body.len(), large.len());
+                assert_eq!(request.body.len(), buffered_body.len());
                 connections.push(connection);
                 clients.push(client);
             }
-            answer = client.read() => assert_eq!(answer.expect("an answer").status(), 503),
+            response = client.read() => assert_eq!(response.expect("a response").status(), 503),
         }
     }
-    let held = connections.len();
+    let in_flight = connections.len();
     for connection in &mut connections {
-        connection.respond("200 OK", "", &large).await;
+        connection.respond("200 OK", "", &buffered_body).await;
     }
     for client in &mut clients {
         assert_eq!(
-            client.read().await.expect("an answer").body.len(),
-            large.len()
+            client.read().await.expect("a response").body.len(),
+            buffered_body.len()
         );
     }
-    println!("{held} held, peak {} KiB", proxy.peak_memory_kib());
+    println!(
+        "{in_flight} requests in flight, peak {} KiB",
+        proxy.peak_memory_kib()
+    );
     assert!(proxy.peak_memory_kib() < MEMORY_MB << 10);
 }
 
-/// Idle connections are closed for new ones, and the process's own shortage never counts as a
-/// backend's failure.
+/// There are more backends than descriptors for connections to them. Idle connections must be
+/// closed in favour of new ones, and the process's own shortage of descriptors must never count as
+/// a backend's failure.
 #[tokio::test]
 async fn more_backends_than_descriptors_are_served() {
     let discovery = ScriptedServer::new().await;
@@ -199,21 +207,21 @@
         backends.push(ScriptedServer::new().await);
     }
     let (mut watch, _) = discovery.accept_watch().await;
-    let list = |only: usize| {
+    let active_endpoint = |position: usize| {
         vec![endpoint(
-            &format!("s{only}"),
-            backends[only].address(),
+            &format!("s{position}"),
+            backends[position].address(),
             "active",
         )]
     };
-    let all: Vec<_> = (0..backends.len()).flat_map(list).collect();
+    let all: Vec<_> = (0..backends.len()).flat_map(active_endpoint).collect();
     watch.send_list(1, true, &all).await;
     proxy.wait_until_ready().await;
     let mut connections = Vec::new();
     let mut client = proxy.connect().await;
     for k in 0..backends.len() {
-        // All but one drain, and keep their connections until they are removed.
-        let phases = (0..backends.len()).map(|s| {
+        // One backend is active at a time; all others drain.
+        let entries = (0..backends.len()).map(|s| {
             endpoint(
                 &format!("s{s}"),
                 backends[s].address(),
@@ -221,7 +229,7 @@
             )
         });
         watch
-            .send_list(2 + k as u64, false, &phases.collect::<Vec<_>>())
+            .send_list(2 + k as u64, false, &entries.collect::<Vec<_>>())
             .await;
         proxy.wait_for_revision(2 + k as u64).await;
         client.send("unsafe", "20000m").await;
@@ -233,8 +241,8 @@
     assert!(proxy.open_descriptors() <= 64);
 }
 
-/// The process closes them well before the backend would: a request that crosses the backend's close
-/// may be lost.
+/// The process must close its idle connections to a backend well before the backend does: a request
+/// that crosses the backend's close may be lost.
 #[tokio::test]
 async fn idle_upstream_connections_are_closed() {
     let backend = ScriptedServer::new().await;
