--- a/crates/proxy/tests/discovery_watch.rs
+++ b/crates/proxy/tests/discovery_watch.rs
@@ -1,18 +1,20 @@
-//! The calls to discovery: watches that break or fall silent, and late responses.
+//! Integration tests of the calls to discovery: watches that break or fall silent, late responses,
+//! and the pauses between calls.
 
 mod common;
 use common::*;
 use serde_json::json;
 use std::time::Duration;
 
-/// What it says counts as notified although the call was given up.
+/// A list that discovery has sent counts as known to the process, also on a call that was given up
+/// as unanswered. So a late response has to be read and applied.
 #[tokio::test]
 async fn late_response_to_an_unanswered_call_is_applied() {
     let backend = ScriptedServer::new().await;
     let (proxy, discovery, watch) = serve(&[("s", &backend)]).await;
     drop(watch);
     let (mut late, _) = discovery.accept_request().await;
-    // The second call begins only once the first is given up.
+    // The second call is made only once the first has been given up.
     let (_second, _) = discovery.accept_request().await;
     late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .await;
@@ -26,13 +28,14 @@
             .await
             .request("safe")
             .await
-            .expect("an answer")
+            .expect("a response")
             .status(),
         503
     );
 }
 
-/// The next watch may end without a list.
+/// A call that was given up has to be read on even if the next watch is open, since that watch may
+/// end without a list.
 #[tokio::test]
 async fn late_response_is_applied_although_the_next_watch_is_open() {
     let backend = ScriptedServer::new().await;
@@ -40,7 +43,8 @@
     drop(watch);
     let (mut late, _) = discovery.accept_request().await;
     let (_second, _) = discovery.accept_watch().await;
-    // The watch is open once the process has read its head; the pause after that is long enough.
+    // The watch is open once the process has read the head of its response; the pause is long
+    // enough for that.
     tokio::time::sleep(Duration::from_millis(200)).await;
     late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .await;
@@ -50,18 +54,19 @@
     proxy.wait_for_revision(2).await;
 }
 
-/// A snapshot leaves out draining endpoints, without being of another revision for that.
+/// A snapshot omits draining endpoints and keeps the revision all the same. So a late snapshot of
+/// the revision held may still remove backends, and has to be applied.
 #[tokio::test]
 async fn late_snapshot_of_the_same_revision_is_applied() {
     let (kept, left) = (ScriptedServer::new().await, ScriptedServer::new().await);
     let (proxy, discovery, watch) = serve(&[("kept", &kept), ("left", &left)]).await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    let (mut out, drains) = tokio::select! {
-        out = kept.accept_request() => (out.0, "kept"),
-        out = left.accept_request() => (out.0, "left"),
+    let (mut connection, omitted) = tokio::select! {
+        connection = kept.accept_request() => (connection.0, "kept"),
+        connection = left.accept_request() => (connection.0, "left"),
     };
-    out.respond("200 OK", "", "").await;
+    connection.respond("200 OK", "", "").await;
     client.expect_status(200).await;
     drop(watch);
     let (mut late, _) = discovery.accept_request().await;
@@ -72,15 +77,17 @@
         endpoint("kept", kept.address(), "active"),
         endpoint("left", left.address(), "active"),
     ];
-    let named: Vec<_> = members
+    let listed: Vec<_> = members
         .into_iter()
-        .filter(|member| member["id"] != drains)
+        .filter(|member| member["id"] != omitted)
         .collect();
-    WatchStream(late).send_list(1, true, &named).await;
-    out.expect_closed().await; // Nothing more goes to a backend that is gone, nor is a connection to it kept.
+    WatchStream(late).send_list(1, true, &listed).await;
+    // A removed backend receives no more requests, and no connection to it is kept.
+    connection.expect_closed().await;
 }
 
-/// Changes of a pushed list count as notified once discovery is back, so it has to be called often.
+/// Changes to a pushed list count as known to the process as soon as discovery is back, so
+/// discovery has to be called often while it is unavailable.
 #[tokio::test]
 async fn unavailable_discovery_is_retried_often() {
     let backend = ScriptedServer::new().await;
@@ -97,25 +104,26 @@
     }
 }
 
-/// An empty line is due every 2 s; a watch without one may be cut off from updates that count as
-/// notified.
+/// Discovery has to send an empty line every 2 s. A watch that receives none may be cut off from
+/// updates that count as known to the process, so it has to be opened again.
 #[tokio::test]
 async fn silent_watch_is_reopened() {
     let backend = ScriptedServer::new().await;
-    let (_node, discovery, mut watch) = serve(&[("s", &backend)]).await;
+    let (_proxy, discovery, mut watch) = serve(&[("s", &backend)]).await;
     let (_next, request) = discovery.accept_watch().await;
     assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
     watch.0.expect_closed().await;
 }
 
-/// The watch that replaces a silent one may send nothing, or not be answered at all.
+/// The watch that replaces a silent one may receive nothing either, or not be answered at all. Each
+/// of them has to be given up and followed by another one.
 #[tokio::test]
 async fn unanswered_watch_is_given_up() {
     let backend = ScriptedServer::new().await;
-    for asked in [false, true] {
+    for is_polled in [false, true] {
         let discovery = ScriptedServer::new().await;
         let mut settings = settings();
-        settings["registry_mode"] = json!(if asked { "subscribe" } else { "automatic" });
+        settings["registry_mode"] = json!(if is_polled { "subscribe" } else { "automatic" });
         let proxy = ProxyBuilder::new(discovery.address())
             .settings(settings)
             .start()
@@ -125,16 +133,16 @@
             .send_list(1, true, &[endpoint("s", backend.address(), "active")])
             .await;
         proxy.wait_until_ready().await;
-        let (mut mute, _) = discovery.accept_watch().await;
+        let (mut silent, _) = discovery.accept_watch().await;
         let (mut unanswered, _) = discovery.accept_request().await;
         let (mut last, request) = discovery.accept_watch().await;
         assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
         last.send_list(2, false, &[endpoint("s", backend.address(), "leaving")])
             .await;
         proxy.wait_for_revision(2).await;
-        // The call that was given up is read until then, and no longer.
+        // Calls that were given up are read until a later one has received a list, and no longer.
         first.0.expect_closed().await;
-        mute.0.expect_closed().await;
+        silent.0.expect_closed().await;
         unanswered.expect_closed().await;
     }
 }
@@ -150,7 +158,7 @@
     proxy.wait_for_revision(2).await;
 }
 
-/// Wherever the list is cut into pieces.
+/// A list may be indented JSON, and may be split into chunks at any byte.
 #[tokio::test]
 async fn indented_json_is_read_on_the_watch() {
     let backend = ScriptedServer::new().await;
@@ -181,7 +189,7 @@
     let (mut connection, _) = discovery.accept_request().await;
     connection.respond("503 Service Unavailable", "", "").await;
     let (mut watch, _) = discovery.accept_watch().await;
-    // A list may arrive in pieces.
+    // A list may arrive in parts.
     let list = json!({"revision": 2, "complete": true, "members": []}).to_string();
     let (a, b) = list.split_at(11);
     watch.0.write(&format!("{:x}\r\n{a}\r\n", a.len())).await;
@@ -196,13 +204,14 @@
             .await
             .request("unsafe")
             .await
-            .expect("an answer")
+            .expect("a response")
             .status(),
         503
     );
 }
 
-/// The end of a watch is a failed call.
+/// Where lists are polled, the end of a watch, or its rejection, is reported to the balancer as a
+/// failed call, and the balancer asks for the next one.
 #[tokio::test]
 async fn polled_discovery_is_called_when_the_balancer_asks() {
     let backend = ScriptedServer::new().await;
@@ -224,7 +233,8 @@
     proxy.wait_until_ready().await;
 }
 
-/// Nodes that lose their watches together must not reconnect in step, however often they are refused.
+/// Nodes that lose their watches at the same time must not reconnect in step, however often
+/// discovery rejects them.
 #[tokio::test]
 async fn reconnect_backoff_differs_between_nodes() {
     let mut pauses = Vec::new();
@@ -236,7 +246,7 @@
             .config("seed", seed)
             .start()
             .await;
-        for longest in [100, 200, 400] {
+        for max_pause in [100, 200, 400] {
             let (mut connection, _) = discovery.accept_request().await;
             connection.respond("503 Service Unavailable", "", "").await;
             let line = proxy.wait_for_log("retrying in ").await;
@@ -246,14 +256,15 @@
                 .nth(1)
                 .and_then(|ms| ms.parse().ok())
                 .expect("a pause");
-            assert!((longest / 2..=longest).contains(&pause), "{line}");
+            assert!((max_pause / 2..=max_pause).contains(&pause), "{line}");
             pauses.push(pause);
         }
     }
     assert_ne!(pauses[..3], pauses[3..]);
 }
 
-/// Refusals have made the backoff long; the time without an answer was pause enough.
+/// Rejections have made the backoff long. The time that a call went unanswered counts as a pause,
+/// so the next call must follow at once.
 #[tokio::test]
 async fn unanswered_call_is_retried_at_once() {
     let discovery = ScriptedServer::new().await;
@@ -277,7 +288,8 @@
     let _ = discovery.accept_request().await;
 }
 
-/// Whatever still arrives behind it.
+/// A list that begins and does not end has to be given up and requested again, whatever still
+/// arrives after it.
 #[tokio::test]
 async fn unterminated_list_is_requested_again() {
     let backend = ScriptedServer::new().await;
@@ -285,7 +297,7 @@
     watch
         .send_line("{\"revision\": 2, \"complete\": false, \"members\": [")
         .await;
-    let trickling = async {
+    let trickle = async {
         while !watch.0.is_closed() {
             watch.send_line("").await;
             tokio::time::sleep(std::time::Duration::from_millis(500)).await;
@@ -293,7 +305,7 @@
         std::future::pending::<()>().await;
     };
     let (mut next, request) = tokio::select! {
-        () = trickling => unreachable!("it waits"),
+        () = trickle => unreachable!("the task never ends"),
         next = discovery.accept_watch() => next,
     };
     assert_eq!(request, "GET /registry/instances?follow=1&since=1 HTTP/1.1");
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -1,11 +1,13 @@
-//! The endpoint list: what its updates do to connections and requests.
+//! Integration tests of the endpoint list: the effect of its updates on connections and requests,
+//! invalid and large lists, and the list of the configuration.
 
 mod common;
 use common::*;
 use serde_json::json;
 
-/// Snapshots drop what they do not name, deltas drop what was removed, and an address may change
-/// under the same id.
+/// A snapshot removes the backends that it does not name, a delta those that it names as removed,
+/// and the address of a backend may change under the same id. Requests must go by the list at each
+/// moment.
 #[tokio::test]
 async fn requests_follow_the_endpoint_list() {
     let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -21,7 +23,7 @@
     watch
         .send_list(2, true, &[endpoint("two", two.address(), "active")])
         .await;
-    at_one.expect_closed().await; // Nothing more goes to a backend that is gone.
+    at_one.expect_closed().await; // A removed backend receives no more requests.
     client.send("unsafe", "20000m").await;
     (at_two, _) = two.accept_request().await;
     at_two.respond("200 OK", "", "").await;
@@ -44,7 +46,8 @@
     client.expect_status(503).await;
 }
 
-/// A dead machine's connections look open.
+/// Connections to a machine that has died look open. Once the list gives a backend's new start
+/// time, requests must not go to connections of its earlier process.
 #[tokio::test]
 async fn backend_restart_abandons_its_connections() {
     let backend = ScriptedServer::new().await;
@@ -62,38 +65,41 @@
     let (mut new, _) = backend.accept_request().await;
     new.respond("200 OK", "", "").await;
     client.expect_status(200).await;
-    // The same start time once more is no restart.
+    // A list that repeats the start time is not a restart.
     watch.send_list(3, true, &[entry]).await;
     proxy.wait_for_revision(3).await;
-    tokio::time::sleep(std::time::Duration::from_millis(50)).await; // It rests before it is used again.
+    // A connection is reused only some time after its response.
+    tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     client.send("unsafe", "20000m").await;
     new.read()
         .await
         .expect("the next request on the same connection");
 }
 
-/// Nothing was sent, so even a non-idempotent request may be rejected.
+/// The list names a backend as draining while a connection to it is being opened. Nothing may be
+/// sent on that connection. Since nothing was sent, even a non-idempotent request may be rejected.
 #[tokio::test]
 async fn drain_received_while_connecting_prevents_the_attempt() {
-    let (listener, address, filling) = full_listener().await;
+    let (listener, address, queued_connections) = full_listener().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, mut watch) = ProxyBuilder::new(discovery.address())
         .start_ready(&discovery, &[endpoint("s", address, "active")])
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    proxy.get("/health/live").await; // The request has been read, and its connection is under way.
+    // The request has been read by then, and a connection for it is being opened.
+    proxy.get("/health/live").await;
     watch
         .send_list(2, false, &[endpoint("s", address, "leaving")])
         .await;
     proxy.wait_for_revision(2).await;
-    for _ in 0..filling.len() {
+    for _ in 0..queued_connections.len() {
         within("a connection", listener.accept())
             .await
             .expect("a connection");
     }
-    let answer = client.read().await.expect("an answer");
-    assert_eq!(answer.status(), 503);
+    let response = client.read().await.expect("a response");
+    assert_eq!(response.status(), 503);
     let (stream, _) = within("the proxy's connection", listener.accept())
         .await
         .expect("a connection");
@@ -102,34 +108,36 @@
     let mut read = Vec::new();
     let mut stream = stream;
     let _ = within(
-        "its end",
+        "the connection's end",
         tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read),
     )
     .await;
     assert!(
         read.is_empty(),
-        "sent to a draining server: {:?}",
+        "sent to a draining backend: {:?}",
         String::from_utf8_lossy(&read)
     );
 }
 
-/// What listens at the old address is no longer that backend.
+/// The list gives a new address for a backend while a connection to the old one is being opened.
+/// Whatever listens at the old address is no longer that backend, so nothing may be sent there.
 #[tokio::test]
 async fn address_change_received_while_connecting_prevents_the_attempt() {
     let new = ScriptedServer::new().await;
-    let (listener, address, filling) = full_listener().await;
+    let (listener, address, queued_connections) = full_listener().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, mut watch) = ProxyBuilder::new(discovery.address())
         .start_ready(&discovery, &[endpoint("s", address, "active")])
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    proxy.get("/health/live").await; // The request has been read, and its connection is under way.
+    // The request has been read by then, and a connection for it is being opened.
+    proxy.get("/health/live").await;
     watch
         .send_list(2, false, &[endpoint("s", new.address(), "active")])
         .await;
     proxy.wait_for_revision(2).await;
-    for _ in 0..filling.len() {
+    for _ in 0..queued_connections.len() {
         within("a connection", listener.accept())
             .await
             .expect("a connection");
@@ -137,19 +145,19 @@
     let (mut old, _) = within("the proxy's connection", listener.accept())
         .await
         .expect("a connection");
-    // The balancer decides whether it goes to the new address or is rejected.
-    let answer = tokio::select! {
-        answer = client.read() => answer,
+    // The balancer decides whether the request goes to the new address or is rejected.
+    let response = tokio::select! {
+        response = client.read() => response,
         (mut connection, _) = new.accept_request() => {
             connection.respond("200 OK", "", "").await;
             client.read().await
         }
     };
-    assert!([200, 503].contains(&answer.expect("an answer").status()));
+    assert!([200, 503].contains(&response.expect("a response").status()));
     drop(proxy);
     let mut read = Vec::new();
     let _ = within(
-        "its end",
+        "the connection's end",
         tokio::io::AsyncReadExt::read_to_end(&mut old, &mut read),
     )
     .await;
@@ -160,7 +168,8 @@
     );
 }
 
-/// Every request still gets a response, and reasonable numbers restore service.
+/// Lists and load reports may contain extreme, invalid or negative numbers. Every request must
+/// still get a response, and reasonable numbers must restore service.
 #[tokio::test]
 async fn extreme_numbers_are_tolerated() {
     let backend = ScriptedServer::new().await;
@@ -173,32 +182,32 @@
         .await;
     let (mut watch, _) = discovery.accept_watch().await;
     let mut revision = 0;
-    let mut ask = async |key: &str, value: &serde_json::Value, report: &str| {
+    let mut request_status = async |key: &str, value: &serde_json::Value, report: &str| {
         revision += 1;
-        let mut odd = endpoint("s", backend.address(), "active");
-        odd[key] = value.clone();
-        // Listed twice, beside a reasonable entry and a removed one that was never listed.
-        let left = json!({"id": "", "phase": "left"});
+        let mut extreme = endpoint("s", backend.address(), "active");
+        extreme[key] = value.clone();
+        // The entry is listed twice, beside a reasonable one and a removed one that was never listed.
+        let removed = json!({"id": "", "phase": "left"});
         watch
             .send_list(
                 revision,
                 true,
                 &[
-                    odd.clone(),
-                    odd,
+                    extreme.clone(),
+                    extreme,
                     endpoint("t", backend.address(), "active"),
-                    left,
+                    removed,
                 ],
             )
             .await;
         proxy.wait_for_revision(revision).await;
         let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
-        let answering = async {
-            let mut serving = tokio::task::JoinSet::new();
+        let serve_backend = async {
+            let mut connection_tasks = tokio::task::JoinSet::new();
             loop {
                 let (mut connection, report) = (backend.accept().await, report.to_owned());
-                serving.spawn(async move {
+                connection_tasks.spawn(async move {
                     while let Some(request) = connection.read().await {
                         let body = if request.start.starts_with("GET /stats") {
                             &report
@@ -213,8 +222,8 @@
             }
         };
         tokio::select! {
-            answer = client.read() => answer.expect("an answer").status(),
-            () = answering => unreachable!("it never ends"),
+            response = client.read() => response.expect("a response").status(),
+            () = serve_backend => unreachable!("the backend never stops serving"),
         }
     };
     for (key, value) in [
@@ -235,15 +244,15 @@
             r#"{"outstanding":{},"utilization":"high"}"#,
             "[1,2",
         ] {
-            let status = ask(key, &value, report).await;
+            let status = request_status(key, &value, report).await;
             assert!(
                 [200, 503, 504].contains(&status),
                 "{status} for {key} {value} {report}"
             );
         }
     }
-    let back = async {
-        while ask(
+    let recovery = async {
+        while request_status(
             "size",
             &json!(1.0),
             r#"{"outstanding":0,"utilization":0.1}"#,
@@ -252,16 +261,17 @@
             != 200
         {}
     };
-    within("service", back).await;
+    within("a served request", recovery).await;
 }
 
-/// Backends deduplicate for a limited time: a connection that is established later carries no retry.
+/// Backends recognize an idempotency key for a limited time. A connection that is established after
+/// that must not carry a retry, which could be executed a second time.
 #[tokio::test]
 async fn retry_is_prevented_after_the_idempotency_window() {
     let first = ScriptedServer::new().await;
-    let (listener, address, filling) = full_listener().await;
+    let (listener, address, queued_connections) = full_listener().await;
     let discovery = ScriptedServer::new().await;
-    let window = std::time::Duration::from_secs(2); // Ample for all that comes before the repeat.
+    let window = std::time::Duration::from_secs(2); // Long enough for all that precedes the retry.
     let mut settings = settings();
     settings["profiles"][1]["repeat_window_ns"] = json!(window.as_nanos() as u64);
     let (proxy, mut watch) = ProxyBuilder::new(discovery.address())
@@ -279,7 +289,7 @@
         .respond("500 Internal Server Error", "", "")
         .await;
     tokio::time::sleep(window).await;
-    for _ in 0..filling.len() {
+    for _ in 0..queued_connections.len() {
         within("a connection", listener.accept())
             .await
             .expect("a connection");
@@ -292,7 +302,7 @@
     drop(proxy);
     let mut read = Vec::new();
     let _ = within(
-        "its end",
+        "the connection's end",
         tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read),
     )
     .await;
@@ -303,11 +313,12 @@
     );
 }
 
-/// It is logged, and the changes since the last good update are requested again.
+/// A malformed update must not replace the list in use. It is logged, and the changes since the
+/// last valid update are requested again.
 #[tokio::test]
 async fn malformed_update_keeps_the_current_list() {
     let backend = ScriptedServer::new().await;
-    let bad = [
+    let malformed_lines = [
         "not json".to_owned(),
         r#"{"revision":9,"complete":true,"members":[{"id":"s","phase":"active"}]}"#.to_owned(),
         r#"{"revision":9,"complete":true,"members":[{"id":"s","host_port":"nowhere","phase":"active"}]}"#
@@ -315,7 +326,7 @@
         r#"{"revision":-1,"complete":true,"members":[]}"#.to_owned(),
     ];
     let (mut proxy, discovery, mut watch) = serve(&[("s", &backend)]).await;
-    for line in bad {
+    for line in malformed_lines {
         watch.send_line(&line).await;
         proxy.wait_for_log("invalid list").await;
         let (next, request) = discovery.accept_watch().await;
@@ -331,7 +342,8 @@
     }
 }
 
-/// Pushed lists bind a process from its start, and the configured list may be old.
+/// Pushed lists count as known to a process from its start, and the list of its configuration may
+/// be out of date. So a request that arrives first has to wait for the pushed list.
 #[tokio::test]
 async fn new_process_waits_for_the_pushed_list() {
     let (old, new) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -349,17 +361,17 @@
         watch.send_list(8, true, &members).await;
         watch
     };
-    let asking = async {
+    let requesting = async {
         let proxy = builder.start().await;
         let mut client = proxy.connect().await;
         client.send("unsafe", "20000m").await;
         (proxy, client)
     };
     // The request is sent first, the list after it.
-    let ((proxy, mut client), _watch) = (asking.await, pushing.await);
+    let ((proxy, mut client), _watch) = (requesting.await, pushing.await);
     let (mut connection, _) = tokio::select! {
-        got = new.accept_request() => got,
-        _ = old.accept_request() => panic!("sent by the old list"),
+        accepted = new.accept_request() => accepted,
+        _ = old.accept_request() => panic!("sent according to the old list"),
     };
     connection.respond("200 OK", "", "").await;
     client.expect_status(200).await;
@@ -383,7 +395,8 @@
     client.expect_status(200).await;
 }
 
-/// A line of the log stays of readable length.
+/// Lists of thousands of endpoints are usable, and a line of the log stays of readable length under
+/// them.
 #[tokio::test]
 async fn list_of_thousands_of_endpoints_is_applied() {
     let backend = ScriptedServer::new().await;
@@ -418,7 +431,7 @@
     }
 }
 
-/// The last good list stays in use.
+/// A list of more than 4 MiB is rejected and requested again. The last valid list stays in use.
 #[tokio::test]
 async fn oversized_list_is_rejected() {
     let backend = ScriptedServer::new().await;
@@ -437,7 +450,7 @@
     };
     let logged = async { proxy.wait_for_log("invalid list: over 4194304 bytes").await };
     tokio::select! {
-        () = writing => unreachable!("it waits"),
+        () = writing => unreachable!("the task never ends"),
         _ = logged => {}
     }
     let (_next, request) = discovery.accept_watch().await;
@@ -450,7 +463,8 @@
     client.expect_status(200).await;
 }
 
-/// The configured list may name draining endpoints only.
+/// A list may name draining endpoints only, that of the configuration as well as one from
+/// discovery. The process must not report itself as ready until an active endpoint is listed.
 #[tokio::test]
 async fn process_without_active_endpoints_is_not_ready() {
     let backend = ScriptedServer::new().await;
@@ -474,23 +488,23 @@
 
 #[tokio::test]
 async fn drain_received_before_a_retry_prevents_it() {
-    for outcome in ["X-Not-Processed: 1\r\n", ""] {
+    for headers in ["X-Not-Processed: 1\r\n", ""] {
         let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
         let (proxy, _discovery, mut watch) = serve(&[("one", &one), ("two", &two)]).await;
         let mut client = proxy.connect().await;
         client.send("safe", "20000m").await;
         let ((mut connection, _), other, name) = tokio::select! {
-            got = one.accept_request() => (got, &two, "two"),
-            got = two.accept_request() => (got, &one, "one"),
+            accepted = one.accept_request() => (accepted, &two, "two"),
+            accepted = two.accept_request() => (accepted, &one, "one"),
         };
         watch
             .send_list(2, false, &[endpoint(name, other.address(), "leaving")])
             .await;
         proxy.wait_for_revision(2).await;
         connection
-            .respond("503 Service Unavailable", outcome, "")
+            .respond("503 Service Unavailable", headers, "")
             .await;
         client.expect_status(503).await;
-        assert!(other.is_untouched().await, "sent to a server that drains");
+        assert!(other.is_untouched().await, "sent to a draining backend");
     }
 }
