--- a/crates/proxy/tests/start_beside_running_backends.rs
+++ b/crates/proxy/tests/start_beside_running_backends.rs
@@ -1,4 +1,5 @@
-//! The first seconds of a node that starts while its backends are long up.
+//! Integration tests of a node's first seconds, above all of one that starts while its backends
+//! have been running for long.
 
 mod common;
 use common::*;
@@ -9,23 +10,25 @@
 use tokio::task::JoinHandle;
 use tokio::time::{interval, sleep};
 
-/// Backends of the fleet.
+/// Number of backends.
 const BACKENDS: usize = 6;
-/// Time between two requests of the clients together.
+/// Time between two requests, those of all clients taken together.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(8);
-/// Requests that the clients send; the slow start outlasts them.
+/// Number of requests that the clients send. The slow start takes longer than they do.
 const REQUESTS: usize = 360;
-/// Time in which a warm backend serves a request.
+/// Service time of a warm backend.
 const SERVICE_TIME: Duration = Duration::from_millis(21);
-/// Requests per second that a backend can do once it is warm, where it is limited.
+/// Requests per second that a warm backend can serve, where its rate is limited.
 const WARM_RATE: f64 = 40.0;
+/// Length of the intervals over which the requests to a backend are compared with what it can
+/// serve; `overload_for_ns` in the settings.
 const OVERLOAD_DURATION: Duration = Duration::from_secs(1);
 
 const SECOND: i64 = 1;
 const MINUTE: i64 = 60;
 const HOUR: i64 = 3600;
 
-/// What the settings say of slow start.
+/// The settings of slow start.
 #[derive(Clone, Copy)]
 struct SlowStart {
     initial_capacity: f64,
@@ -33,13 +36,14 @@
     overload_multiple: f64,
 }
 
+/// The slow start of most tests.
 const USUAL_SLOW_START: SlowStart = SlowStart {
     initial_capacity: 0.25,
     duration: Duration::from_secs(8),
     overload_multiple: 3.0,
 };
 
-/// Backends that bear much less at first than the clients send.
+/// A slow start under which backends can at first serve far fewer requests than the clients send.
 const COLD_SLOW_START: SlowStart = SlowStart {
     initial_capacity: 0.05,
     duration: Duration::from_secs(20),
@@ -47,14 +51,15 @@
 };
 
 impl SlowStart {
-    /// Requests per second that a backend can do at this age.
+    /// Requests per second that a backend of this age can serve.
     fn rate(self, age: Duration) -> f64 {
-        let warmed = age.as_secs_f64() / self.duration.as_secs_f64();
-        WARM_RATE * (self.initial_capacity + (1.0 - self.initial_capacity) * warmed).min(1.0)
+        let warmed_up_fraction = age.as_secs_f64() / self.duration.as_secs_f64();
+        WARM_RATE
+            * (self.initial_capacity + (1.0 - self.initial_capacity) * warmed_up_fraction).min(1.0)
     }
 
-    /// Requests within one overload duration that a backend bears from this age on, with what chance
-    /// may add.
+    /// The most requests that a backend can take within one overload duration from this age on,
+    /// with a margin for random variation.
     fn allowed_requests(self, age: Duration) -> f64 {
         let limit = self.overload_multiple * self.rate(age) * OVERLOAD_DURATION.as_secs_f64();
         limit + 3.0 * limit.sqrt() + 3.0
@@ -71,27 +76,27 @@
     }
 }
 
-/// How fast a backend serves.
+/// How a backend serves requests.
 #[derive(Clone, Copy)]
 enum Service {
-    /// Any number of requests at a time.
+    /// Any number of requests at a time, each within [`SERVICE_TIME`].
     Warm,
-    /// One after the other, at the rate of a backend that has just started.
+    /// One request at a time, at the rate of a backend that is in slow start.
     Warming(SlowStart),
 }
 
-/// A backend that serves every request.
+/// A backend that serves every request, and records when it arrived.
 struct ServingBackend {
     service: Service,
     started_at: Instant,
-    /// Held by the request in work, where there is one at a time.
+    /// Held by the request that is being processed, where there is one at a time.
     core: tokio::sync::Mutex<()>,
     /// When each request arrived.
     arrivals: Mutex<Vec<Instant>>,
 }
 
 impl ServingBackend {
-    /// Returns the backend and its address; it serves until the test ends.
+    /// Starts a backend and returns it with its address. It serves until the test ends.
     async fn start(service: Service) -> (Arc<Self>, SocketAddr) {
         let server = ScriptedServer::new().await;
         let address = server.address();
@@ -135,7 +140,8 @@
         self.arrivals.lock().expect("no panic").len()
     }
 
-    /// Asserts that no overload duration brought more requests than the slow start allows.
+    /// Asserts that the backend did not receive more requests within any overload duration than the
+    /// slow start allows.
     fn assert_not_overloaded(&self, slow_start: SlowStart) {
         let arrivals = self.arrivals.lock().expect("no panic");
         for (position, &from) in arrivals.iter().enumerate() {
@@ -146,18 +152,18 @@
             let allowed = slow_start.allowed_requests(age);
             assert!(
                 requests as f64 <= allowed,
-                "{requests} of {allowed:.1} at an age of {age:?}"
+                "{requests} requests, {allowed:.1} allowed, at an age of {age:?}"
             );
         }
     }
 }
 
-/// A backend's last start.
+/// When a backend was last started.
 #[derive(Clone, Copy)]
 enum Start {
-    /// No timestamp: long ago.
+    /// Long ago: its endpoint has no timestamp.
     LongAgo,
-    /// Seconds ago, by a timestamp.
+    /// This many seconds ago, by its endpoint's timestamp.
     Ago(i64),
 }
 
@@ -175,25 +181,26 @@
     }
 }
 
-/// A node's first seconds beside a fleet.
+/// The conditions under which a node starts.
 #[derive(Clone, Copy)]
 struct Scenario {
     starts: [Start; BACKENDS],
     service: Service,
     slow_start: SlowStart,
-    /// Seconds by which the node's wall clock is off.
+    /// Step of the node's wall clock, in seconds.
     clock_step: i64,
 }
 
-/// What came of a scenario.
-struct FirstSeconds {
+/// The outcome of a scenario.
+struct ScenarioOutcome {
     /// Requests that were not served.
     unserved: usize,
     backends: Vec<Arc<ServingBackend>>,
 }
 
 impl Scenario {
-    async fn run(self) -> FirstSeconds {
+    /// Starts the backends and the node, and sends the requests.
+    async fn run(self) -> ScenarioOutcome {
         let faults = FaultInjection::new();
         faults.control.step_wall_clock(self.clock_step);
         let mut backends = Vec::new();
@@ -211,7 +218,7 @@
             .faults(&faults)
             .start_ready(&discovery, &endpoints)
             .await;
-        FirstSeconds {
+        ScenarioOutcome {
             unserved: unserved_requests(&proxy).await,
             backends,
         }
@@ -239,6 +246,8 @@
     unserved
 }
 
+/// Runs a scenario with warm backends and the usual slow start, and asserts that every request was
+/// served.
 async fn expect_all_served(starts: [Start; BACKENDS], clock_step: i64) {
     let scenario = Scenario {
         starts,
@@ -253,13 +262,15 @@
     );
 }
 
-/// They used to count as just started, and the node shed load for as long as a slow start takes.
+/// Backends that all have the same old timestamp used to count as just started, and the node shed
+/// load for as long as a slow start takes.
 #[tokio::test]
 async fn backends_of_one_old_timestamp_are_used_in_full() {
     expect_all_served([Start::Ago(2 * HOUR); BACKENDS], 0).await;
 }
 
-/// A clock that may have been stepped cannot tell these from backends that have just started.
+/// By a wall clock that may have been stepped, these backends cannot be told from ones that have
+/// just started. The node must not shed load for that reason.
 #[tokio::test]
 async fn backends_that_started_together_minutes_ago_are_used_in_full() {
     expect_all_served([Start::Ago(10 * MINUTE); BACKENDS], 0).await;
@@ -275,7 +286,7 @@
     expect_all_served([Start::Ago(2 * HOUR); BACKENDS], HOUR).await;
 }
 
-/// This machine's clock has not reached their timestamps yet.
+/// The node's wall clock has not reached the backends' timestamps yet.
 #[tokio::test]
 async fn backends_with_timestamps_in_the_future_are_used_in_full() {
     expect_all_served([Start::Ago(10 * MINUTE); BACKENDS], -HOUR).await;
@@ -299,7 +310,8 @@
     expect_all_served([Start::LongAgo; BACKENDS], 0).await;
 }
 
-/// Old ones take what young ones may not.
+/// A backend that has just started must get far fewer requests than the old ones. Those take the
+/// rest, so that every request is still served.
 #[tokio::test]
 async fn young_backend_is_held_back_beside_old_ones() {
     for clock_step in [0, HOUR, -HOUR] {
@@ -317,12 +329,13 @@
         let mean_of_old = (REQUESTS - at_young) / (BACKENDS - 1);
         assert!(
             2 * at_young < mean_of_old,
-            "{at_young} of {mean_of_old} at a clock step of {clock_step} s"
+            "{at_young} requests, {mean_of_old} at an old one, at a clock step of {clock_step} s"
         );
     }
 }
 
-/// The node may shed load here, and keeps to what the backends bear.
+/// All backends have just started. The node may shed load then, and must not send the backends more
+/// requests than they can take.
 #[tokio::test]
 async fn fleet_that_has_just_started_is_not_overloaded() {
     for clock_step in [0, HOUR, -HOUR] {
