--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -1,4 +1,5 @@
-//! System calls that fail or stall, as Linux documents them.
+//! Integration tests of system calls that fail or stall, as Linux documents it, and of requests and
+//! connections that have to wait.
 
 mod common;
 use common::*;
@@ -45,15 +46,16 @@
     client.expect_status(200).await;
 }
 
-/// The process is stopped for longer than it would wait for the watch.
+/// The process stalls for longer than it waits for data on a watch. An update that arrived
+/// meanwhile must be read before the watch is given up as silent.
 #[tokio::test]
 async fn list_update_received_during_a_stall_is_applied() {
     let faults = FaultInjection::new();
     let backend = ScriptedServer::new().await;
     let (proxy, discovery, mut watch) = serve_with_faults(&faults, &[("s", &backend)]).await;
-    let held_up = &faults.control.after_epoll_wait;
-    held_up.pause_next(1, Duration::from_secs(4));
-    while held_up.pause_count() == 0 {
+    let epoll_pauses = &faults.control.after_epoll_wait;
+    epoll_pauses.pause_next(1, Duration::from_secs(4));
+    while epoll_pauses.pause_count() == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     watch
@@ -61,11 +63,12 @@
         .await;
     tokio::select! {
         () = proxy.wait_for_revision(2) => {}
-        _ = discovery.accept_request() => panic!("the watch was given up with a change on it"),
+        _ = discovery.accept_request() => panic!("the watch was given up with an unread update"),
     }
 }
 
-/// The client sends an unread request again; one that was read and dropped would be lost.
+/// A request arrives while the process closes its connection as idle. It must be left unread: a
+/// client sends an unread request again, while one that was read and dropped would be lost.
 #[tokio::test]
 async fn request_that_crosses_an_idle_close_is_not_read() {
     let faults = FaultInjection::new();
@@ -76,15 +79,15 @@
     let (mut connection, _) = backend.accept_request().await;
     connection.respond("200 OK", "", "").await;
     client.expect_status(200).await;
-    let closing = &faults.control.before_shutdown;
-    closing.pause_next(1, Duration::from_secs(1));
-    while closing.pause_count() == 0 {
+    let shutdown_pauses = &faults.control.before_shutdown;
+    shutdown_pauses.pause_next(1, Duration::from_secs(1));
+    while shutdown_pauses.pause_count() == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     client.send("safe", "20000m").await;
     assert!(
         client.closed_over_unread_bytes().await,
-        "the request was read, and has no answer"
+        "the request was read, and got no response"
     );
     // Nothing of it was forwarded, and it is served when sent again.
     let mut again = proxy.connect().await;
@@ -95,7 +98,7 @@
     again.expect_status(200).await;
 }
 
-/// SIGHUP comes once.
+/// SIGHUP is sent once, so a failed read of the configuration has to be retried.
 #[tokio::test]
 async fn reload_retries_a_transient_read_failure() {
     let faults = FaultInjection::new();
@@ -124,8 +127,8 @@
     let faults = FaultInjection::new();
     let backend = ScriptedServer::new().await;
     let (proxy, _discovery, _watch) = serve_with_faults(&faults, &[("s", &backend)]).await;
-    // With a pause after each it would take nearly a minute.
-    let ended = [
+    // With a pause after each of the failures it would take nearly a minute.
+    let single_connection_errors = [
         libc::ECONNABORTED,
         libc::EINTR,
         libc::ENETUNREACH,
@@ -134,7 +137,7 @@
     faults
         .control
         .faults(SystemCall::Accept)
-        .fail_next(1000, &ended);
+        .fail_next(1000, &single_connection_errors);
     let mut client = proxy.connect().await;
     client.send("safe", "60000m").await;
     let (mut connection, _) = backend.accept_request().await;
@@ -149,17 +152,18 @@
     );
 }
 
-/// The process's own shortage is no failure of a backend.
+/// The process's own shortage of descriptors, buffers or ports must not count as a failure of a
+/// backend.
 #[tokio::test]
 async fn request_outlasts_a_transient_descriptor_shortage() {
     let faults = FaultInjection::new();
     let backend = ScriptedServer::new().await;
     let (proxy, _discovery, _watch) = serve_with_faults(&faults, &[("s", &backend)]).await;
-    let short = [libc::ENFILE, libc::ENOBUFS, libc::EADDRNOTAVAIL];
+    let shortage_errors = [libc::ENFILE, libc::ENOBUFS, libc::EADDRNOTAVAIL];
     faults
         .control
         .faults(SystemCall::Connect)
-        .fail_next(5, &short);
+        .fail_next(5, &shortage_errors);
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
     let (mut connection, _) = backend.accept_request().await;
@@ -167,7 +171,8 @@
     client.expect_status(200).await;
 }
 
-/// Each request's time runs from its own last byte.
+/// The timeout of each request runs from its own last byte, also while it waits for the response to
+/// the request before it.
 #[tokio::test]
 async fn deadline_runs_while_a_pipelined_request_waits() {
     let backend = ScriptedServer::new().await;
@@ -194,19 +199,20 @@
 
 #[tokio::test]
 async fn prevented_invariant_violations_are_counted() {
-    let (listener, address, filling) = full_listener().await;
+    let (listener, address, queued_connections) = full_listener().await;
     let discovery = ScriptedServer::new().await;
     let (mut proxy, mut watch) = ProxyBuilder::new(discovery.address())
         .start_ready(&discovery, &[endpoint("s", address, "active")])
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    proxy.get("/health/live").await; // The request has been read, and its connection is under way.
+    // The request has been read by then, and a connection for it is being opened.
+    proxy.get("/health/live").await;
     watch
         .send_list(2, false, &[endpoint("s", address, "leaving")])
         .await;
     proxy.wait_for_revision(2).await;
-    for _ in 0..filling.len() {
+    for _ in 0..queued_connections.len() {
         within("a connection", listener.accept())
             .await
             .expect("a connection");
@@ -219,7 +225,8 @@
     );
 }
 
-/// The connection is reused.
+/// A connection is reused after a chunked response. If the next request on it gets no response, it
+/// may have been executed, and must not be sent to another backend.
 #[tokio::test]
 async fn request_after_a_chunked_response_counts_as_possibly_executed() {
     let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -230,9 +237,10 @@
     connection
         .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")
         .await;
-    let (answer, _) = client.read_streamed().await;
-    assert_eq!(answer.status(), 200);
-    tokio::time::sleep(Duration::from_millis(50)).await; // It rests before it is used again.
+    let (response, _) = client.read_streamed().await;
+    assert_eq!(response.status(), 200);
+    // A connection is reused only some time after its response.
+    tokio::time::sleep(Duration::from_millis(50)).await;
     client.send("unsafe", "1000m").await;
     connection
         .read()
@@ -245,7 +253,8 @@
     assert!(two.is_untouched().await);
 }
 
-/// The rest must not wait for the next bytes to arrive.
+/// Every read returns only a part of the bytes that have arrived. The rest of a list must not wait
+/// until more bytes arrive.
 #[tokio::test]
 async fn list_is_read_to_its_end_despite_short_reads() {
     let faults = FaultInjection::new();
@@ -257,11 +266,12 @@
         .await;
     tokio::select! {
         () = proxy.wait_for_revision(2) => {}
-        _ = discovery.accept_request() => panic!("the watch was given up with a change on it"),
+        _ = discovery.accept_request() => panic!("the watch was given up with an unread update"),
     }
 }
 
-/// The backend is told what is left.
+/// A request arrives while its connection waits to be accepted. Its timeout runs from then on, and
+/// the backend is told what is left of it.
 #[tokio::test]
 async fn deadline_runs_while_a_connection_waits_to_be_accepted() {
     let (backend, discovery) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -284,11 +294,12 @@
     client.expect_status(200).await;
 }
 
-/// The rest of each head arrives in the moment in which a connection is closed to make room: a request
-/// is answered, or its connection is reset over unread bytes, so that the client sends it again.
+/// The rest of each head arrives at the moment at which a connection is evicted to free its slot.
+/// Each request must get a response, or its connection must be reset over unread bytes, so that the
+/// client sends it again.
 #[tokio::test]
 async fn rest_of_a_head_that_crosses_an_eviction_is_not_lost() {
-    /// More than the process has slots.
+    /// More clients than the process has connection slots.
     const CLIENTS: usize = 60;
     /// The whole head, of which half is sent first.
     const HEAD: &str =
@@ -301,7 +312,7 @@
         .faults(&faults)
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
-    let serving = tokio::spawn(async move {
+    let backend_task = tokio::spawn(async move {
         loop {
             let mut connection = backend.accept_when_it_comes().await;
             tokio::spawn(async move {
@@ -311,12 +322,12 @@
             });
         }
     });
-    // The connections by which the test has asked for readiness are closed by then.
+    // By then the connections on which the test has asked for readiness are closed.
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let closing = &faults.control.before_shutdown;
-    closing.pause_next(1, Duration::from_secs(1));
+    let shutdown_pauses = &faults.control.before_shutdown;
+    shutdown_pauses.pause_next(1, Duration::from_secs(1));
     let mut clients = Vec::new();
-    while closing.pause_count() == 0 {
+    while shutdown_pauses.pause_count() == 0 {
         assert!(clients.len() < CLIENTS, "no connection is evicted");
         let mut client = proxy.connect().await;
         client.write(&HEAD[..HEAD.len() / 2]).await;
@@ -327,15 +338,22 @@
         let rest = HEAD[HEAD.len() / 2..].replace("r\r\n", &format!("r{number}\r\n"));
         client.write_until_closed(&rest).await;
     }
-    let mut reset = 0;
+    let mut reset_connections = 0;
     for client in &mut clients {
-        if let Some(answer) = client.read().await {
-            assert!([200, 503].contains(&answer.status()), "{}", answer.start);
+        if let Some(response) = client.read().await {
+            assert!(
+                [200, 503].contains(&response.status()),
+                "{}",
+                response.start
+            );
         } else {
-            assert!(client.closed_over_unread_bytes().await, "read, and lost");
-            reset += 1;
+            assert!(
+                client.closed_over_unread_bytes().await,
+                "the request was read, and lost"
+            );
+            reset_connections += 1;
         }
     }
-    assert!(reset > 0, "nothing crossed the eviction");
-    serving.abort();
+    assert!(reset_connections > 0, "no head crossed the eviction");
+    backend_task.abort();
 }
