--- a/crates/balancer/src/call_budget.rs
+++ b/crates/balancer/src/attempt_budget.rs
@@ -18,7 +18,7 @@
 
 /// Counts this node's attempts at the backends that are probably warm and their responses, and
 /// limits the attempts by both.
-pub struct CallBudget {
+pub struct AttemptBudget {
     /// Time over which attempts and responses are counted: the overload duration.
     window: Duration,
     /// Attempts that each counted response allows.
@@ -33,10 +33,10 @@
     peak_responses: usize,
 }
 
-impl CallBudget {
+impl AttemptBudget {
     /// Creates a budget without counted attempts and responses for one of `nodes` nodes.
     pub fn new(limits: &ProtocolLimits, nodes: u32) -> Self {
-        CallBudget {
+        AttemptBudget {
             window: limits.overload_duration,
             attempts_per_response: USED_FRACTION * limits.overload_multiple,
             free_attempts: FREE_ATTEMPTS / f64::from(nodes),
@@ -82,5 +82,5 @@
 }
 
 #[cfg(test)]
-#[path = "call_budget_tests.rs"]
+#[path = "attempt_budget_tests.rs"]
 mod tests;
--- a/crates/balancer/src/call_budget_tests.rs
+++ b/crates/balancer/src/attempt_budget_tests.rs
@@ -3,16 +3,20 @@
 use super::*;
 use crate::test_common::{at, ms, settings};
 
-fn budget(overload_multiple: f64, nodes: u32) -> CallBudget {
+fn budget(overload_multiple: f64, nodes: u32) -> AttemptBudget {
     let mut limits = settings().protocol_limits;
     limits.overload_multiple = overload_multiple;
     limits.overload_duration = ms(1000);
-    CallBudget::new(&limits, nodes)
+    AttemptBudget::new(&limits, nodes)
 }
 
 /// Returns the number of attempts made within `times`, in milliseconds, if one is tried in each
 /// millisecond and made if the budget allows it.
-fn attempts_within(budget: &mut CallBudget, times: std::ops::Range<u64>, backends: usize) -> usize {
+fn attempts_within(
+    budget: &mut AttemptBudget,
+    times: std::ops::Range<u64>,
+    backends: usize,
+) -> usize {
     times
         .filter(|&time| {
             let has_room = budget.has_room(at(time), backends);
@@ -62,6 +66,6 @@
 fn without_an_overload_duration_there_is_no_limit() {
     let mut limits = settings().protocol_limits;
     limits.overload_duration = Duration::ZERO;
-    let mut budget = CallBudget::new(&limits, 300);
+    let mut budget = AttemptBudget::new(&limits, 300);
     assert_eq!(attempts_within(&mut budget, 0..1000, 1), 1000);
 }
--- a/crates/balancer/src/backend.rs
+++ b/crates/balancer/src/backend.rs
@@ -229,7 +229,7 @@
 
     /// Returns for how long, in seconds, the oldest attempt in flight there has been unanswered, or
     /// `None` if none is in flight.
-    pub fn longest_unanswered(&self, now: Time) -> Option<f64> {
+    pub fn oldest_unanswered_seconds(&self, now: Time) -> Option<f64> {
         self.in_flight
             .first()
             .map(|&started_at| (now - started_at).as_secs_f64())
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -232,7 +232,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let reason = retry_policy::reason_against_retry(
+        let reason = retry_policy::retry_denial_reason(
             now,
             request,
             &self.settings,
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -1,9 +1,9 @@
 //! The fleet of backends as one node sees it: their prices and speeds, how responses, load reports
 //! and failures update these, and the inputs that they give to the share allocation.
 
+use crate::attempt_budget::AttemptBudget;
 use crate::backend::Backend;
 use crate::backend_table::BackendTable;
-use crate::call_budget::CallBudget;
 use crate::estimators::{ExponentialMean, LatencyQuantile, MeanWork};
 use crate::events::{AttemptOutcome, Endpoint, ListUpdate};
 use crate::ids::BackendId;
@@ -63,7 +63,7 @@
     /// Fraction of this node's latest new connections that failed, from 0 to 1.
     pub connect_failures: ExponentialMean,
     /// Limits attempts at backends that are probably warm but not certainly so.
-    call_budget: CallBudget,
+    attempt_budget: AttemptBudget,
 }
 
 impl Fleet {
@@ -79,7 +79,7 @@
             typical_latency: LatencyQuantile::new(initial_latency),
             mean_work: MeanWork::new(MEAN_WORK_GAIN),
             connect_failures: ExponentialMean::new(0.0, CONNECT_FAILURE_GAIN),
-            call_budget: CallBudget::new(&settings.protocol_limits, settings.nodes),
+            attempt_budget: AttemptBudget::new(&settings.protocol_limits, settings.nodes),
             settings,
         }
     }
@@ -108,7 +108,7 @@
         };
         pricing::record_success(backend);
         if backend.is_probably_warm(&self.settings.protocol_limits, now) {
-            self.call_budget.record_response(now);
+            self.attempt_budget.record_response(now);
         }
         if !self.settings.throughput_reported {
             let mean_work = self.mean_work.seconds();
@@ -124,7 +124,7 @@
         let limits = &self.settings.protocol_limits;
         let backend = self.backends.get(id);
         if backend.is_some_and(|backend| backend.is_probably_warm(limits, now)) {
-            self.call_budget.record_attempt(now);
+            self.attempt_budget.record_attempt(now);
         }
     }
 
@@ -228,7 +228,8 @@
     ///
     /// They are where less than half of the backends allowed for a class are certainly warm:
     /// otherwise these few would be overloaded, or load would be shed. Their attempts are limited
-    /// by the call budget instead of by slow start; if it has no room, none of them counts as warm.
+    /// by the attempt budget instead of by slow start; if it has no room, none of them counts as
+    /// warm.
     pub fn update_probably_warm(&mut self, now: Time) {
         let limits = &self.settings.protocol_limits;
         let active = self.backends.active().enumerate();
@@ -240,7 +241,7 @@
             return;
         }
         let mut is_needed = vec![false; self.backends.active_count()];
-        if self.call_budget.has_room(now, probably_warm.len()) {
+        if self.attempt_budget.has_room(now, probably_warm.len()) {
             for class in &self.settings.classes {
                 self.mark_if_few_are_warm(now, class, &mut is_needed);
             }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -91,10 +91,10 @@
 
 mod actions;
 mod admission;
+mod attempt_budget;
 mod backend;
 mod backend_table;
 mod balancer;
-mod call_budget;
 mod endpoint_list;
 mod estimators;
 mod events;
--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -6,7 +6,7 @@
 use crate::events::LoadProbeResult;
 use crate::fleet::Fleet;
 use crate::ids::{BackendId, RequestId, TimerId};
-use crate::pricing::usable;
+use crate::pricing::finite_non_negative;
 use crate::request::{Candidate, CandidateLoad, Request};
 use crate::settings::{LoadReporting, Settings};
 use crate::time::Time;
@@ -149,7 +149,7 @@
 /// these, the utilization. `Unknown` if neither is reported or the value is not usable.
 pub fn reported_load(result: &LoadProbeResult) -> CandidateLoad {
     let report = result.load_report.unwrap_or_default();
-    usable(report.in_flight.or(report.utilization))
+    finite_non_negative(report.in_flight.or(report.utilization))
         .map_or(CandidateLoad::Unknown, CandidateLoad::InFlight)
 }
 
--- a/crates/balancer/src/pricing.rs
+++ b/crates/balancer/src/pricing.rs
@@ -122,9 +122,11 @@
         let mut load = backend.reported.load.unwrap_or(0.0);
         // A hung backend sends no reports: the time that its oldest attempt has been without a
         // response counts as its load instead.
-        let overdue_ratio = backend.longest_unanswered(now).map_or(0.0, |unanswered| {
-            unanswered / (OVERDUE_LATENCY_MULTIPLE * typical_latency)
-        });
+        let overdue_ratio = backend
+            .oldest_unanswered_seconds(now)
+            .map_or(0.0, |unanswered| {
+                unanswered / (OVERDUE_LATENCY_MULTIPLE * typical_latency)
+            });
         if overdue_ratio > 1.0 {
             reported_time = elapsed;
             load = overdue_ratio.min(MAX_LOAD);
@@ -153,14 +155,14 @@
         report: &LoadReport,
         typical_latency: f64,
     ) {
-        let Some(utilization) = usable(report.utilization) else {
+        let Some(utilization) = finite_non_negative(report.utilization) else {
             return;
         };
         let utilization = utilization.min(MAX_LOAD);
         self.update_price(now, backend, typical_latency);
         backend.reported.report = *report;
         backend.reported.load = Some(self.load_of(report, utilization, typical_latency));
-        let throughput = usable(report.throughput).unwrap_or(0.0);
+        let throughput = finite_non_negative(report.throughput).unwrap_or(0.0);
         backend.reported.throughput = throughput;
         if throughput > 0.0 && utilization > MIN_INFORMATIVE_UTILIZATION {
             // The mean is over one sample, since the latest report says more than all before it.
@@ -179,13 +181,13 @@
     fn load_of(&mut self, report: &LoadReport, utilization: f64, typical_latency: f64) -> f64 {
         // Each waiting request counts as the fraction of the latency objective that it takes.
         let objective = self.settings.shortest_latency_objective();
-        let queue_depth = usable(report.queue_depth).unwrap_or(0.0);
+        let queue_depth = finite_non_negative(report.queue_depth).unwrap_or(0.0);
         let mut load = utilization + queue_depth * typical_latency / objective;
         if report.queue_depth.is_some() {
             return load.min(MAX_LOAD);
         }
         // Requests in flight beyond the number that is usual at this utilization are waiting.
-        if let Some(in_flight) = usable(report.in_flight) {
+        if let Some(in_flight) = finite_non_negative(report.in_flight) {
             if utilization > MIN_INFORMATIVE_UTILIZATION && utilization < SATURATED_UTILIZATION {
                 self.in_flight_baseline.record(in_flight, utilization);
             }
@@ -246,7 +248,7 @@
 }
 
 /// Returns a reported number if it is finite and not negative, otherwise `None`.
-pub fn usable(reported: Option<f64>) -> Option<f64> {
+pub fn finite_non_negative(reported: Option<f64>) -> Option<f64> {
     reported.filter(|value| value.is_finite() && *value >= 0.0)
 }
 
--- a/crates/balancer/src/retry_policy.rs
+++ b/crates/balancer/src/retry_policy.rs
@@ -55,7 +55,7 @@
 /// The request must have enough time left until its latency objective and be within its deadline,
 /// it must have attempts left, and the budget must hold at least one whole retry. The first of
 /// these that fails is the reason. `typical_latency` is in seconds.
-pub fn reason_against_retry(
+pub fn retry_denial_reason(
     now: Time,
     request: &Request,
     settings: &Settings,
