--- a/crates/balancer/src/admission_tests.rs
+++ b/crates/balancer/src/admission_tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::test_common::{at, handle, load_report, ms, request};
 use crate::test_support::{
-    attempt_result, attempted_backend, balancer_of, balancer_of_unknown_capacity, balancer_with,
-    refresh_now, send_request, set_shed_fraction, set_typical_latency, shed_fraction,
-    unknown_capacity_settings, unreported_load_settings,
+    attempt_result, attempted_backend, balancer_of_unknown_capacity, balancer_with,
+    balancer_with_backends, refresh_now, send_request, set_shed_fraction, set_typical_latency,
+    shed_fraction, unknown_capacity_settings, unreported_load_settings,
 };
 use crate::{
     Action, AttemptOutcome, AttemptResult, Balancer, Event, Idempotency, LoadReport,
@@ -41,7 +41,7 @@
 
 #[test]
 fn shedding_rejects_low_weights_first() {
-    let mut balancer = balancer_of(2);
+    let mut balancer = balancer_with_backends(2);
     let admission = &mut balancer.admission;
     let class = ClassId(0);
     for weight in [1.0, 1.0, 10.0, 10.0] {
@@ -103,7 +103,7 @@
 /// Arrivals are then shed by the outcomes of this node's own attempts. The shed fraction hardly
 /// changes while no attempt ends, and falls again once attempts succeed in time.
 #[test]
-fn attempts_that_meet_load_shed_arrivals() {
+fn attempts_at_loaded_backends_shed_arrivals() {
     let mut balancer = balancer_of_unknown_capacity();
     let answer_in_time = |balancer: &mut Balancer, first_request| {
         let report = Some(load_report(0.3, 0.0));
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -6,9 +6,9 @@
     at, attempt_ended, handle, load_report, ms, request, request_arrived, settings,
 };
 use crate::test_support::{
-    active_backends, balancer_of, balancer_with, end_attempt, record_load_report, send_request,
-    set_shed_fraction, set_typical_latency, shares, shed_fraction, state_of,
-    unknown_capacity_settings, update_price,
+    active_backends, backend_state, balancer_with, balancer_with_backends, end_attempt,
+    record_load_report, send_request, set_shed_fraction, set_typical_latency, shares,
+    shed_fraction, unknown_capacity_settings, update_price,
 };
 use crate::{AttemptOutcome, AttemptResult, BackendId, LoadReporting};
 
@@ -142,7 +142,7 @@
                 "backend {backend}: {drawn} draws, {expected} expected"
             );
         }
-        let [idle, busy] = [0, 1].map(|id| state_of(&balancer, BackendId(id)).price);
+        let [idle, busy] = [0, 1].map(|id| backend_state(&balancer, BackendId(id)).price);
         assert!(busy > 0.05 && idle == 0.0, "{busy} {idle}");
     }
 }
@@ -151,29 +151,29 @@
 /// backend: neither its price nor its load rises, and the request's time has not begun.
 #[test]
 fn a_request_with_a_pending_body_counts_from_its_last_byte() {
-    let mut balancer = balancer_of(4);
+    let mut balancer = balancer_with_backends(4);
     let arrival = RequestArrival {
         body_pending: true,
         ..request(1, 0)
     };
     let actions = handle(&mut balancer, at(0), Event::RequestArrived(arrival));
     let (id, _) = started_attempt(&actions);
-    let price = state_of(&balancer, id).price;
+    let price = backend_state(&balancer, id).price;
     update_price(&mut balancer, id, at(5000));
-    let backend = state_of(&balancer, id);
+    let backend = backend_state(&balancer, id);
     assert!(backend.in_flight.is_empty() && backend.price <= price);
     let body_received = Event::RequestBodyReceived {
         request: arrival.request,
     };
     assert_eq!(handle(&mut balancer, at(5000), body_received), []);
-    assert_eq!(state_of(&balancer, id).in_flight, [at(5000)]);
+    assert_eq!(backend_state(&balancer, id).in_flight, [at(5000)]);
     // The first backend rejects the request at once, so all of its time is left for a retry.
     let actions = end_attempt(&mut balancer, at(5001), 1, id, AttemptOutcome::Rejected);
     assert!(
         matches!(actions[..], [Action::StartAttempt { .. }]),
         "{actions:?}"
     );
-    assert!(state_of(&balancer, id).in_flight.is_empty());
+    assert!(backend_state(&balancer, id).in_flight.is_empty());
 }
 
 /// How long a large response takes to stream depends on the client, so only the time to its first
--- a/crates/balancer/src/endpoint_list_tests.rs
+++ b/crates/balancer/src/endpoint_list_tests.rs
@@ -4,7 +4,7 @@
 use crate::test_common::{
     at, endpoint, endpoint_list, endpoint_snapshot, handle, ms, request_arrived, settings,
 };
-use crate::test_support::{balancer_of, is_rejection, send_request};
+use crate::test_support::{balancer_with_backends, is_rejection, send_request};
 use crate::{Balancer, Event};
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_empty_list_rejects_until_backends_are_listed() {
-    let mut balancer = balancer_of(0);
+    let mut balancer = balancer_with_backends(0);
     let actions = handle(&mut balancer, at(1), request_arrived(1, 1));
     assert!(is_rejection(&actions));
     handle(&mut balancer, at(2), endpoint_snapshot(3));
--- a/crates/balancer/src/selection_tests.rs
+++ b/crates/balancer/src/selection_tests.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 use crate::request::AttemptStatus;
-use crate::test_common::{at, endpoint, handle, placed_settings, request, request_arrived};
+use crate::test_common::{at, endpoint, handle, request, request_arrived, restricted_settings};
 use crate::test_support::{
-    attempted_backend, balancer_of, balancer_with, change_endpoints, end_attempt, is_rejection,
-    share, shares,
+    attempted_backend, balancer_with, balancer_with_backends, change_endpoints, end_attempt,
+    is_rejection, share, shares,
 };
 use crate::{AttemptOutcome, ClassId, EndpointState, RequestId};
 
 #[test]
 fn draws_follow_shares() {
     const DRAWS: u32 = 40_000;
-    let mut balancer = balancer_of(4);
+    let mut balancer = balancer_with_backends(4);
     balancer.allocation.classes[0].shares = vec![0.4, 0.8, 1.2, 1.6];
     balancer.allocation.classes[0].eligible_backends = 4.0;
     balancer.allocation.refreshed_at = Some(at(1));
@@ -33,8 +33,8 @@
 /// The shares of a class with allowed zones or machine types are solved over the allowed backends
 /// only, and no other backend is drawn, also if all of those are down or were tried.
 #[test]
-fn placed_classes_keep_to_their_allowed_backends() {
-    let mut balancer = balancer_with(placed_settings(), 9);
+fn restricted_classes_use_only_allowed_backends() {
+    let mut balancer = balancer_with(restricted_settings(), 9);
     balancer.refresh_allocation(at(0));
     // Class 1 may not go to machine type 1.
     assert_eq!(balancer.allocation.classes[1].eligible_backends, 6.0);
@@ -72,7 +72,7 @@
 fn warming_backends_do_not_take_the_shares_of_ineligible_ones() {
     const WARMING: BackendId = BackendId(0);
     const DRAWS: u32 = 20_000;
-    let mut balancer = balancer_of(4);
+    let mut balancer = balancer_with_backends(4);
     let warming = endpoint(WARMING.0, EndpointState::Active, Some(at(900)));
     change_endpoints(&mut balancer, at(1000), vec![warming]);
     let mut draws_of_warming = 0;
--- a/crates/balancer/src/share_allocation_tests.rs
+++ b/crates/balancer/src/share_allocation_tests.rs
@@ -8,9 +8,10 @@
     settings,
 };
 use crate::test_support::{
-    active_backends, attempt_result, balancer_of, balancer_of_unknown_capacity, balancer_with,
-    end_attempt, record_load_report, refresh_now, send_request, share, shares, state_of,
-    state_of_mut, unknown_capacity_settings, unreported_load_settings,
+    active_backends, attempt_result, backend_state, backend_state_mut,
+    balancer_of_unknown_capacity, balancer_with, balancer_with_backends, end_attempt,
+    record_load_report, refresh_now, send_request, share, shares, unknown_capacity_settings,
+    unreported_load_settings,
 };
 use crate::{
     AttemptOutcome, AttemptResult, BackendId, Balancer, EndpointState, Event, ListUpdate,
@@ -25,11 +26,11 @@
 /// Guards against prices that differ so much that most of the traffic would be given to one backend
 /// and overload it: the upper bounds of the shares prevent that.
 #[test]
-fn no_backend_is_asked_for_more_than_its_capacity() {
+fn shares_stay_within_usable_capacity() {
     /// Capacity of each backend in requests per second, by the reports below.
     const CAPACITY: f64 = 25.0;
     const BACKENDS: u32 = 4;
-    let mut balancer = balancer_of(BACKENDS);
+    let mut balancer = balancer_with_backends(BACKENDS);
     // 100 requests per second arrive at this node, which equals the capacity of all backends; only
     // a quarter of that capacity is this node's part.
     for id in 0..200u64 {
@@ -112,7 +113,7 @@
 /// the traffic that warming backends cannot take. Where load is reported, the number of backends
 /// used does not change.
 #[test]
-fn closed_and_warming_backends_make_room_for_others() {
+fn failing_and_warming_backends_make_room_for_others() {
     let first_five =
         |usage: &Usage| -> Vec<BackendId> { usage.used.iter().copied().take(5).collect() };
     let mut unreported = balancer_with(unreported_load_settings(), 40);
@@ -150,7 +151,7 @@
 /// A node uses few backends, which it chooses by an order of its own, and more of them as it sends
 /// more requests.
 #[test]
-fn a_node_uses_as_many_backends_as_it_hears_from() {
+fn a_node_uses_more_backends_as_it_sends_more_requests() {
     let mut balancer = balancer_of_unknown_capacity();
     let backends_at_interval = |balancer: &mut Balancer, first_request: u64, interval: u64| {
         for position in 0..200 {
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn placed_classes_leave_less_speed_to_the_others() {
+fn restricted_classes_leave_less_speed_to_the_others() {
     let mut settings = Settings {
         endpoint_weights_given: true,
         ..settings()
@@ -214,7 +215,7 @@
     let loaded = active_backends(&balancer)[0];
     refresh_now(&mut balancer, at(1200));
     let before = share(&balancer, 0, loaded);
-    state_of_mut(&mut balancer, loaded).in_flight = vec![at(1200); 3];
+    backend_state_mut(&mut balancer, loaded).in_flight = vec![at(1200); 3];
     refresh_now(&mut balancer, at(1200));
     let after = share(&balancer, 0, loaded);
     assert!(after < 0.7 * before, "{after} from {before}");
@@ -223,7 +224,7 @@
 /// Within a price interval a node may send a dozen requests. They must not all be drawn by the
 /// shares that were solved with the attempts in flight before the first of them.
 #[test]
-fn requests_of_one_price_interval_do_not_gather_on_one_backend() {
+fn requests_of_one_price_interval_do_not_concentrate_on_one_backend() {
     let mut balancer = balancer_of_unknown_capacity();
     handle(&mut balancer, at(0), endpoint_snapshot(8));
     for id in 0..100 {
@@ -232,14 +233,14 @@
         end_attempt(&mut balancer, now, id, backend, AttemptOutcome::Success);
     }
     let cheapest = active_backends(&balancer)[0];
-    let higher_price = state_of(&balancer, cheapest).price + 0.6;
+    let higher_price = backend_state(&balancer, cheapest).price + 0.6;
     for &other in &active_backends(&balancer)[1..] {
-        state_of_mut(&mut balancer, other).price = higher_price;
+        backend_state_mut(&mut balancer, other).price = higher_price;
     }
     for id in 100..120 {
         send_request(&mut balancer, at(5000), id);
     }
-    let in_flight = state_of(&balancer, cheapest).in_flight.len();
+    let in_flight = backend_state(&balancer, cheapest).in_flight.len();
     assert!((2..=8).contains(&in_flight), "{in_flight} of 20");
 }
 
@@ -253,7 +254,7 @@
     let unconnected = active_backends(&balancer)[1];
     let shares_of_both =
         |balancer: &Balancer| [connected, unconnected].map(|id| share(balancer, 0, id));
-    state_of_mut(&mut balancer, connected).connected_at = Some(at(0));
+    backend_state_mut(&mut balancer, connected).connected_at = Some(at(0));
     refresh_now(&mut balancer, at(50));
     let [with, without] = shares_of_both(&balancer);
     assert!(
@@ -269,7 +270,7 @@
     }
     assert!(balancer.fleet.connect_failures.value() > 0.9);
     for id in active_backends(&balancer) {
-        let backend = state_of_mut(&mut balancer, id);
+        let backend = backend_state_mut(&mut balancer, id);
         backend.price = 0.0;
         backend.in_flight.clear();
     }
--- a/crates/balancer/src/share_solver_tests.rs
+++ b/crates/balancer/src/share_solver_tests.rs
@@ -54,7 +54,7 @@
 /// A warming backend gets few requests, is idle and becomes cheap. The other backends must still
 /// get all the traffic that it cannot take, however expensive they are compared with it.
 #[test]
-fn a_cheap_bounded_backend_does_not_close_the_others() {
+fn traffic_beyond_the_bound_of_a_cheap_backend_goes_to_the_others() {
     let warming = ShareInput {
         max_share: 0.1,
         ..input(0.0, 1.0)
--- a/crates/balancer/src/slow_start_tests.rs
+++ b/crates/balancer/src/slow_start_tests.rs
@@ -5,8 +5,8 @@
     at, endpoint, endpoint_list, endpoint_snapshot, handle, ms, request, request_arrived, settings,
 };
 use crate::test_support::{
-    attempted_backend, balancer_with, change_endpoints, record_response, send_request, share,
-    state_of, unknown_capacity_settings,
+    attempted_backend, backend_state, balancer_with, change_endpoints, record_response,
+    send_request, share, unknown_capacity_settings,
 };
 use crate::{
     BackendId, Balancer, Endpoint, EndpointState, Event, ListUpdate, RequestArrival, Settings,
@@ -81,7 +81,7 @@
     let slow = share(&balancer, 0, BackendId(4));
     assert!(fast > 1.5 * slow && slow > 0.0, "{fast} and {slow}");
     let available_capacity =
-        state_of(&balancer, BackendId(3)).available_capacity(&limits, at(1050));
+        backend_state(&balancer, BackendId(3)).available_capacity(&limits, at(1050));
     assert!(
         fast <= MAX_RELATIVE_SPEED * available_capacity * 1.01
             && fast < 0.5 * limits.overload_multiple * available_capacity,
--- a/crates/balancer/src/speed_estimates_tests.rs
+++ b/crates/balancer/src/speed_estimates_tests.rs
@@ -10,7 +10,7 @@
 /// A backend of which the node has no responses yet gets the speed of its machine type, from the
 /// responses of other backends of that type.
 #[test]
-fn an_unknown_backend_is_valued_by_its_machine_type() {
+fn a_backend_without_samples_gets_the_speed_of_its_machine_type() {
     let settings = Settings {
         endpoint_weights_given: true,
         ..unknown_capacity_settings()
--- a/crates/balancer/src/test_support.rs
+++ b/crates/balancer/src/test_support.rs
@@ -23,7 +23,7 @@
 }
 
 /// Creates a balancer with the default test settings and this many active backends.
-pub fn balancer_of(backends: u32) -> Balancer {
+pub fn balancer_with_backends(backends: u32) -> Balancer {
     balancer_with(settings(), backends)
 }
 
@@ -50,12 +50,12 @@
 }
 
 /// Returns the state of a backend, which must be known.
-pub fn state_of(balancer: &Balancer, id: BackendId) -> &Backend {
+pub fn backend_state(balancer: &Balancer, id: BackendId) -> &Backend {
     balancer.fleet.backends.get(id).expect("a known backend")
 }
 
 /// Returns the state of a backend, which must be known, for modification.
-pub fn state_of_mut(balancer: &mut Balancer, id: BackendId) -> &mut Backend {
+pub fn backend_state_mut(balancer: &mut Balancer, id: BackendId) -> &mut Backend {
     balancer
         .fleet
         .backends
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -91,7 +91,7 @@
 
 /// Returns [`settings`] in which classes are restricted to backends by zone (class 0), by machine
 /// type (1), by both (2), and by a machine type that no backend of [`endpoint`] has (3).
-pub fn placed_settings() -> Settings {
+pub fn restricted_settings() -> Settings {
     let mut settings = settings();
     settings.classes[0].allowed_zones = Some(vec![ZoneId(1)]);
     settings.classes[1].allowed_machine_types = Some(vec![MachineTypeId(0), MachineTypeId(2)]);
--- a/crates/balancer/tests/protocol_rules.rs
+++ b/crates/balancer/tests/protocol_rules.rs
@@ -302,7 +302,7 @@
 }
 
 /// Returns settings of deployments that differ in load reporting, discovery, endpoint weights, what
-/// is allowed and the placement of classes.
+/// is allowed and whether classes are restricted to some backends.
 fn settings_variants() -> Vec<Settings> {
     let probing = Settings {
         load_reporting: LoadReporting::OnProbe,
@@ -323,8 +323,8 @@
         max_retry_after: None,
         ..settings()
     };
-    let placed_and_probing = Settings {
-        classes: placed_settings().classes,
+    let restricted_and_probing = Settings {
+        classes: restricted_settings().classes,
         max_attempts: 5,
         hedging_allowed: true,
         ..probing.clone()
@@ -334,8 +334,8 @@
         probing,
         unreported_and_polled,
         weighted_without_retries,
-        placed_settings(),
-        placed_and_probing,
+        restricted_settings(),
+        restricted_and_probing,
     ]
 }
 
@@ -488,7 +488,7 @@
         (3, 0, false),
     ] {
         for is_retry in [false, true] {
-            let mut observer = Observer::new(placed_settings());
+            let mut observer = Observer::new(restricted_settings());
             observer.on_event(at(0), &endpoint_snapshot(8));
             observer.on_event(at(0), &request_arrived(1, class));
             let first = ALLOWED.get(usize::from(class)).filter(|_| is_retry);
