--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -171,7 +171,7 @@
         count: usize,
     },
     /// A number is not finite or is out of its range.
-    #[error("{setting}: {value} is not usable here")]
+    #[error("{setting}: {value} is out of range")]
     OutOfRange {
         /// Path of the field in [`Settings`], without the positions of list entries.
         setting: &'static str,
