--- a/crates/balancer/src/endpoint_list_tests.rs
+++ b/crates/balancer/src/endpoint_list_tests.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn calls_of_a_fleet_to_an_unavailable_discovery_are_bounded_and_spread_out() {
+fn calls_of_all_nodes_to_an_unavailable_discovery_are_bounded_and_spread_out() {
     const NODES: u32 = 350;
     const SLOT: Duration = ms(50);
     /// Slots that pass until the nodes' calls no longer coincide.
--- a/crates/balancer/tests/slow_start_of_a_fleet.rs
+++ b/crates/balancer/tests/slow_start_across_nodes.rs
@@ -1,9 +1,9 @@
-//! Tests of the attempts that all nodes of a fleet together send to backends that are warming up.
+//! Tests of the attempts that all nodes together send to backends that are warming up.
 //!
 //! No node sees the decisions of the others, yet the attempts of all have to stay within the limit
-//! that the settings give. The tests feed the arrivals of a whole fleet to one balancer per node
-//! and count attempts and rejections. Backends are not simulated, except that each attempt takes a
-//! fixed time and a fixed fraction is rejected.
+//! that the settings give. The tests distribute arrivals over the nodes, with one balancer for each,
+//! and count attempts and rejections. Backends are not simulated, except that each attempt
+//! takes a fixed time and a fixed fraction is rejected.
 
 mod common;
 
@@ -51,7 +51,7 @@
     ProbablyWarm,
 }
 
-/// The parameters of one run of a fleet.
+/// The parameters of one run.
 #[derive(Clone, Copy)]
 struct Scenario {
     /// Whether backends are replaced.
@@ -126,7 +126,7 @@
     }
 }
 
-/// One node of the fleet.
+/// One node of a run.
 struct Node {
     balancer: Balancer,
     /// Fraction of all arrivals that this node receives.
@@ -160,7 +160,7 @@
 }
 
 /// The state of a run: the nodes, the attempts in flight and what has been counted.
-struct Fleet {
+struct NodeGroup {
     scenario: Scenario,
     random: TestRandom,
     nodes: Vec<Node>,
@@ -175,7 +175,7 @@
     rejected: u32,
 }
 
-impl Fleet {
+impl NodeGroup {
     /// Creates the nodes of a run, each with the first list, its part of the traffic and the moment
     /// at which it is notified.
     fn new(scenario: Scenario) -> Self {
@@ -206,7 +206,7 @@
             }
         });
         let nodes = nodes.collect();
-        Fleet {
+        NodeGroup {
             scenario,
             random,
             nodes,
@@ -410,7 +410,7 @@
     }
 }
 
-/// The sizes of the tested fleets: nodes, backends, and the number of seeds with which each runs.
+/// The tested sizes: nodes, backends, and the number of seeds with which each size is run.
 const SIZES: [(u32, u32, u64); 6] = [
     (1, 20, 3),
     (20, 60, 3),
@@ -420,11 +420,11 @@
     (300, 180, 1),
 ];
 
-/// A fleet that starts beside backends that are probably warm rejects less than 10 % of the
-/// requests on arrival, also where each node receives few. Some rejections are expected: backends
-/// reject a few attempts, and the nodes shed a few requests in response.
+/// Nodes that start beside backends that are probably warm reject less than 10 % of the requests on
+/// arrival, also where each node receives few. Some rejections are expected: backends reject a few
+/// attempts, and the nodes shed a few requests in response.
 #[test]
-fn a_fleet_that_starts_beside_probably_warm_backends_sheds_little() {
+fn nodes_that_start_beside_probably_warm_backends_shed_little() {
     const MAX_REJECTED_FRACTION: f64 = 0.1;
     for load_reporting in [LoadReporting::Absent, LoadReporting::WithResponses] {
         for (nodes, backends, seeds) in SIZES {
@@ -437,9 +437,9 @@
                     offered_load: 0.7,
                     seed,
                 };
-                let mut fleet = Fleet::new(scenario);
-                fleet.run();
-                let rejected = fleet.rejected_fraction();
+                let mut node_group = NodeGroup::new(scenario);
+                node_group.run();
+                let rejected = node_group.rejected_fraction();
                 println!("{scenario}: {rejected:.3} rejected");
                 assert!(rejected < MAX_REJECTED_FRACTION, "{scenario}: {rejected}");
             }
@@ -450,7 +450,7 @@
 /// All nodes together keep within a warming backend's limit up to chance, below and above the
 /// backends' full capacity, with and without load reports.
 #[test]
-fn a_fleet_keeps_to_the_limit_of_warming_backends_up_to_chance() {
+fn all_nodes_together_stay_within_the_limit_of_warming_backends_up_to_chance() {
     for load_reporting in [LoadReporting::Absent, LoadReporting::WithResponses] {
         for (nodes, backends, seeds) in SIZES {
             for (seed, offered_load) in (0..seeds).flat_map(|seed| [(seed, 0.7), (seed, 1.2)]) {
@@ -462,10 +462,10 @@
                     offered_load,
                     seed,
                 };
-                let mut fleet = Fleet::new(scenario);
-                fleet.run();
-                let worst = fleet.worst_window();
-                let rejected = fleet.rejected_fraction();
+                let mut node_group = NodeGroup::new(scenario);
+                node_group.run();
+                let worst = node_group.worst_window();
+                let rejected = node_group.rejected_fraction();
                 println!("{scenario}: {worst}, {rejected:.3} rejected");
                 assert!(worst.excess() <= 0.0, "{scenario}: {worst}");
             }
