--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,7 +1,7 @@
 //! HTTP calls to discovery: one fetches a snapshot of the endpoint list, the other one opens a
 //! watch.
 
-use super::json_lines::{DecodeError, JsonObjectDecoder, MAX_OBJECT_BYTES};
+use super::json_objects::{DecodeError, JsonObjectDecoder, MAX_OBJECT_BYTES};
 use super::state::DiscoveryState;
 use super::wire::{EndpointList, InvalidList};
 use crate::socket::Socket;
--- a/crates/proxy/src/discovery/json_lines.rs
+++ b/crates/proxy/src/discovery/json_objects.rs
@@ -143,5 +143,5 @@
 }
 
 #[cfg(test)]
-#[path = "json_lines_tests.rs"]
+#[path = "json_objects_tests.rs"]
 mod tests;
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -2,7 +2,7 @@
 //! long-lived response on which discovery sends changes.
 
 mod client;
-mod json_lines;
+mod json_objects;
 pub mod state;
 pub mod watch_loop;
 pub mod wire;
