--- a/crates/proxy/src/node.rs
+++ b/crates/proxy/src/node.rs
@@ -95,7 +95,7 @@
 struct Node {
     log: EventLog,
     /// Values of the settings that parts other than the balancer use.
-    limits: RequestLimits,
+    derived_settings: DerivedSettings,
     /// Descriptors and memory that the process may use.
     resource_limits: ResourceLimits,
     /// Whether a peer process was running when the connection pools were sized.
@@ -129,7 +129,7 @@
             ResourceLimits::new(config.descriptors, config.memory_bytes, admin_descriptors);
         let peer_process_running = operator_state.store.peer_process_running();
         let pool_sizes = resource_limits.pool_sizes(peer_process_running);
-        let limits = RequestLimits::new(&config.instance.settings);
+        let derived_settings = DerivedSettings::new(&config.instance.settings);
         let summary = settings_summary(&config.instance, pool_sizes);
         let metrics = Rc::new(Metrics::new());
         let upstream_pool = Rc::new(ConnectionPool::new(
@@ -159,13 +159,13 @@
             endpoint_updates.clone(),
             shutdown.clone(),
             operator_state.store.clone(),
-            limits.slow_start_duration,
+            derived_settings.slow_start_duration,
         ));
         endpoint_updates.apply_configured_list(config.known_endpoints.as_ref());
         endpoint_watcher.start(endpoint_updates.revision());
         Ok(Node {
             log,
-            limits,
+            derived_settings,
             resource_limits,
             peer_process_running,
             operator_state,
@@ -223,7 +223,7 @@
         let client_listener = Listener::new(
             self.dispatcher.clone(),
             self.endpoint_updates.clone(),
-            self.limits.idempotency,
+            self.derived_settings.idempotency,
             self.resource_limits
                 .pool_sizes(self.peer_process_running)
                 .client_connections,
@@ -261,9 +261,12 @@
         self.log
             .log(format_args!("shutting down handing_over={handing_over}"));
         self.shutdown
-            .run(handing_over, self.limits.longest_deadline, serving, || {
-                client_listener.has_requests_in_progress()
-            })
+            .run(
+                handing_over,
+                self.derived_settings.longest_deadline,
+                serving,
+                || client_listener.has_requests_in_progress(),
+            )
             .await;
         log_shutdown_complete(&self.log, &self.dispatcher);
         Ok(())
@@ -271,7 +274,7 @@
 }
 
 /// The values that parts other than the balancer need from the balancer's settings.
-struct RequestLimits {
+struct DerivedSettings {
     /// Idempotency of the requests of each class, in the order of the settings' classes.
     idempotency: Vec<Idempotency>,
     /// The longest deadline of any class.
@@ -280,11 +283,11 @@
     slow_start_duration: Duration,
 }
 
-impl RequestLimits {
+impl DerivedSettings {
     /// Extracts the values from the settings.
     fn new(settings: &Settings) -> Self {
         let classes = &settings.classes;
-        RequestLimits {
+        DerivedSettings {
             idempotency: classes.iter().map(|class| class.idempotency).collect(),
             longest_deadline: classes
                 .iter()
