--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -10,7 +10,7 @@
 use crate::metrics::Metrics;
 use crate::send_invariants::{self, Invariant};
 use crate::shutdown::ShutdownPhase;
-use crate::socket::{is_closed_by_peer, is_open_and_drained};
+use crate::socket::{is_closed_by_peer, is_open_without_unread_bytes};
 use socket2::SockRef;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -79,7 +79,7 @@
     /// Wraps a connection that was just accepted, and may have waited in the accept queue since
     /// `queued_since`.
     pub fn new(socket: TcpStream, queued_since: Instant) -> Self {
-        let has_unread_bytes = !is_open_and_drained(&socket);
+        let has_unread_bytes = !is_open_without_unread_bytes(&socket);
         ClientConnection {
             socket: Rc::new(socket),
             state: Cell::new(ConnectionState::AwaitingFirstRequest {
@@ -190,7 +190,7 @@
     /// Returns [`Invariant::ConnectionClose`] if it may not be closed.
     pub fn may_close(&self) -> Result<(), Invariant> {
         let is_request_in_flight = self.state.get().is_request_in_flight();
-        let has_unread_bytes = !is_open_and_drained(&self.socket);
+        let has_unread_bytes = !is_open_without_unread_bytes(&self.socket);
         send_invariants::may_close(is_request_in_flight, has_unread_bytes)
     }
 
@@ -286,7 +286,7 @@
         Ok(REJECTED_HEAD)
     }
 
-    fn head_started(&self) -> Result<(), MessageError> {
+    fn head_bytes_received(&self) -> Result<(), MessageError> {
         match self.state.get() {
             // The timeout of the first head counts from the accept.
             ConnectionState::AwaitingFirstRequest { since } => {
--- a/crates/proxy/src/downstream/connection_task.rs
+++ b/crates/proxy/src/downstream/connection_task.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 use crate::send_invariants::Invariant;
 use crate::shutdown::ShutdownPhase;
-use crate::upstream::MAX_WRITE_BUFFER;
+use crate::upstream::MAX_WRITE_BUFFER_BYTES;
 use hyper::body::Incoming;
 use hyper::header;
 use hyper::server::conn::http1;
@@ -64,7 +64,7 @@
         // for each.
         let http = http1::Builder::new()
             .header_read_timeout(None)
-            .max_buf_size(MAX_WRITE_BUFFER)
+            .max_buf_size(MAX_WRITE_BUFFER_BYTES)
             .serve_connection(
                 TokioIo::new(HeadFilter::new(
                     connection.socket().clone(),
--- a/crates/proxy/src/http1/download.rs
+++ b/crates/proxy/src/http1/download.rs
@@ -16,7 +16,7 @@
     /// All of the response was read from the backend.
     Complete,
     /// The response failed before its end, for this reason.
-    Broken(String),
+    Failed(String),
 }
 
 /// The body of a backend's response on its way to the client.
@@ -71,7 +71,7 @@
             .source()
             .map(|source| format!(": {source}"))
             .unwrap_or_default();
-        self.finish(StreamOutcome::Broken(format!("{error}{source}")));
+        self.finish(StreamOutcome::Failed(format!("{error}{source}")));
         error
     }
 }
--- a/crates/proxy/src/http1/head_filter.rs
+++ b/crates/proxy/src/http1/head_filter.rs
@@ -54,7 +54,7 @@
     /// # Errors
     ///
     /// Returns why the message has to be rejected, even if its head is not complete.
-    fn head_started(&self) -> Result<(), MessageError> {
+    fn head_bytes_received(&self) -> Result<(), MessageError> {
         Ok(())
     }
 
@@ -213,7 +213,7 @@
         if self.buffer.is_empty() {
             return Ok(false);
         }
-        self.policy.head_started()?;
+        self.policy.head_bytes_received()?;
         let Some(head) = self.policy.parse_head(&self.buffer)? else {
             return if self.buffer.len() < MAX_HEAD_BYTES {
                 Ok(false)
--- a/crates/proxy/src/http1/limits.rs
+++ b/crates/proxy/src/http1/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Largest body, in bytes, of a request or a response; a message with a larger one is rejected or,
-/// if it is streamed already, broken off.
+/// if it is streamed already, aborted.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
 
 /// Bodies up to this size, in bytes, are buffered completely, so that a request can be retried and
--- a/crates/proxy/src/requests/attempts.rs
+++ b/crates/proxy/src/requests/attempts.rs
@@ -262,13 +262,13 @@
     }
 }
 
-/// Updates the outcome of an exchange with the end of its streamed response: a broken response
+/// Updates the outcome of an exchange with the end of its streamed response: a failed response
 /// counts as [`AttemptOutcome::ConnectionReset`], one that the client did not read to the end as
 /// [`AttemptOutcome::Cancelled`]. In both cases the connection cannot be reused.
 fn apply_stream_end(exchange: &mut Exchange, stream_end: Option<StreamOutcome>) {
     match stream_end {
         Some(StreamOutcome::Complete) => return,
-        Some(StreamOutcome::Broken(reason)) => {
+        Some(StreamOutcome::Failed(reason)) => {
             exchange.outcome = AttemptOutcome::ConnectionReset;
             exchange.error = Some(ExchangeError::ResponseBody(reason));
         }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -67,7 +67,7 @@
 /// Whether a socket is open and has no unread bytes.
 ///
 /// Asks the kernel, since the readiness that the runtime has cached may be out of date.
-pub fn is_open_and_drained(socket: &TcpStream) -> bool {
+pub fn is_open_without_unread_bytes(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit()];
     loop {
         match SockRef::from(socket).peek(&mut byte) {
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -51,7 +51,7 @@
 
     /// Returns this start with each estimate replaced by `at`, the time of another observed start,
     /// where that is later. `None` changes nothing.
-    pub fn or_observed(self, at: Option<Time>) -> Self {
+    pub fn max_with_observed(self, at: Option<Time>) -> Self {
         BackendStart {
             latest: self.latest.max(at),
             likely: self.likely.max(at),
@@ -136,7 +136,7 @@
                 start
             }
         };
-        by_timestamp.or_observed(self.returned_at(name))
+        by_timestamp.max_with_observed(self.returned_at(name))
     }
 
     /// Notes that a list from discovery has been applied. `listed_count` backends are listed now,
--- a/crates/proxy/src/transient_errors.rs
+++ b/crates/proxy/src/transient_errors.rs
@@ -24,7 +24,7 @@
 
 /// Returns whether a call failed because this process or its machine has run out of a resource
 /// (descriptors, memory, buffers or ports), or because the call was interrupted.
-pub fn is_resource_shortage(error: &io::Error) -> bool {
+pub fn is_resource_shortage_or_interrupted(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(
--- a/crates/proxy/src/transient_errors_tests.rs
+++ b/crates/proxy/src/transient_errors_tests.rs
@@ -17,7 +17,8 @@
     }
     for number in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         assert!(
-            !is_single_connection_error(&error(number)) && is_resource_shortage(&error(number)),
+            !is_single_connection_error(&error(number))
+                && is_resource_shortage_or_interrupted(&error(number)),
             "{number}"
         );
     }
--- a/crates/proxy/src/upstream/backend_registry.rs
+++ b/crates/proxy/src/upstream/backend_registry.rs
@@ -123,7 +123,7 @@
         for backend in self.by_id.borrow().values() {
             let state = effective_state(operator_state, backend.name(), backend.listed_state());
             let returned_at = start_times.returned_at(backend.name());
-            let start = backend.start().or_observed(returned_at);
+            let start = backend.start().max_with_observed(returned_at);
             if (state, start) == (backend.state(), backend.start()) {
                 continue;
             }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -6,7 +6,7 @@
 use crate::http1::head_filter::{HeadFilter, MessagePolicy};
 use crate::http1::upload::RequestBodyStream;
 use crate::send_invariants::Invariant;
-use crate::socket::is_open_and_drained;
+use crate::socket::is_open_without_unread_bytes;
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper::{Request, Response};
@@ -24,7 +24,7 @@
 const READY_TIMEOUT: Duration = Duration::from_millis(5);
 /// Maximum number of bytes that wait to be written on one connection, in addition to the bytes of
 /// one read.
-pub const MAX_WRITE_BUFFER: usize = 32 << 10;
+pub const MAX_WRITE_BUFFER_BYTES: usize = 32 << 10;
 
 /// The future that does the I/O of a connection.
 type Driver = http1::Connection<TokioIo<HeadFilter<ResponsePolicy>>, RequestBodyStream>;
@@ -87,7 +87,7 @@
             flags: flags.clone(),
         };
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(MAX_WRITE_BUFFER)
+            .max_buf_size(MAX_WRITE_BUFFER_BYTES)
             .handshake(TokioIo::new(HeadFilter::new(stream, policy)))
             .await?;
         let driver = tokio::task::spawn_local(drive(connection, permit)).abort_handle();
@@ -113,7 +113,7 @@
             && self
                 .socket
                 .upgrade()
-                .is_some_and(|socket| is_open_and_drained(&socket))
+                .is_some_and(|socket| is_open_without_unread_bytes(&socket))
     }
 
     /// Waits for the connection to become ready for the next request. Returns `false` if it has
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -12,4 +12,4 @@
 pub mod pool;
 pub mod response;
 
-pub use connection::MAX_WRITE_BUFFER;
+pub use connection::MAX_WRITE_BUFFER_BYTES;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -196,7 +196,7 @@
         self.metrics.count(|c| c.backend_connects += 1);
         let stream = match timeout(self.connect_timeout, connect_with_retries(address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(error)) if transient_errors::is_resource_shortage(&error) => {
+            Ok(Err(error)) if transient_errors::is_resource_shortage_or_interrupted(&error) => {
                 return Err(AcquireError::LocalShortage(address, error))
             }
             Ok(Err(error)) => return Err(AcquireError::ConnectFailed(address, error)),
@@ -245,7 +245,7 @@
 async fn connect_with_retries(address: SocketAddr) -> io::Result<TcpStream> {
     for delay in SHORTAGE_RETRY_DELAYS_MS.map(Duration::from_millis) {
         match TcpStream::connect(address).await {
-            Err(error) if transient_errors::is_resource_shortage(&error) => {
+            Err(error) if transient_errors::is_resource_shortage_or_interrupted(&error) => {
                 tokio::time::sleep(delay).await;
             }
             result => return result,
