--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -16,8 +16,8 @@
 
 /// Time constant, in seconds, of the rate of a tenant's admitted requests.
 const TENANT_WINDOW: f64 = 5.0;
-/// Load of one attempt above which the shed fraction rises and below which it falls, in units of a
-/// backend's capacity.
+/// Load indicated by an attempt, in units of a backend's capacity, above which the shed fraction
+/// rises and below which it falls.
 const SHEDDING_LOAD: f64 = 1.0;
 /// Replaces [`SHEDDING_LOAD`] where backends report no load: latency as a fraction of the latency
 /// objective. It is this low because latency rises only once the backends are nearly overloaded.
--- a/crates/balancer/src/backend.rs
+++ b/crates/balancer/src/backend.rs
@@ -14,12 +14,13 @@
 /// Weight of a backend whose weight in the endpoint list is not a positive finite number.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The load of a backend according to its load reports and to overloaded attempts.
+/// The load of a backend according to its load reports and to attempts that indicated an overload.
 pub struct ReportedLoad {
-    /// The latest report with a usable utilization; empty before the first.
+    /// The latest report whose utilization is finite and not negative; empty before the first.
     pub report: LoadReport,
-    /// Load in units of the backend's capacity, by that report or by an overloaded attempt since.
-    /// `None` before the first report, and after failures that indicate no overload.
+    /// Load in units of the backend's capacity, according to that report or to a later attempt that
+    /// indicated an overload. `None` before the first report, and once failures that indicate no
+    /// overload have discarded it.
     pub load: Option<f64>,
     /// When `load` was last set to a value; before that, when the backend was listed.
     pub reported_at: Time,
@@ -44,7 +45,7 @@
     /// since started there, ended, or begun to respond. `None` before the first answer that gives a
     /// load.
     pub in_flight: Option<f64>,
-    /// When that answer arrived.
+    /// When that answer arrived; before that, when the backend was listed.
     pub answered_at: Time,
     /// When the probe in flight was sent; `None` if none is in flight.
     pub sent_at: Option<Time>,
@@ -88,7 +89,8 @@
     pub cell: CellId,
     /// Its state in the endpoint list; `Removed` once it is no longer listed.
     pub state: EndpointState,
-    /// Its weight in the endpoint list, or the default weight if that is not usable.
+    /// Its weight in the endpoint list, or the default weight if that is not a positive finite
+    /// number.
     pub weight: f64,
     /// The latest time at which its process can have started; `None` for long ago. Slow start
     /// counts from it.
@@ -235,9 +237,9 @@
             .map(|&started_at| (now - started_at).as_secs_f64())
     }
 
-    /// Removes the attempt that started at `started_at` from those in flight, because its response
-    /// has started or it has ended, and from the load by load probes. Does nothing if there is
-    /// none.
+    /// Removes the attempt that started at `started_at`, because its response has started or it has
+    /// ended: from this node's attempts in flight, and from the requests in flight that the latest
+    /// answer to a load probe gave. Does nothing if there is no such attempt.
     pub fn release_in_flight(&mut self, started_at: Time) {
         let Some(position) = self.in_flight.iter().position(|&at| at == started_at) else {
             return;
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -200,8 +200,8 @@
         (self.random.uniform() < shed_probability).then_some(GiveUpReason::LoadShed)
     }
 
-    /// Starts the time of a request whose body is complete now: its attempts count as in flight at
-    /// their backends from now on.
+    /// Restarts the timing of a request whose body has been received completely: its attempts count
+    /// as in flight at their backends from now on.
     fn on_request_body_received(&mut self, now: Time, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id).filter(|r| r.body_pending) else {
             return;
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -18,12 +18,12 @@
 /// Upper bound of the poll interval, in seconds, of a node that knows active backends.
 const MAX_POLL_INTERVAL: f64 = 30.0;
 /// Upper bound of the poll interval, in seconds, of a node that knows no active backend and so
-/// cannot serve; its longest wait is that of the backoff.
+/// cannot serve. It makes the longest wait between calls equal to that of the backoff.
 const MAX_POLL_INTERVAL_WITHOUT_BACKENDS: f64 = POLLS_PER_INTERVAL * MAX_BACKOFF;
 /// Lower bound of the poll interval, in seconds.
 const MIN_POLL_INTERVAL: f64 = 1.0;
-/// Number of calls that fit into one poll interval. The first call after a cached list begins
-/// within one such part of it.
+/// Number of calls that fit into one poll interval. After a cached list, the next call begins
+/// within one interval divided by this number.
 const POLLS_PER_INTERVAL: f64 = 5.0;
 /// Number of consecutive failures after which the backoff is no longer doubled; keeps the shift
 /// that computes it in range.
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -20,8 +20,8 @@
 /// Fraction of a backend's measured capacity that may be used; the rest covers what the reports
 /// leave out.
 pub const USABLE_CAPACITY_FRACTION: f64 = 0.72;
-/// Price added per multiple by which this node's own attempts in flight at a backend exceed those
-/// expected there, where capacity is unknown.
+/// Weight of this node's excess attempts in flight in the price of a backend, where capacity is
+/// unknown. The excess is `(actual - expected) / (expected + 1)`.
 const OWN_IN_FLIGHT_PRICE: f64 = 0.5;
 /// Time constant, in seconds, with which the fraction of new connections that fail decays.
 const CONNECT_RECOVERY_TIME: f64 = 24.0;
@@ -31,7 +31,8 @@
 const MEAN_WORK_GAIN: f64 = 1.0 / 32.0;
 /// Lower bound of a backend's speed, relative to the mean, in the share allocation.
 const MIN_RELATIVE_SPEED: f64 = 0.01;
-/// Total weight of load reports, which decays with their age, below which the fleet counts as idle.
+/// Total weight of all load reports, each of which loses weight with its age, up to which the fleet
+/// counts as idle: its mean load is then 0.
 const MIN_REPORT_WEIGHTS: f64 = 0.01;
 /// Start value of the sum of recent shares; prevents a division by zero.
 const MIN_RECENT_SHARE_SUM: f64 = 1e-9;
@@ -226,10 +227,10 @@
 
     /// Decides which of the probably warm backends are used like warm ones.
     ///
-    /// They are where less than half of the backends allowed for a class are certainly warm:
-    /// otherwise these few would be overloaded, or load would be shed. Their attempts are limited
-    /// by the attempt budget instead of by slow start; if it has no room, none of them counts as
-    /// warm.
+    /// A probably warm backend is used like a warm one if, for some class that may use it, less
+    /// than half of the allowed backends are certainly warm: otherwise these few would be
+    /// overloaded, or load would be shed. Attempts at such backends are limited by the attempt
+    /// budget instead of by slow start; if the budget has no room, none of them counts as warm.
     pub fn update_probably_warm(&mut self, now: Time) {
         let limits = &self.settings.protocol_limits;
         let active = self.backends.active().enumerate();
@@ -296,9 +297,10 @@
             .collect()
     }
 
-    /// Returns a backend's price, corrected by what this node knows before any load report tells
-    /// it: its own attempts in flight beyond those expected, where capacity is unknown, and the
-    /// fraction of new connections that fail, where no connection is open and no capacity is known.
+    /// Returns a backend's price, corrected by what this node observes before a load report can
+    /// show it: the node's own attempts in flight there beyond those expected, where capacity is
+    /// unknown, and the fraction of new connections that fail, where no connection to the backend
+    /// is certain to be open and no capacity is known.
     fn corrected_price(&self, now: Time, backend: &Backend, expected_in_flight: f64) -> f64 {
         let own_in_flight_price = if self.settings.is_capacity_unknown() {
             OWN_IN_FLIGHT_PRICE
@@ -386,8 +388,8 @@
     }
 }
 
-/// Reduces the weight of a backend's speed samples if the last one is older than half of
-/// [`DRIFT_TIME`]. `elapsed` is the time since the last refresh, in seconds.
+/// Reduces the weight of a backend's samples of speed and work rate if the last one is older than
+/// half of [`DRIFT_TIME`]. `elapsed` is the time since the last refresh, in seconds.
 fn decay_old_samples(now: Time, backend: &mut Backend, elapsed: f64) {
     if (now - backend.sampled_at).as_secs_f64() > DRIFT_TIME / 2.0 {
         let kept_fraction = 1.0 - (elapsed / DRIFT_TIME).min(1.0);
--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -52,7 +52,8 @@
 struct ExpectedWait {
     /// The candidate.
     backend: BackendId,
-    /// The expected wait in seconds, the connection included, the request's own work not.
+    /// The expected wait in seconds. It includes the time to open a connection, but not the
+    /// request's own work.
     seconds: f64,
 }
 
@@ -146,7 +147,7 @@
 }
 
 /// Returns the load that the answer to a load probe reports: the requests in flight or, without
-/// these, the utilization. `Unknown` if neither is reported or the value is not usable.
+/// these, the utilization. `Unknown` if neither is reported or the value is negative or not finite.
 pub fn reported_load(result: &LoadProbeResult) -> CandidateLoad {
     let report = result.load_report.unwrap_or_default();
     finite_non_negative(report.in_flight.or(report.utilization))
--- a/crates/balancer/src/pricing.rs
+++ b/crates/balancer/src/pricing.rs
@@ -28,7 +28,8 @@
 /// Multiple of the typical latency after which an attempt without a response counts as a sign of
 /// overload.
 pub const OVERDUE_LATENCY_MULTIPLE: f64 = 2.5;
-/// Utilization above which a load report indicates a backend's capacity.
+/// Utilization above which a load report is used to estimate the backend's capacity and the number
+/// of requests in flight that is usual at a utilization.
 pub const MIN_INFORMATIVE_UTILIZATION: f64 = 0.05;
 
 /// Step size (ν): change of a price per second and per unit of load above the target load.
@@ -41,13 +42,13 @@
 /// Largest amount by which a price may exceed the traffic-weighted price. The bound keeps backends
 /// from being avoided for long.
 const MAX_PRICE_EXCESS: f64 = 1.0;
-/// Amount by which a failure raises the price of a backend all of whose latest responses failed; it
-/// raises the price by less in proportion where only a fraction of them failed.
+/// Amount by which a failure raises the price of a backend all of whose latest responses failed;
+/// where only a fraction of them failed, the amount is multiplied by that fraction.
 const FAILURE_PRICE: f64 = 0.5;
 /// Number of latest responses over which a backend's fraction of failures is averaged.
 const FAILURE_SAMPLES: f64 = 16.0;
-/// Fraction of failures from which a failure replaces the load that the backend has reported: by an
-/// overload or, if it does not indicate one, by none.
+/// Fraction of failures at or above which a failure replaces the load that the backend has
+/// reported: with an overload if the failure indicates one, and otherwise with an unknown load.
 const FAILING_FRACTION: f64 = 0.5;
 /// Utilization above which a backend counts as saturated: its load report then gives only a lower
 /// bound of the load.
@@ -82,7 +83,8 @@
     /// Seconds for which a load report moves a price: the mean time between the reports of a
     /// backend where capacity is unknown, otherwise [`MIN_REPORT_LIFETIME`].
     report_lifetime: ExponentialMean,
-    /// What reports of backends that are neither idle nor saturated say on requests in flight.
+    /// The usual number of requests in flight, and the utilization that goes with it, learned from
+    /// the reports of backends that are neither idle nor saturated.
     in_flight_baseline: InFlightBaseline,
 }
 
@@ -179,7 +181,8 @@
 
     /// Returns the load that a report indicates, in units of the backend's capacity.
     fn load_of(&mut self, report: &LoadReport, utilization: f64, typical_latency: f64) -> f64 {
-        // Each waiting request counts as the fraction of the latency objective that it takes.
+        // Each waiting request adds the typical latency as a fraction of the shortest latency
+        // objective.
         let objective = self.settings.shortest_latency_objective();
         let queue_depth = finite_non_negative(report.queue_depth).unwrap_or(0.0);
         let mut load = utilization + queue_depth * typical_latency / objective;
@@ -201,8 +204,8 @@
     /// fails fast would look idle otherwise.
     ///
     /// Where capacity is unknown, a backend that rejects a request or lets it time out is at the
-    /// limit of its capacity and is given a load above that; a rejection does not raise the price
-    /// there. `typical_latency` is in seconds.
+    /// limit of its capacity and is given a load above that; a rejection then does not raise the
+    /// price. `typical_latency` is in seconds.
     pub fn record_failure(
         &self,
         now: Time,
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -16,7 +16,8 @@
     /// When the attempt started, or when the last byte of the request's body was sent, if that is
     /// later.
     pub started_at: Time,
-    /// Whether the node had no connection to the backend that was certain to be open.
+    /// Whether the node had no connection to the backend that was certain to be open when the
+    /// attempt started.
     pub new_connection: bool,
     /// Whether it has ended, and whether the backend may have executed it.
     pub status: AttemptStatus,
@@ -101,7 +102,8 @@
     Unknown,
 }
 
-/// A backend that is considered for a request's next attempt and whose load decides on it.
+/// A backend that is considered for a request's next attempt. The loads of all candidates decide
+/// which of them receives it.
 pub struct Candidate {
     /// The backend that may receive the attempt.
     pub backend: BackendId,
@@ -116,7 +118,8 @@
     pub class: ClassId,
     /// When it arrived, or when the last byte of its body did, if that is later.
     pub arrived_at: Time,
-    /// When the client stops waiting; moves along when the body is complete.
+    /// When the client stops waiting. Once the body is complete, this is moved so that the client's
+    /// waiting time counts from then.
     pub deadline: Time,
     /// Expected work in seconds on a standard core, or `None` if it is not known.
     pub work: Option<f64>,
--- a/crates/balancer/src/share_allocation.rs
+++ b/crates/balancer/src/share_allocation.rs
@@ -18,20 +18,21 @@
 /// Number of this node's attempts per active backend after which the shares are solved again before
 /// the price interval has ended, where capacity is unknown.
 const REFRESH_ATTEMPTS_PER_BACKEND: f64 = 0.2;
-/// Lower bound of `price + lambda` where capacity is known. It keeps the shares of failing backends
-/// near 0 where the upper bounds of the other shares leave no room for the rest of the traffic.
+/// Lower bound of `price + lambda` in the [`share_solver`](crate::share_solver), where capacity is
+/// known. It keeps the shares of failing backends near 0 where the upper bounds of the other shares
+/// leave no room for the rest of the traffic.
 const MIN_TOTAL_PRICE: f64 = 0.1;
 /// Time, in seconds, within which a node should receive a response from each backend that it uses;
 /// determines how many backends it uses where capacity is unknown.
 const TARGET_RESPONSE_INTERVAL: f64 = 1.0;
 /// Lower bound of the number of backends that a node uses for a class, if as many are allowed.
 const MIN_BACKENDS: f64 = 5.0;
-/// Amount by which a backend's price may exceed the traffic-weighted price until the backend no
-/// longer counts towards the number of backends used.
+/// Largest amount by which a backend's price may exceed the traffic-weighted price for the backend
+/// to count towards the number of backends used, where no load is reported.
 const USABLE_PRICE_MARGIN: f64 = 0.25;
 /// Factor by which a backend's recent share decays per price interval.
 const RECENT_SHARE_DECAY: f64 = 0.95;
-/// Lambda at which the first search of a class begins.
+/// Value of lambda at which the share solver's first search for a class begins.
 const INITIAL_LAMBDA: f64 = 0.5;
 /// Weight of each new sample in a class's mean work.
 const MEAN_WORK_GAIN: f64 = 1.0 / 64.0;
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -8,7 +8,8 @@
 pub struct BackendSnapshot {
     /// The backend that the other fields describe.
     pub backend: BackendId,
-    /// Its weight in the endpoint list, or the default weight if that is not usable.
+    /// Its weight in the endpoint list, or the default weight if that is not a positive finite
+    /// number.
     pub weight: f64,
     /// Its price, at least 0, relative to the number of active backends.
     pub price: f64,
--- a/crates/balancer/tests/slow_start_across_nodes.rs
+++ b/crates/balancer/tests/slow_start_across_nodes.rs
@@ -1,8 +1,8 @@
 //! Tests of the attempts that all nodes together send to backends that are warming up.
 //!
 //! No node sees the decisions of the others, yet the attempts of all have to stay within the limit
-//! that the settings give. The tests distribute arrivals over the nodes, with one balancer for each,
-//! and count attempts and rejections. Backends are not simulated, except that each attempt
+//! that the settings give. The tests distribute arrivals over the nodes, with one balancer for
+//! each, and count attempts and rejections. Backends are not simulated, except that each attempt
 //! takes a fixed time and a fixed fraction is rejected.
 
 mod common;
