--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -35,7 +35,7 @@
 #[tokio::test]
 async fn late_upstream_connection_carries_nothing_for_a_disconnected_client() {
     for class in CLASSES {
-        let (listener, address, queued) = full_listener().await;
+        let (listener, address, queued_connections) = full_listener().await;
         let discovery = ScriptedServer::new().await;
         let (mut proxy, _watch) = ProxyBuilder::new(discovery.address())
             .start_ready(&discovery, &[endpoint("s", address, "active")])
@@ -45,7 +45,7 @@
         // Afterwards the request has been read, and its connection is being established.
         proxy.get("/health/live").await;
         client.close().await;
-        for _ in 0..queued.len() {
+        for _ in 0..queued_connections.len() {
             within("a connection", listener.accept())
                 .await
                 .expect("a connection");
@@ -116,7 +116,7 @@
                 )
                 .await;
             assert!(
-                other.is_untouched().await,
+                other.receives_no_connection().await,
                 "a request of class {class} was sent again, with {} trailing bytes",
                 bytes.len()
             );
@@ -219,7 +219,7 @@
                     bytes.len()
                 );
                 assert!(
-                    other.is_untouched().await,
+                    other.receives_no_connection().await,
                     "the request was sent again: {case}"
                 );
             }
--- a/crates/proxy/tests/common/builder.rs
+++ b/crates/proxy/tests/common/builder.rs
@@ -18,7 +18,7 @@
     /// Environment variables, by name.
     variables: Vec<(String, String)>,
     /// Limit on descriptors that the system enforces; `None` leaves the limit of the test.
-    descriptor_limit: Option<u32>,
+    system_descriptor_limit: Option<u32>,
     /// Listener for clients that the process inherits instead of binding its own.
     inherited_listener: Option<&'a std::net::TcpListener>,
 }
@@ -36,7 +36,7 @@
                 "settings": settings(),
             }),
             variables: Vec::new(),
-            descriptor_limit: None,
+            system_descriptor_limit: None,
             inherited_listener: None,
         }
     }
@@ -58,23 +58,23 @@
     }
 
     /// Sets the number of descriptors that the configuration allows the process.
-    pub fn descriptors(self, count: u32) -> Self {
+    pub fn configured_descriptors(self, count: u32) -> Self {
         self.config("limits", json!({"sockets": count, "memory_mb": MEMORY_MB}))
     }
 
     /// Adds an admin server, on a port chosen by the system.
-    pub fn admin(self) -> Self {
+    pub fn with_admin_server(self) -> Self {
         self.config("console", "127.0.0.1:0")
     }
 
     /// Adds an environment variable.
-    pub fn variable(mut self, name: &str, value: &str) -> Self {
+    pub fn env(mut self, name: &str, value: &str) -> Self {
         self.variables.push((name.into(), value.into()));
         self
     }
 
     /// Removes a top-level key from the configuration.
-    pub fn without(mut self, key: &str) -> Self {
+    pub fn without_config(mut self, key: &str) -> Self {
         let keys = self
             .config
             .as_object_mut()
@@ -85,20 +85,20 @@
 
     /// Sets the folder in which the process keeps its state.
     pub fn state_folder(self, folder: &StateFolder) -> Self {
-        self.variable("TMPDIR", folder.as_str())
+        self.env("TMPDIR", folder.as_str())
     }
 
     /// Preloads fault injection, through which the test makes system calls fail.
     pub fn faults(mut self, faults: &FaultInjection) -> Self {
         for (name, value) in faults.variables() {
-            self = self.variable(name, value);
+            self = self.env(name, value);
         }
         self
     }
 
     /// Sets a limit on descriptors that the system enforces, whatever the configuration allows.
-    pub fn descriptor_limit(mut self, count: u32) -> Self {
-        self.descriptor_limit = Some(count);
+    pub fn system_descriptor_limit(mut self, count: u32) -> Self {
+        self.system_descriptor_limit = Some(count);
         self
     }
 
@@ -124,7 +124,7 @@
         let options = SpawnOptions {
             config: &self.config.to_string(),
             variables: &self.variables,
-            descriptor_limit: self.descriptor_limit,
+            system_descriptor_limit: self.system_descriptor_limit,
             inherited_listener: self.inherited_listener,
         };
         let spawned = options.spawn();
@@ -185,7 +185,7 @@
 ) -> (ProxyProcess, ScriptedServer, WatchStream) {
     let discovery = ScriptedServer::new().await;
     let (proxy, watch) = ProxyBuilder::new(discovery.address())
-        .admin()
+        .with_admin_server()
         .start_ready(&discovery, &active_endpoints(backends))
         .await;
     (proxy, discovery, watch)
--- a/crates/proxy/tests/common/connection.rs
+++ b/crates/proxy/tests/common/connection.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Message {
     /// The request line or the status line.
-    pub start: String,
+    pub start_line: String,
     /// Names and values, in the order received.
     headers: Vec<(String, String)>,
     /// The body; empty where a method returns it separately.
@@ -31,7 +31,7 @@
 
     /// Returns the status of a response.
     pub fn status(&self) -> u16 {
-        self.start
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|status| status.parse().ok())
@@ -98,7 +98,7 @@
     /// Reads the next message and asserts that it is a response with this status.
     pub async fn expect_status(&mut self, status: u16) {
         let response = self.read().await.expect("a response");
-        assert_eq!(response.status(), status, "{}", response.start);
+        assert_eq!(response.status(), status, "{}", response.start_line);
     }
 
     /// Does the same as [`Self::read`], without a timeout.
@@ -114,14 +114,14 @@
                 line => lines.push(line.to_owned()),
             }
         }
-        let start = lines.remove(0);
+        let start_line = lines.remove(0);
         let parse_header = |line: String| {
             line.split_once(':')
                 .map(|(name, value)| (name.to_owned(), value.trim().to_owned()))
         };
         let headers = lines.into_iter().filter_map(parse_header).collect();
         let mut message = Message {
-            start,
+            start_line,
             headers,
             body: Vec::new(),
         };
@@ -147,13 +147,13 @@
         }
         let head = String::from_utf8(head).expect("the head should be valid UTF-8");
         let mut lines = head.trim_end().lines().map(str::to_owned);
-        let start = lines.next().expect("the head should not be empty");
+        let start_line = lines.next().expect("the head should not be empty");
         let headers = lines.filter_map(|line| {
             line.split_once(':')
                 .map(|(name, value)| (name.to_owned(), value.trim().to_owned()))
         });
         let message = Message {
-            start,
+            start_line,
             headers: headers.collect(),
             body: Vec::new(),
         };
@@ -215,7 +215,7 @@
 
     /// Waits for the peer to close, asserts that it sends nothing more, and returns whether it
     /// closed with unread bytes.
-    pub async fn closed_over_unread_bytes(&mut self) -> bool {
+    pub async fn closed_with_unread_bytes(&mut self) -> bool {
         let mut rest = Vec::new();
         let ended = within("the connection to close", self.0.read_to_end(&mut rest)).await;
         assert!(
--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -27,7 +27,7 @@
     /// configuration and an inherited listener.
     pub variables: &'a [(String, String)],
     /// Limit on descriptors that the system enforces; `None` leaves the limit of the test.
-    pub descriptor_limit: Option<u32>,
+    pub system_descriptor_limit: Option<u32>,
     /// Listener for clients that the process inherits.
     pub inherited_listener: Option<&'a std::net::TcpListener>,
 }
@@ -68,7 +68,7 @@
     /// set.
     fn command(&self) -> Command {
         let program = env!("CARGO_BIN_EXE_balancer-proxy");
-        let Some(limit) = self.descriptor_limit else {
+        let Some(limit) = self.system_descriptor_limit else {
             return Command::new(program);
         };
         let mut shell = Command::new("/bin/sh");
@@ -98,7 +98,7 @@
     let options = SpawnOptions {
         config,
         variables: &variables,
-        descriptor_limit: None,
+        system_descriptor_limit: None,
         inherited_listener: None,
     };
     within(
--- a/crates/proxy/tests/common/servers.rs
+++ b/crates/proxy/tests/common/servers.rs
@@ -26,11 +26,11 @@
 impl ScriptedServer {
     /// Listens on an address of its own.
     pub async fn new() -> Self {
-        ScriptedServer::at(unique_address()).await
+        ScriptedServer::bind(unique_address()).await
     }
 
     /// Listens on a given address.
-    pub async fn at(address: SocketAddr) -> Self {
+    pub async fn bind(address: SocketAddr) -> Self {
         ScriptedServer(CloseGuarded(Some(
             TcpListener::bind(address).await.expect("binding failed"),
         )))
@@ -43,11 +43,11 @@
 
     /// Accepts the next connection.
     pub async fn accept(&self) -> Connection {
-        within("a connection to accept", self.accept_when_it_comes()).await
+        within("a connection to accept", self.accept_without_timeout()).await
     }
 
     /// Accepts the next connection, without a timeout.
-    pub async fn accept_when_it_comes(&self) -> Connection {
+    pub async fn accept_without_timeout(&self) -> Connection {
         let accepted = self.0.accept().await;
         Connection::new(accepted.expect("accepting failed").0)
     }
@@ -59,8 +59,8 @@
         (connection, request)
     }
 
-    /// Returns whether no connection arrives within 50 ms.
-    pub async fn is_untouched(&self) -> bool {
+    /// Returns whether no connection arrives within 50 ms. One that arrives is accepted and dropped.
+    pub async fn receives_no_connection(&self) -> bool {
         tokio::time::timeout(Duration::from_millis(50), self.0.accept())
             .await
             .is_err()
@@ -73,7 +73,7 @@
         connection
             .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await;
-        (WatchStream(connection), request.start)
+        (WatchStream(connection), request.start_line)
     }
 }
 
@@ -86,12 +86,12 @@
     let listener = socket.listen(1).expect("listening failed");
     let address = listener.local_addr().expect("the local address");
     let connect_timeout = Duration::from_millis(300);
-    let mut queued = Vec::new();
+    let mut queued_connections = Vec::new();
     while let Ok(stream) = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await
     {
-        queued.push(stream.expect("connecting failed"));
+        queued_connections.push(stream.expect("connecting failed"));
     }
-    (listener, address, queued)
+    (listener, address, queued_connections)
 }
 
 /// The discovery side of an open watch, on which the test sends endpoint lists.
--- a/crates/proxy/tests/configuration_reload.rs
+++ b/crates/proxy/tests/configuration_reload.rs
@@ -16,7 +16,7 @@
     members: &[serde_json::Value],
 ) -> WatchStream {
     let (mut connection, request) = discovery.accept_request().await;
-    assert_eq!(request.start, SNAPSHOT_REQUEST);
+    assert_eq!(request.start_line, SNAPSHOT_REQUEST);
     let list = json!({"revision": revision, "complete": true, "members": members});
     connection.respond("200 OK", "", &list.to_string()).await;
     let (watch, request) = discovery.accept_watch().await;
@@ -44,9 +44,9 @@
         ScriptedServer::new().await,
     );
     let mut proxy = ProxyBuilder::new(unique_address())
-        .without("name")
-        .without("limits")
-        .variable("GW_DISCOVERY", &first.address().to_string())
+        .without_config("name")
+        .without_config("limits")
+        .env("GW_DISCOVERY", &first.address().to_string())
         .start()
         .await;
     let (mut watch, _) = first.accept_watch().await;
@@ -90,7 +90,7 @@
     let _watch = serve_snapshot_and_accept_watch(&third, 1, &[]).await;
     proxy.wait_for_revision(1).await;
     watch.0.expect_closed().await;
-    assert!(second.is_untouched().await);
+    assert!(second.receives_no_connection().await);
 }
 
 /// A file with any error in it is not used at all, not even for its valid keys. The process keeps
@@ -124,7 +124,7 @@
         watch.send_list(2 + k as u64, false, &[]).await;
         proxy.wait_for_revision(2 + k as u64).await;
     }
-    assert!(other.is_untouched().await);
+    assert!(other.receives_no_connection().await);
     proxy.replace_config(&valid.to_string()).await;
     let _watch = serve_snapshot_and_accept_watch(&other, 1, &[]).await;
     watch.0.expect_closed().await;
@@ -141,7 +141,7 @@
         .reconfigure("discovery", json!(other.address().to_string()))
         .await;
     let (mut connection, request) = other.accept_request().await;
-    assert_eq!(request.start, SNAPSHOT_REQUEST);
+    assert_eq!(request.start_line, SNAPSHOT_REQUEST);
     watch
         .send_list(9, false, &[endpoint("s", backend.address(), "leaving")])
         .await;
@@ -181,7 +181,7 @@
         ("200 OK", &changes),
     ] {
         let (mut connection, request) = other.accept_request().await;
-        assert_eq!(request.start, SNAPSHOT_REQUEST);
+        assert_eq!(request.start_line, SNAPSHOT_REQUEST);
         connection.respond(status, "", body).await;
     }
     let _watch = serve_snapshot_and_accept_watch(&other, 3, &[]).await;
--- a/crates/proxy/tests/connection_limits.rs
+++ b/crates/proxy/tests/connection_limits.rs
@@ -12,7 +12,7 @@
     let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let mut idle_clients = Vec::new();
@@ -46,8 +46,8 @@
         settings["registry_mode"] = json!(if is_polled { "subscribe" } else { "automatic" });
         let proxy = ProxyBuilder::new(address)
             .settings(settings)
-            .admin()
-            .descriptor_limit(96)
+            .with_admin_server()
+            .system_descriptor_limit(96)
             .start()
             .await;
         let mut idle_clients = Vec::new();
@@ -68,7 +68,7 @@
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
         assert_eq!(proxy.admin_call("GET", "/healthcheck").await, 503);
-        let discovery = ScriptedServer::at(address).await;
+        let discovery = ScriptedServer::bind(address).await;
         let (mut watch, _) = discovery.accept_watch().await;
         watch
             .send_list(1, true, &[endpoint("s", backend.address(), "active")])
@@ -95,7 +95,7 @@
     let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     proxy.signal("STOP").await;
@@ -118,7 +118,7 @@
     let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     proxy.signal("STOP").await;
@@ -199,7 +199,7 @@
 async fn more_backends_than_descriptors_are_served() {
     let discovery = ScriptedServer::new().await;
     let proxy = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .start()
         .await;
     let mut backends = Vec::new();
--- a/crates/proxy/tests/discovery_watch.rs
+++ b/crates/proxy/tests/discovery_watch.rs
@@ -241,8 +241,8 @@
     for seed in ["1f", "2e"] {
         let discovery = ScriptedServer::new().await;
         let mut proxy = ProxyBuilder::new(discovery.address())
-            .without("name")
-            .without("limits")
+            .without_config("name")
+            .without_config("limits")
             .config("seed", seed)
             .start()
             .await;
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -209,7 +209,7 @@
                 let (mut connection, report) = (backend.accept().await, report.to_owned());
                 connection_tasks.spawn(async move {
                     while let Some(request) = connection.read().await {
-                        let body = if request.start.starts_with("GET /stats") {
+                        let body = if request.start_line.starts_with("GET /stats") {
                             &report
                         } else {
                             "served"
@@ -350,7 +350,7 @@
     let discovery = ScriptedServer::new().await;
     let known = json!({"revision": 7, "complete": true, "members": [endpoint("old", old.address(), "active")]});
     let builder = ProxyBuilder::new(discovery.address())
-        .without("limits")
+        .without_config("limits")
         .config("known", known);
     let members = [
         endpoint("old", old.address(), "leaving"),
@@ -384,7 +384,7 @@
     let down = ScriptedServer::new().await;
     let known = json!({"revision": 7, "complete": true, "members": [endpoint("s", backend.address(), "active")]});
     let builder = ProxyBuilder::new(down.address())
-        .without("limits")
+        .without_config("limits")
         .config("known", known);
     drop(down);
     let proxy = builder.start().await;
@@ -471,7 +471,7 @@
     let discovery = ScriptedServer::new().await;
     let known = json!({"revision": 7, "complete": true, "members": [endpoint("s", backend.address(), "leaving")]});
     let builder = ProxyBuilder::new(discovery.address())
-        .without("limits")
+        .without_config("limits")
         .config("known", known);
     let proxy = builder.start().await;
     let (mut watch, _) = discovery.accept_watch().await;
@@ -505,6 +505,9 @@
             .respond("503 Service Unavailable", headers, "")
             .await;
         client.expect_status(503).await;
-        assert!(other.is_untouched().await, "sent to a draining backend");
+        assert!(
+            other.receives_no_connection().await,
+            "sent to a draining backend"
+        );
     }
 }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -124,7 +124,7 @@
     let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (mut proxy, _watch) = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let mut busy = Vec::new();
--- a/crates/proxy/tests/large_messages.rs
+++ b/crates/proxy/tests/large_messages.rs
@@ -139,7 +139,7 @@
         let ((), (head, received)) = tokio::join!(writing, client.read_streamed());
         assert_eq!((head.status(), received), (200, None), "{response:.40}");
         client.drain_until_closed().await;
-        assert!(backend.is_untouched().await);
+        assert!(backend.receives_no_connection().await);
     }
 }
 
@@ -258,7 +258,7 @@
         }
     };
     let (request, ()) = tokio::join!(reading, writing);
-    assert_eq!(request.start, "POST /unsafe/x?y=1 HTTP/1.1");
+    assert_eq!(request.start_line, "POST /unsafe/x?y=1 HTTP/1.1");
     assert!(request.body == body.as_bytes());
     assert_eq!(client.read().await.expect("a response").body, b"done");
 }
@@ -394,7 +394,7 @@
             }
         }
         assert!(
-            other.is_untouched().await,
+            other.receives_no_connection().await,
             "the request was sent to another backend, {case}"
         );
         let serving = async {
--- a/crates/proxy/tests/listener_inheritance.rs
+++ b/crates/proxy/tests/listener_inheritance.rs
@@ -26,7 +26,7 @@
     /// Returns the configuration of a process of this node, with an admin server.
     fn builder(&self) -> ProxyBuilder<'_> {
         ProxyBuilder::new(self.discovery)
-            .admin()
+            .with_admin_server()
             .state_folder(&self.state_folder)
             .inherit(&self.listener)
     }
--- a/crates/proxy/tests/malformed_requests.rs
+++ b/crates/proxy/tests/malformed_requests.rs
@@ -99,7 +99,7 @@
     )
     .await;
     assert!(
-        backend.is_untouched().await,
+        backend.receives_no_connection().await,
         "a rejected request was forwarded"
     );
 }
@@ -122,7 +122,7 @@
     assert_eq!(client.read().await.expect("a response").body, b"served");
     client.drain_until_closed().await;
     assert!(
-        backend.is_untouched().await,
+        backend.receives_no_connection().await,
         "the bytes that follow were read as another request"
     );
 }
@@ -157,7 +157,7 @@
     )
     .await;
     assert!(
-        backend.is_untouched().await,
+        backend.receives_no_connection().await,
         "a rejected request was forwarded"
     );
 }
@@ -229,7 +229,7 @@
     let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let backend_task = tokio::spawn(async move {
@@ -287,7 +287,7 @@
 async fn clients_with_a_single_request_do_not_block_others() {
     let discovery = ScriptedServer::new().await;
     let proxy = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .start()
         .await;
     let (mut watch, _) = discovery.accept_watch().await;
@@ -333,7 +333,7 @@
     client.expect_status(400).await;
     client.drain_until_closed().await;
     assert!(
-        backend.is_untouched().await,
+        backend.receives_no_connection().await,
         "the bytes that follow were read as another request"
     );
 }
@@ -366,7 +366,7 @@
         .await;
     }
     assert!(
-        backend.is_untouched().await,
+        backend.receives_no_connection().await,
         "a rejected request was forwarded"
     );
     let response = proxy.get("/health/live").await;
--- a/crates/proxy/tests/operator_state.rs
+++ b/crates/proxy/tests/operator_state.rs
@@ -40,7 +40,7 @@
     /// waits until it is ready.
     async fn start(&self, faults: &FaultInjection) -> (ProxyProcess, WatchStream) {
         let proxy = ProxyBuilder::new(self.discovery.address())
-            .admin()
+            .with_admin_server()
             .state_folder(&self.state_folder)
             .faults(faults)
             .start()
--- a/crates/proxy/tests/start_beside_running_backends.rs
+++ b/crates/proxy/tests/start_beside_running_backends.rs
@@ -109,7 +109,7 @@
         let serving = backend.clone();
         tokio::spawn(async move {
             loop {
-                let connection = server.accept_when_it_comes().await;
+                let connection = server.accept_without_timeout().await;
                 tokio::spawn(serving.clone().serve_connection(connection));
             }
         });
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -86,14 +86,14 @@
     }
     client.send("safe", "20000m").await;
     assert!(
-        client.closed_over_unread_bytes().await,
+        client.closed_with_unread_bytes().await,
         "the request was read, and got no response"
     );
     // Nothing of it was forwarded, and it is served when sent again.
     let mut again = proxy.connect().await;
     again.send("safe", "20000m").await;
     let request = connection.read().await.expect("the repeated request");
-    assert!(request.start.starts_with("GET /safe"));
+    assert!(request.start_line.starts_with("GET /safe"));
     connection.respond("200 OK", "", "").await;
     again.expect_status(200).await;
 }
@@ -112,7 +112,7 @@
         .reconfigure("discovery", serde_json::json!(other.address().to_string()))
         .await;
     let (_, request) = other.accept_request().await;
-    assert!(request.start.starts_with("GET /registry/instances"));
+    assert!(request.start_line.starts_with("GET /registry/instances"));
     assert_eq!(
         faults
             .control
@@ -250,7 +250,7 @@
         .send_list(2, false, &[endpoint("two", two.address(), "active")])
         .await;
     client.expect_status(504).await;
-    assert!(two.is_untouched().await);
+    assert!(two.receives_no_connection().await);
 }
 
 /// Every read returns only a part of the bytes that have arrived. The rest of a list must not wait
@@ -295,7 +295,7 @@
 }
 
 /// The rest of each head arrives at the moment at which a connection is evicted to free its slot.
-/// Each request must get a response, or its connection must be reset over unread bytes, so that the
+/// Each request must get a response, or its connection must be reset with unread bytes, so that the
 /// client sends it again.
 #[tokio::test]
 async fn rest_of_a_head_that_crosses_an_eviction_is_not_lost() {
@@ -308,13 +308,13 @@
     let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .faults(&faults)
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let backend_task = tokio::spawn(async move {
         loop {
-            let mut connection = backend.accept_when_it_comes().await;
+            let mut connection = backend.accept_without_timeout().await;
             tokio::spawn(async move {
                 while connection.read().await.is_some() {
                     connection.respond("200 OK", "", "").await;
@@ -344,11 +344,11 @@
             assert!(
                 [200, 503].contains(&response.status()),
                 "{}",
-                response.start
+                response.start_line
             );
         } else {
             assert!(
-                client.closed_over_unread_bytes().await,
+                client.closed_with_unread_bytes().await,
                 "the request was read, and lost"
             );
             reset_connections += 1;
--- a/crates/proxy/tests/upstream_attempts.rs
+++ b/crates/proxy/tests/upstream_attempts.rs
@@ -19,7 +19,7 @@
         )
         .await;
     let (mut connection, request) = backend.accept_request().await;
-    assert_eq!(request.start, "POST /keyed/a%20b;c?x=1&y=%2F HTTP/1.1");
+    assert_eq!(request.start_line, "POST /keyed/a%20b;c?x=1&y=%2F HTTP/1.1");
     assert_eq!(request.body, b"hello");
     for (name, value) in [
         ("x-request-id", "9b1f"),
@@ -69,7 +69,10 @@
             ![200, 429, 503].contains(&status),
             "status {status} claims success or that the request was not executed"
         );
-        assert!(other.is_untouched().await, "the request was sent again");
+        assert!(
+            other.receives_no_connection().await,
+            "the request was sent again"
+        );
     }
 }
 
@@ -110,7 +113,10 @@
         connection.write(partial_response).await;
         drop(connection);
         client.expect_status(504).await;
-        assert!(other.is_untouched().await, "the request was sent again");
+        assert!(
+            other.receives_no_connection().await,
+            "the request was sent again"
+        );
     }
 }
 
@@ -167,7 +173,7 @@
             "{partial_response:?}"
         );
         assert!(
-            other.is_untouched().await,
+            other.receives_no_connection().await,
             "the request was sent again after {partial_response:?}"
         );
     }
@@ -382,7 +388,10 @@
     connection
         .respond("503 Service Unavailable", "X-Not-Processed: 1\r\n", "")
         .await;
-    assert!(other.is_untouched().await, "the request was sent again");
+    assert!(
+        other.receives_no_connection().await,
+        "the request was sent again"
+    );
     let mut client = proxy.connect().await;
     client.send("safe", "20000m").await;
     let next = tokio::select! {
@@ -433,7 +442,7 @@
                 let (mut connection, served_by) = (backend.accept().await, served_by.clone());
                 tokio::spawn(async move {
                     while let Some(request) = connection.read().await {
-                        if request.start == "GET /stats HTTP/1.1" {
+                        if request.start_line == "GET /stats HTTP/1.1" {
                             connection.respond("200 OK", "", report).await;
                         } else {
                             connection.respond("200 OK", "", "").await;
