--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -46,7 +46,7 @@
         proxy.get("/health/live").await;
         client.close().await;
         for _ in 0..queued_connections.len() {
-            within("a connection", listener.accept())
+            within("a queued connection", listener.accept())
                 .await
                 .expect("a connection");
         }
@@ -239,8 +239,11 @@
     let (_connection, _) = backend.accept_request().await;
     client.write_until_closed(&"much ".repeat(2_000_000)).await;
     drop(client);
-    while !within("the disconnect to be counted", proxy.wait_for_log("stats "))
-        .await
-        .contains(" client_disconnected=1 ")
+    while !within(
+        "a stats line that counts the disconnect",
+        proxy.wait_for_log("stats "),
+    )
+    .await
+    .contains(" client_disconnected=1 ")
     {}
 }
--- a/crates/proxy/tests/common/connection.rs
+++ b/crates/proxy/tests/common/connection.rs
@@ -51,7 +51,7 @@
     /// Opens a connection to this address.
     pub async fn connect(address: SocketAddr) -> Self {
         Connection::new(
-            within("a connection", TcpStream::connect(address))
+            within("an outgoing connection", TcpStream::connect(address))
                 .await
                 .expect("connecting failed"),
         )
@@ -196,7 +196,7 @@
     /// Waits for the peer to close, and asserts that it sends nothing more.
     pub async fn expect_closed(&mut self) {
         let mut rest = Vec::new();
-        let _ = within("the connection to close", self.0.read_to_end(&mut rest)).await;
+        let _ = within("the close of the connection", self.0.read_to_end(&mut rest)).await;
         assert!(
             rest.is_empty(),
             "the peer sent {:?} before it closed",
@@ -207,7 +207,7 @@
     /// Writes as much of this text as the peer takes; it may close before the end.
     pub async fn write_until_closed(&mut self, text: &str) {
         let _ = within(
-            "the write to end",
+            "the end of the write",
             self.0.get_mut().write_all(text.as_bytes()),
         )
         .await;
@@ -217,7 +217,7 @@
     /// closed with unread bytes.
     pub async fn closed_with_unread_bytes(&mut self) -> bool {
         let mut rest = Vec::new();
-        let ended = within("the connection to close", self.0.read_to_end(&mut rest)).await;
+        let ended = within("the close of the connection", self.0.read_to_end(&mut rest)).await;
         assert!(
             rest.is_empty(),
             "the peer sent {:?} before it closed",
@@ -228,7 +228,7 @@
         let reset = ended.is_err_and(|error| error.kind() == std::io::ErrorKind::ConnectionReset);
         reset
             || within(
-                "the connection's reset",
+                "the reset of the connection",
                 self.0.get_ref().ready(tokio::io::Interest::ERROR),
             )
             .await
@@ -238,7 +238,7 @@
     /// Waits for the peer to close, and discards what it still sends.
     pub async fn drain_until_closed(&mut self) {
         let mut rest = Vec::new();
-        let _ = within("the connection to close", self.0.read_to_end(&mut rest)).await;
+        let _ = within("the close of the connection", self.0.read_to_end(&mut rest)).await;
     }
 
     /// Writes a response with a body. `headers` holds further header lines, each with its line end.
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -27,8 +27,9 @@
 /// Longest time that a test waits for one thing.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits for `future`, and fails the test after [`TEST_TIMEOUT`]. `what` names in the failure what
-/// was waited for. The timeout only ends tests that hang; it checks no timing of the proxy.
+/// Waits for `future`, and fails the test after [`TEST_TIMEOUT`]. `what` is a noun phrase for what
+/// is waited for; the failure names it. The timeout only ends tests that hang; it checks no timing
+/// of the proxy.
 pub async fn within<T>(what: &str, future: impl Future<Output = T>) -> T {
     tokio::time::timeout(TEST_TIMEOUT, future)
         .await
--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -102,7 +102,7 @@
         inherited_listener: None,
     };
     within(
-        "the process to exit",
+        "the exit of the process",
         options.spawn().child.wait_with_output(),
     )
     .await
@@ -179,7 +179,7 @@
                 tokio::time::sleep(STATE_POLL_INTERVAL).await;
             }
         };
-        within("the process to be ready", ready).await;
+        within("the readiness of the process", ready).await;
     }
 
     /// Waits until the process reports at its admin address that it is ready. Each call has a
@@ -198,7 +198,7 @@
                 tokio::time::sleep(STATE_POLL_INTERVAL).await;
             }
         };
-        within("the endpoint list to be applied", applied).await;
+        within("the application of the endpoint list", applied).await;
     }
 
     /// Changes one value of the configuration file, and signals a reload.
@@ -283,13 +283,13 @@
         let pid = self.child.id().expect("the process has exited").to_string();
         let spawn = || Command::new("kill").args(["-s", signal, &pid]).spawn();
         let mut kill = spawn_locked(spawn, Child::id).expect("kill could not be spawned");
-        let status = within("kill to exit", kill.wait()).await;
+        let status = within("the exit of kill", kill.wait()).await;
         assert!(status.expect("the exit status of kill").success());
     }
 
     /// Waits for the process to exit, and returns its exit status.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
-        within("the process to exit", self.child.wait())
+        within("the exit of the process", self.child.wait())
             .await
             .expect("the exit status of the process")
     }
--- a/crates/proxy/tests/common/servers.rs
+++ b/crates/proxy/tests/common/servers.rs
@@ -43,7 +43,7 @@
 
     /// Accepts the next connection.
     pub async fn accept(&self) -> Connection {
-        within("a connection to accept", self.accept_without_timeout()).await
+        within("an incoming connection", self.accept_without_timeout()).await
     }
 
     /// Accepts the next connection, without a timeout.
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -94,7 +94,7 @@
         .await;
     proxy.wait_for_revision(2).await;
     for _ in 0..queued_connections.len() {
-        within("a connection", listener.accept())
+        within("a queued connection", listener.accept())
             .await
             .expect("a connection");
     }
@@ -108,7 +108,7 @@
     let mut read = Vec::new();
     let mut stream = stream;
     let _ = within(
-        "the connection's end",
+        "the end of the connection",
         tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read),
     )
     .await;
@@ -138,7 +138,7 @@
         .await;
     proxy.wait_for_revision(2).await;
     for _ in 0..queued_connections.len() {
-        within("a connection", listener.accept())
+        within("a queued connection", listener.accept())
             .await
             .expect("a connection");
     }
@@ -157,7 +157,7 @@
     drop(proxy);
     let mut read = Vec::new();
     let _ = within(
-        "the connection's end",
+        "the end of the connection",
         tokio::io::AsyncReadExt::read_to_end(&mut old, &mut read),
     )
     .await;
@@ -261,7 +261,7 @@
             != 200
         {}
     };
-    within("a served request", recovery).await;
+    within("a response with status 200", recovery).await;
 }
 
 /// Backends recognize an idempotency key for a limited time. A connection that is established after
@@ -290,7 +290,7 @@
         .await;
     tokio::time::sleep(window).await;
     for _ in 0..queued_connections.len() {
-        within("a connection", listener.accept())
+        within("a queued connection", listener.accept())
             .await
             .expect("a connection");
     }
@@ -302,7 +302,7 @@
     drop(proxy);
     let mut read = Vec::new();
     let _ = within(
-        "the connection's end",
+        "the end of the connection",
         tokio::io::AsyncReadExt::read_to_end(&mut stream, &mut read),
     )
     .await;
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -213,7 +213,7 @@
         .await;
     proxy.wait_for_revision(2).await;
     for _ in 0..queued_connections.len() {
-        within("a connection", listener.accept())
+        within("a queued connection", listener.accept())
             .await
             .expect("a connection");
     }
