--- a/crates/fault-injection-preload/tests/preloaded.rs
+++ b/crates/fault-injection-preload/tests/preloaded.rs
@@ -41,9 +41,9 @@
     let path = control_path("clock");
     let control = ControlFile::create(&path).expect("a control file");
     let before = unix_time(&path);
-    control.step_wall_clock(3600);
+    control.set_wall_clock_offset(3600);
     assert!((3600..3660).contains(&(unix_time(&path) - before)));
-    control.step_wall_clock(-3600);
+    control.set_wall_clock_offset(-3600);
     assert!((-3600..-3540).contains(&(unix_time(&path) - before)));
 }
 
--- a/crates/fault-injection/src/control.rs
+++ b/crates/fault-injection/src/control.rs
@@ -57,7 +57,7 @@
 
     /// Sets the wall clock of the process under test `seconds` ahead of the system's, or behind it
     /// if negative. Replaces the previous offset.
-    pub fn step_wall_clock(&self, seconds: i64) {
+    pub fn set_wall_clock_offset(&self, seconds: i64) {
         self.wall_clock_offset
             .store(seconds * NANOSECONDS_PER_SECOND, Ordering::SeqCst);
     }
--- a/crates/fault-injection/tests/faults_and_pauses.rs
+++ b/crates/fault-injection/tests/faults_and_pauses.rs
@@ -50,7 +50,7 @@
 #[test]
 fn wall_clock_offset_stays_when_faults_are_cleared() {
     let control = control_file("clock");
-    control.step_wall_clock(-3600);
+    control.set_wall_clock_offset(-3600);
     control.clear_faults();
     assert_eq!(control.wall_clock_offset(), -3_600_000_000_000);
 }
--- a/crates/proxy/tests/common/servers.rs
+++ b/crates/proxy/tests/common/servers.rs
@@ -59,7 +59,8 @@
         (connection, request)
     }
 
-    /// Returns whether no connection arrives within 50 ms. One that arrives is accepted and dropped.
+    /// Returns whether no connection arrives within 50 ms. One that arrives is accepted and
+    /// dropped.
     pub async fn receives_no_connection(&self) -> bool {
         tokio::time::timeout(Duration::from_millis(50), self.0.accept())
             .await
--- a/crates/proxy/tests/slow_start.rs
+++ b/crates/proxy/tests/slow_start.rs
@@ -68,7 +68,7 @@
     let backend = ScriptedServer::new().await;
     for step in CLOCK_STEPS_SECONDS {
         let faults = FaultInjection::new();
-        faults.control.step_wall_clock(step);
+        faults.control.set_wall_clock_offset(step);
         let (mut proxy, _watch) =
             start_with_long_slow_start(&faults, &[endpoint_started_at(&backend, timestamp(0))])
                 .await;
@@ -96,7 +96,7 @@
             ],
         )
         .await;
-        faults.control.step_wall_clock(step);
+        faults.control.set_wall_clock_offset(step);
         watch
             .send_list(
                 2,
--- a/crates/proxy/tests/start_beside_running_backends.rs
+++ b/crates/proxy/tests/start_beside_running_backends.rs
@@ -187,8 +187,8 @@
     starts: [Start; BACKENDS],
     service: Service,
     slow_start: SlowStart,
-    /// Step of the node's wall clock, in seconds.
-    clock_step: i64,
+    /// How far the node's wall clock is ahead of the backends', in seconds; negative if behind.
+    clock_offset: i64,
 }
 
 /// The outcome of a scenario.
@@ -202,7 +202,7 @@
     /// Starts the backends and the node, and sends the requests.
     async fn run(self) -> ScenarioOutcome {
         let faults = FaultInjection::new();
-        faults.control.step_wall_clock(self.clock_step);
+        faults.control.set_wall_clock_offset(self.clock_offset);
         let mut backends = Vec::new();
         let mut endpoints = Vec::new();
         for (number, start) in self.starts.into_iter().enumerate() {
@@ -248,17 +248,17 @@
 
 /// Runs a scenario with warm backends and the usual slow start, and asserts that every request was
 /// served.
-async fn expect_all_served(starts: [Start; BACKENDS], clock_step: i64) {
+async fn expect_all_served(starts: [Start; BACKENDS], clock_offset: i64) {
     let scenario = Scenario {
         starts,
         service: Service::Warm,
         slow_start: USUAL_SLOW_START,
-        clock_step,
+        clock_offset,
     };
     let outcome = scenario.run().await;
     assert_eq!(
         outcome.unserved, 0,
-        "of {REQUESTS} requests, at a clock step of {clock_step} s"
+        "of {REQUESTS} requests, at a clock offset of {clock_offset} s"
     );
 }
 
@@ -314,22 +314,22 @@
 /// rest, so that every request is still served.
 #[tokio::test]
 async fn young_backend_is_held_back_beside_old_ones() {
-    for clock_step in [0, HOUR, -HOUR] {
+    for clock_offset in [0, HOUR, -HOUR] {
         let mut starts = [Start::Ago(2 * HOUR); BACKENDS];
         starts[0] = Start::Ago(0);
         let scenario = Scenario {
             starts,
             service: Service::Warm,
             slow_start: USUAL_SLOW_START,
-            clock_step,
+            clock_offset,
         };
         let outcome = scenario.run().await;
-        assert_eq!(outcome.unserved, 0, "at a clock step of {clock_step} s");
+        assert_eq!(outcome.unserved, 0, "at a clock offset of {clock_offset} s");
         let at_young = outcome.backends[0].requests();
         let mean_of_old = (REQUESTS - at_young) / (BACKENDS - 1);
         assert!(
             2 * at_young < mean_of_old,
-            "{at_young} requests, {mean_of_old} at an old one, at a clock step of {clock_step} s"
+            "{at_young} requests, {mean_of_old} at an old one, at a clock offset of {clock_offset} s"
         );
     }
 }
@@ -338,12 +338,12 @@
 /// requests than they can take.
 #[tokio::test]
 async fn fleet_that_has_just_started_is_not_overloaded() {
-    for clock_step in [0, HOUR, -HOUR] {
+    for clock_offset in [0, HOUR, -HOUR] {
         let scenario = Scenario {
             starts: [Start::Ago(0); BACKENDS],
             service: Service::Warming(COLD_SLOW_START),
             slow_start: COLD_SLOW_START,
-            clock_step,
+            clock_offset,
         };
         for backend in scenario.run().await.backends {
             backend.assert_not_overloaded(COLD_SLOW_START);
--- a/crates/soak-test/src/fault_injector.rs
+++ b/crates/soak-test/src/fault_injector.rs
@@ -96,7 +96,7 @@
             Fault::PauseNodes(nodes) => self.run_call_faults(nodes, pause_occasionally).await,
             Fault::StepWallClock(nodes, seconds) => {
                 for node in self.nodes_at(nodes) {
-                    node.control.step_wall_clock(*seconds);
+                    node.control.set_wall_clock_offset(*seconds);
                 }
             }
             Fault::ImpatientClients => self.set_temporarily(&self.cluster.clients_impatient).await,
