--- a/crates/soak-test/src/plan/mod.rs
+++ b/crates/soak-test/src/plan/mod.rs
@@ -2,13 +2,13 @@
 //! starts, so that a seed always runs the same faults.
 
 mod fault;
+mod indices;
 mod operations;
-mod positions;
 mod request_class;
 mod settings;
 
 pub use fault::{BackendBehavior, Fault, ScheduledFault, SystemCallFault};
-pub use positions::{BackendIndex, ClassIndex, NodeIndex};
+pub use indices::{BackendIndex, ClassIndex, NodeIndex};
 pub use request_class::{Idempotency, KeyScope, RequestClass};
 
 use fault::{FAULTY_BEHAVIORS, SYSTEM_CALL_FAULTS};
