--- a/crates/soak-test/src/backend.rs
+++ b/crates/soak-test/src/backend.rs
@@ -89,7 +89,7 @@
         let request_id = request.header("x-request-id").unwrap_or_default();
         let arrival = AttemptArrival {
             backend: self.backend,
-            first_byte: request.first_byte,
+            first_byte_at: request.first_byte_at,
             timeout: request.header("x-timeout").and_then(parse_timeout),
             socket: Rc::downgrade(&connection.socket),
         };
@@ -149,7 +149,7 @@
             let problem =
                 format!("backend {backend} received an altered body of request {request_id}");
             let mut checker = self.cluster.checker();
-            checker.violated(Invariant::NoInventedMessage, problem);
+            checker.record_violation(Invariant::NoInventedMessage, problem);
         }
     }
 
--- a/crates/soak-test/src/clients/malformed_peer.rs
+++ b/crates/soak-test/src/clients/malformed_peer.rs
@@ -46,7 +46,7 @@
             Err(_) if self.node.was_killed(generation) => return,
             Err(_) => "received neither an error response nor a close",
         };
-        self.cluster.checker().violated(
+        self.cluster.checker().record_violation(
             Invariant::MalformedPeerRejected,
             format!("a peer that sent {text:?} {problem}"),
         );
--- a/crates/soak-test/src/clients/mod.rs
+++ b/crates/soak-test/src/clients/mod.rs
@@ -249,7 +249,7 @@
             .await
             .is_err()
         {
-            self.cluster.checker().request_unread();
+            self.cluster.checker().request_unanswered();
             return ConnectionAfterRequest::Closed;
         }
         self.cluster.checker().request_sent(id);
@@ -264,7 +264,7 @@
             // The request may have waited at the listener for the next process, which does not know
             // how long it waited.
             Ok(Ok(_)) if self.use_connections_until_exit() && self.node.was_killed(generation) => {
-                self.cluster.checker().request_unread();
+                self.cluster.checker().request_unanswered();
             }
             Ok(Ok(response)) => {
                 return self.response_received(id, connection, &request, &response);
@@ -282,7 +282,7 @@
                 self.cluster.checker().client_disconnected(id);
             }
             Err(_) if self.node.was_killed(generation) => {
-                self.cluster.checker().request_unread();
+                self.cluster.checker().request_unanswered();
             }
             Err(_) => self
                 .cluster
@@ -397,7 +397,7 @@
     fn response_ended_early(&self, id: &str, network_failed: bool, generation: u64) {
         let mut checker = self.cluster.checker();
         if self.node.was_killed(generation) {
-            checker.request_unread();
+            checker.request_unanswered();
         } else if network_failed || checker.backend_restarted(id) {
             checker.response_interrupted();
         } else {
@@ -422,14 +422,14 @@
         };
         let mut checker = self.cluster.checker();
         if self.node.was_killed(generation) {
-            checker.request_unread();
+            checker.request_unanswered();
         } else if checker.was_forwarded(id) {
             checker.request_lost(
                 id,
                 "forwarded to a backend, but the connection ended without a response",
             );
         } else if unread {
-            checker.request_unread();
+            checker.request_unanswered();
         } else {
             checker.request_lost(
                 id,
--- a/crates/soak-test/src/cluster.rs
+++ b/crates/soak-test/src/cluster.rs
@@ -173,7 +173,7 @@
     /// Lists a backend as draining, or removes it from the endpoint list, and tells the checker.
     /// The backend itself goes on responding.
     pub fn withdraw_backend(&self, backend: BackendIndex, state: EndpointState) {
-        self.checker().backend_taken_out(backend);
+        self.checker().backend_withdrawn(backend);
         self.change_endpoint(backend, |backend| backend.state.set(state));
     }
 
--- a/crates/soak-test/src/discovery.rs
+++ b/crates/soak-test/src/discovery.rs
@@ -143,9 +143,9 @@
     for (index, backend) in cluster.backends.iter().enumerate() {
         let index = BackendIndex(index);
         if backend.state.get() != EndpointState::Active {
-            checker.drain_written(node, index);
+            checker.record_drain_written(node, index);
         } else if backend.started_at_ms.get() > 0 {
-            checker.start_written(node, index);
+            checker.record_start_written(node, index);
         }
         let is_included = match since {
             Some(since) => backend.changed_at_revision.get() > since,
--- a/crates/soak-test/src/http.rs
+++ b/crates/soak-test/src/http.rs
@@ -21,7 +21,7 @@
     /// Body, as long as `Content-Length` says; empty without that header.
     pub body: Vec<u8>,
     /// When the reader first had a byte of the message.
-    pub first_byte: Instant,
+    pub first_byte_at: Instant,
 }
 
 /// One header field.
@@ -32,7 +32,7 @@
 
 impl Message {
     /// Parses a head into a message with an empty body. Lines without a colon are ignored.
-    fn from_head(head: &str, first_byte: Instant) -> Self {
+    fn from_head(head: &str, first_byte_at: Instant) -> Self {
         let mut lines = head.trim_end().lines();
         let start_line = lines.next().unwrap_or_default().to_owned();
         let headers = lines.filter_map(Header::parse).collect();
@@ -40,7 +40,7 @@
             start_line,
             headers,
             body: Vec::new(),
-            first_byte,
+            first_byte_at,
         }
     }
 
@@ -159,10 +159,10 @@
         if self.received.is_empty() {
             self.receive_more().await?;
         }
-        let first_byte = Instant::now();
+        let first_byte_at = Instant::now();
         let head_length = self.receive_head().await?;
         let head = String::from_utf8_lossy(&self.received[..head_length]);
-        let mut message = Message::from_head(&head, first_byte);
+        let mut message = Message::from_head(&head, first_byte_at);
         let length = head_length + message.content_length();
         while self.received.len() < length {
             self.receive_more().await?;
--- a/crates/soak-test/src/invariants/attempts.rs
+++ b/crates/soak-test/src/invariants/attempts.rs
@@ -30,7 +30,7 @@
     /// The backend that the attempt reached.
     pub backend: BackendIndex,
     /// When the backend saw its first byte.
-    pub first_byte: Instant,
+    pub first_byte_at: Instant,
     /// How long the node waits for the response, by the attempt's `X-Timeout`. `None` if that is
     /// missing or invalid.
     pub timeout: Option<Duration>,
@@ -50,7 +50,7 @@
 /// What the checker knows of an attempt that has reached a backend.
 pub(super) struct AttemptRecord {
     pub(super) backend: BackendIndex,
-    pub(super) first_byte: Instant,
+    pub(super) first_byte_at: Instant,
     /// [`Execution::Possible`] until the backend reports otherwise.
     pub(super) execution: Execution,
     /// Whether the attempt has ended at its backend, which responds to it.
@@ -63,7 +63,7 @@
     fn new(arrival: AttemptArrival) -> Self {
         AttemptRecord {
             backend: arrival.backend,
-            first_byte: arrival.first_byte,
+            first_byte_at: arrival.first_byte_at,
             execution: Execution::Possible,
             answered: false,
             socket: arrival.socket,
@@ -94,7 +94,7 @@
         self.totals.attempts += 1;
         if !self.requests.contains_key(request_id) {
             let backend = arrival.backend;
-            self.violated(
+            self.record_violation(
                 Invariant::NoInventedMessage,
                 format!("backend {backend} received request {request_id}, which no client sent"),
             );
@@ -108,7 +108,7 @@
             index: request.attempts.len() - 1,
         };
         for problem in problems {
-            self.violated_for_request(&problem, request_id);
+            self.record_request_violation(&problem, request_id);
         }
         Some(attempt)
     }
@@ -131,13 +131,13 @@
             return Vec::new();
         };
         let node = request.node;
-        let (backend, first_byte) = (arrival.backend, arrival.first_byte);
-        let duplicate = self.duplicate_problem(request, backend, first_byte);
-        let client_disconnected = client_disconnected_problem(request, first_byte);
+        let (backend, first_byte_at) = (arrival.backend, arrival.first_byte_at);
+        let duplicate = self.duplicate_problem(request, backend, first_byte_at);
+        let client_disconnected = client_disconnected_problem(request, first_byte_at);
         let deadline = deadline_problem(request, arrival);
-        let drain = self.drain_problem(node, backend, first_byte);
-        let maintenance = self.maintenance_problem(node, backend, first_byte);
-        let slow_start = self.slow_start_problem(node, backend, first_byte);
+        let drain = self.drain_problem(node, backend, first_byte_at);
+        let maintenance = self.maintenance_problem(node, backend, first_byte_at);
+        let slow_start = self.slow_start_problem(node, backend, first_byte_at);
         [
             Problem::from_check(Invariant::NoDuplicateExecution, duplicate),
             Problem::from_check(Invariant::NoLostRequest, client_disconnected),
@@ -154,13 +154,13 @@
 
 /// Describes the problem of an attempt that reached a backend too long after its client had
 /// disconnected. `None` if the attempt is allowed.
-fn client_disconnected_problem(request: &RequestRecord, first_byte: Instant) -> Option<String> {
+fn client_disconnected_problem(request: &RequestRecord, first_byte_at: Instant) -> Option<String> {
     let disconnected_at = request.client_disconnected_at?;
     let limit = disconnected_at + CLIENT_DISCONNECT_LIMIT + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
-    if first_byte <= limit {
+    if first_byte_at <= limit {
         return None;
     }
-    let elapsed_ms = (first_byte - disconnected_at).as_millis();
+    let elapsed_ms = (first_byte_at - disconnected_at).as_millis();
     Some(format!(
         "attempt sent {elapsed_ms} ms after its client disconnected"
     ))
@@ -174,7 +174,7 @@
         return Some("attempt without a valid X-Timeout".to_owned());
     };
     let elapsed = request.sent.map_or(Duration::ZERO, |sent| {
-        arrival.first_byte.saturating_duration_since(sent)
+        arrival.first_byte_at.saturating_duration_since(sent)
     });
     let remaining = request.timeout.saturating_sub(elapsed);
     if timeout <= remaining + TIMEOUT_ALLOWANCE + OBSERVER_ALLOWANCE {
--- a/crates/soak-test/src/invariants/drain.rs
+++ b/crates/soak-test/src/invariants/drain.rs
@@ -119,18 +119,18 @@
         self.nodes[node.0].last_reload = Some(Instant::now());
     }
 
-    /// Records that discovery writes to a node that a backend drains or is not listed. Only the
-    /// first such call of a process counts.
-    pub fn drain_written(&mut self, node: NodeIndex, backend: BackendIndex) {
+    /// Records that discovery writes to a node that a backend drains or is not listed. When the
+    /// node counts as notified may be later. Only the first such call of a process counts.
+    pub fn record_drain_written(&mut self, node: NodeIndex, backend: BackendIndex) {
         self.nodes[node.0]
             .drains_written
             .entry(backend)
             .or_insert_with(Instant::now);
     }
 
-    /// Records that discovery writes a backend's start to a node. Only the first call after each
-    /// start counts.
-    pub fn start_written(&mut self, node: NodeIndex, backend: BackendIndex) {
+    /// Records that discovery writes a backend's start to a node. When the node counts as notified
+    /// may be later. Only the first call after each start counts.
+    pub fn record_start_written(&mut self, node: NodeIndex, backend: BackendIndex) {
         self.nodes[node.0]
             .starts_written
             .entry(backend)
@@ -138,27 +138,27 @@
     }
 
     /// Records that a backend begins to drain or is removed. Only the first call counts.
-    pub fn backend_taken_out(&mut self, backend: BackendIndex) {
+    pub fn backend_withdrawn(&mut self, backend: BackendIndex) {
         self.backends[backend.0]
-            .taken_out
+            .withdrawn
             .get_or_insert_with(Instant::now);
     }
 
-    /// Describes the problem of an attempt that reached a backend at `first_byte`, longer than the
-    /// grace period after the node was notified that the backend drains or is removed. `None` if
-    /// the attempt is allowed.
+    /// Describes the problem of an attempt that reached a backend at `first_byte_at`, longer than
+    /// the grace period after the node was notified that the backend drains or is removed. `None`
+    /// if the attempt is allowed.
     pub(super) fn drain_problem(
         &self,
         node: NodeIndex,
         backend: BackendIndex,
-        first_byte: Instant,
+        first_byte_at: Instant,
     ) -> Option<String> {
         let notified = self.drain_notified_at(node, backend)?;
         let limit = notified + self.plan.drain_grace + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
-        if first_byte <= limit {
+        if first_byte_at <= limit {
             return None;
         }
-        let elapsed_ms = (first_byte - notified).as_millis();
+        let elapsed_ms = (first_byte_at - notified).as_millis();
         let discovery = self.discovery.describe(self.traffic_started);
         Some(format!(
             "attempt sent to backend {backend} {elapsed_ms} ms after the node was notified of its \
@@ -170,9 +170,9 @@
     /// way was first: a poll, a watch, a reload, or what discovery is known to have written to it.
     /// `None` if it does not count as notified yet.
     fn drain_notified_at(&self, node: NodeIndex, backend: BackendIndex) -> Option<Instant> {
-        let taken_out = self.backends[backend.0].taken_out?;
+        let withdrawn = self.backends[backend.0].withdrawn?;
         let notifications = &self.nodes[node.0];
-        let since = taken_out.max(notifications.process_started);
+        let since = withdrawn.max(notifications.process_started);
         let reachable =
             self.discovery
                 .first_period_start(since, Duration::ZERO, DiscoveryMode::is_responding);
--- a/crates/soak-test/src/invariants/duplicates.rs
+++ b/crates/soak-test/src/invariants/duplicates.rs
@@ -10,12 +10,12 @@
 
 impl InvariantChecker {
     /// Describes the problem of one more attempt of `request`, which reached `backend` at
-    /// `first_byte`. `None` if the request's class and the plan's hedging allow it.
+    /// `first_byte_at`. `None` if the request's class and the plan's hedging allow it.
     pub(super) fn duplicate_problem(
         &self,
         request: &RequestRecord,
         backend: BackendIndex,
-        first_byte: Instant,
+        first_byte_at: Instant,
     ) -> Option<String> {
         let any_in_flight = || request.attempts.iter().any(AttemptRecord::is_in_flight);
         if !self.plan.hedging_allowed && any_in_flight() {
@@ -37,8 +37,8 @@
                 "keyed request sent again outside the scope of its key"
             }
             Idempotency::Keyed => {
-                let window_end = earlier.first_byte + class.key_window;
-                if first_byte <= window_end + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE {
+                let window_end = earlier.first_byte_at + class.key_window;
+                if first_byte_at <= window_end + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE {
                     return None;
                 }
                 "keyed request sent again after its key window"
--- a/crates/soak-test/src/invariants/maintenance.rs
+++ b/crates/soak-test/src/invariants/maintenance.rs
@@ -25,27 +25,27 @@
     /// Records a violation of [`Invariant::AdminCall`]: `call` is the path that was called, and
     /// `problem` says what is wrong with the answer.
     pub fn admin_call_failed(&mut self, node: NodeIndex, call: &str, problem: &str) {
-        self.violated(
+        self.record_violation(
             Invariant::AdminCall,
             format!("node {node}: admin call {call}: {problem}"),
         );
     }
 
-    /// Describes the problem of an attempt that reached a backend at `first_byte`, longer than the
-    /// grace period after the node confirmed that the backend is in maintenance. `None` if the
+    /// Describes the problem of an attempt that reached a backend at `first_byte_at`, longer than
+    /// the grace period after the node confirmed that the backend is in maintenance. `None` if the
     /// attempt is allowed.
     pub(super) fn maintenance_problem(
         &self,
         node: NodeIndex,
         backend: BackendIndex,
-        first_byte: Instant,
+        first_byte_at: Instant,
     ) -> Option<String> {
         let confirmed = *self.maintenance.get(&(node, backend))?;
         let limit = confirmed + self.plan.drain_grace + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
-        if first_byte <= limit {
+        if first_byte_at <= limit {
             return None;
         }
-        let elapsed_ms = (first_byte - confirmed).as_millis();
+        let elapsed_ms = (first_byte_at - confirmed).as_millis();
         Some(format!(
             "attempt sent to backend {backend} {elapsed_ms} ms after its maintenance was confirmed"
         ))
--- a/crates/soak-test/src/invariants/mod.rs
+++ b/crates/soak-test/src/invariants/mod.rs
@@ -180,7 +180,7 @@
     }
 
     /// Records a violation of `invariant` that is noticed now.
-    pub fn violated(&mut self, invariant: Invariant, description: String) {
+    pub fn record_violation(&mut self, invariant: Invariant, description: String) {
         self.violations.push(Violation {
             invariant,
             at: self.traffic_started.elapsed(),
@@ -190,10 +190,10 @@
 
     /// Records a violation that concerns a request, and appends the request's trace to its
     /// description.
-    fn violated_for_request(&mut self, problem: &Problem, request_id: &str) {
+    fn record_request_violation(&mut self, problem: &Problem, request_id: &str) {
         let trace = self.trace(request_id);
         let description = format!("{}: {trace}", problem.description);
-        self.violated(problem.invariant, description);
+        self.record_violation(problem.invariant, description);
     }
 
     /// Returns the counts so far.
--- a/crates/soak-test/src/invariants/requests.rs
+++ b/crates/soak-test/src/invariants/requests.rs
@@ -73,7 +73,7 @@
         };
         request.attempts.iter().any(|attempt| {
             let started = self.backends[attempt.backend.0].started;
-            started.is_some_and(|started| started >= attempt.first_byte)
+            started.is_some_and(|started| started >= attempt.first_byte_at)
         })
     }
 
@@ -83,9 +83,9 @@
         self.totals.failed += 1;
     }
 
-    /// Records that a request was not read, or that its node was killed, so that its client may
-    /// send it again. This is no violation.
-    pub fn request_unread(&mut self) {
+    /// Counts a request as unanswered: it was not read, or its node was killed, so that its client
+    /// may send it again. This is no violation.
+    pub fn request_unanswered(&mut self) {
         self.totals.unanswered += 1;
     }
 
@@ -96,7 +96,7 @@
             invariant: Invariant::NoLostRequest,
             description: reason.to_owned(),
         };
-        self.violated_for_request(&problem, id);
+        self.record_request_violation(&problem, id);
     }
 
     /// Returns whether any attempt of a request has reached a backend.
@@ -129,7 +129,7 @@
                 trace,
                 ", attempt reached backend {} at {} (execution: {:?})",
                 attempt.backend,
-                self.trace_time(attempt.first_byte),
+                self.trace_time(attempt.first_byte_at),
                 attempt.execution
             );
         }
--- a/crates/soak-test/src/invariants/responses.rs
+++ b/crates/soak-test/src/invariants/responses.rs
@@ -31,7 +31,7 @@
             ),
         ];
         for problem in problems.into_iter().flatten() {
-            self.violated_for_request(&problem, id);
+            self.record_request_violation(&problem, id);
         }
         match status {
             200 => self.totals.served += 1,
@@ -49,7 +49,7 @@
                 "altered response body of {bytes} bytes, expected at least {expected_bytes}"
             ),
         };
-        self.violated_for_request(&problem, id);
+        self.record_request_violation(&problem, id);
     }
 
     /// Describes the problem of a rejection (429 or 503) of a request for which a retry may not be
@@ -92,7 +92,7 @@
     let deadline = request.sent? + request.timeout;
     let limit = deadline + RESPONSE_ALLOWANCE + SOCKET_ALLOWANCE + OBSERVER_ALLOWANCE;
     let came_at = if response.body.len() > MAX_BUFFERED_BYTES {
-        response.first_byte
+        response.first_byte_at
     } else {
         Instant::now()
     };
--- a/crates/soak-test/src/invariants/slow_start.rs
+++ b/crates/soak-test/src/invariants/slow_start.rs
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub(super) struct BackendRecord {
     /// When it began to drain or was removed. `None` while it has not.
-    pub(super) taken_out: Option<Instant>,
+    pub(super) withdrawn: Option<Instant>,
     /// When it last started during the run. `None` if it has run since before the run, at full
     /// capacity.
     pub(super) started: Option<Instant>,
--- a/crates/soak-test/src/proxy_node.rs
+++ b/crates/soak-test/src/proxy_node.rs
@@ -308,7 +308,7 @@
         let problem = format!("node {}: {problem}", self.index);
         self.cluster
             .checker()
-            .violated(Invariant::ProcessLifecycle, problem);
+            .record_violation(Invariant::ProcessLifecycle, problem);
     }
 
     fn signal(&self, signal: i32) {
