--- a/crates/proxy/tests/configuration_reload.rs
+++ b/crates/proxy/tests/configuration_reload.rs
@@ -130,7 +130,7 @@
     watch.0.expect_closed().await;
 }
 
-/// A list that discovery has sent counts as known to the process, also while the process moves to
+/// A process must follow every list that discovery has sent it, also while the process moves to
 /// another address. So lists from the old address are applied until the new address has sent its
 /// snapshot.
 #[tokio::test]
--- a/crates/proxy/tests/discovery_watch.rs
+++ b/crates/proxy/tests/discovery_watch.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// A list that discovery has sent counts as known to the process, also on a call that was given up
+/// A process must follow every list that discovery has sent it, also on a call that it has given up
 /// as unanswered. So a late response has to be read and applied.
 #[tokio::test]
 async fn late_response_to_an_unanswered_call_is_applied() {
@@ -34,8 +34,8 @@
     );
 }
 
-/// A call that was given up has to be read on even if the next watch is open, since that watch may
-/// end without a list.
+/// The response to a call that was given up has to be read even once the next watch is open, since
+/// that watch may end without a list.
 #[tokio::test]
 async fn late_response_is_applied_although_the_next_watch_is_open() {
     let backend = ScriptedServer::new().await;
@@ -54,8 +54,8 @@
     proxy.wait_for_revision(2).await;
 }
 
-/// A snapshot omits draining endpoints and keeps the revision all the same. So a late snapshot of
-/// the revision held may still remove backends, and has to be applied.
+/// A snapshot omits draining endpoints without having a new revision for that. So a late snapshot
+/// of the revision that the process already has may still remove backends, and has to be applied.
 #[tokio::test]
 async fn late_snapshot_of_the_same_revision_is_applied() {
     let (kept, left) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -86,8 +86,8 @@
     connection.expect_closed().await;
 }
 
-/// Changes to a pushed list count as known to the process as soon as discovery is back, so
-/// discovery has to be called often while it is unavailable.
+/// A process must follow changes of a pushed list as soon as discovery is available again, so it
+/// has to call discovery often while that is unavailable.
 #[tokio::test]
 async fn unavailable_discovery_is_retried_often() {
     let backend = ScriptedServer::new().await;
@@ -105,7 +105,7 @@
 }
 
 /// Discovery has to send an empty line every 2 s. A watch that receives none may be cut off from
-/// updates that count as known to the process, so it has to be opened again.
+/// updates that the process must follow, so it has to be opened again.
 #[tokio::test]
 async fn silent_watch_is_reopened() {
     let backend = ScriptedServer::new().await;
@@ -189,7 +189,7 @@
     let (mut connection, _) = discovery.accept_request().await;
     connection.respond("503 Service Unavailable", "", "").await;
     let (mut watch, _) = discovery.accept_watch().await;
-    // A list may arrive in parts.
+    // A list may arrive in several chunks.
     let list = json!({"revision": 2, "complete": true, "members": []}).to_string();
     let (a, b) = list.split_at(11);
     watch.0.write(&format!("{:x}\r\n{a}\r\n", a.len())).await;
@@ -210,7 +210,8 @@
     );
 }
 
-/// Where lists are polled, the end of a watch, or its rejection, is reported to the balancer as a
+/// Where lists are polled (`registry_mode` is `subscribe`), the process opens a watch only when the
+/// balancer asks for one. The end of a watch, or its rejection, is reported to the balancer as a
 /// failed call, and the balancer asks for the next one.
 #[tokio::test]
 async fn polled_discovery_is_called_when_the_balancer_asks() {
@@ -288,8 +289,8 @@
     let _ = discovery.accept_request().await;
 }
 
-/// A list that begins and does not end has to be given up and requested again, whatever still
-/// arrives after it.
+/// A list that begins and does not end has to be given up and requested again, even if the watch
+/// goes on to receive empty lines.
 #[tokio::test]
 async fn unterminated_list_is_requested_again() {
     let backend = ScriptedServer::new().await;
--- a/crates/proxy/tests/endpoint_lists.rs
+++ b/crates/proxy/tests/endpoint_lists.rs
@@ -6,8 +6,8 @@
 use serde_json::json;
 
 /// A snapshot removes the backends that it does not name, a delta those that it names as removed,
-/// and the address of a backend may change under the same id. Requests must go by the list at each
-/// moment.
+/// and the address of a backend may change under the same id. Each request must be sent according
+/// to the list that is current at the time.
 #[tokio::test]
 async fn requests_follow_the_endpoint_list() {
     let (one, two) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -46,8 +46,8 @@
     client.expect_status(503).await;
 }
 
-/// Connections to a machine that has died look open. Once the list gives a backend's new start
-/// time, requests must not go to connections of its earlier process.
+/// Connections to a machine that has died still look open. Once the list gives a backend's new
+/// start time, requests must not go to connections of its earlier process.
 #[tokio::test]
 async fn backend_restart_abandons_its_connections() {
     let backend = ScriptedServer::new().await;
@@ -77,7 +77,8 @@
 }
 
 /// The list names a backend as draining while a connection to it is being opened. Nothing may be
-/// sent on that connection. Since nothing was sent, even a non-idempotent request may be rejected.
+/// sent on that connection. Since no backend has received the request, it may be rejected with
+/// status 503 although it is non-idempotent.
 #[tokio::test]
 async fn drain_received_while_connecting_prevents_the_attempt() {
     let (listener, address, queued_connections) = full_listener().await;
@@ -87,7 +88,8 @@
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    // The request has been read by then, and a connection for it is being opened.
+    // Once this call is answered, the request has been read and a connection for it is being
+    // opened.
     proxy.get("/health/live").await;
     watch
         .send_list(2, false, &[endpoint("s", address, "leaving")])
@@ -131,7 +133,8 @@
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    // The request has been read by then, and a connection for it is being opened.
+    // Once this call is answered, the request has been read and a connection for it is being
+    // opened.
     proxy.get("/health/live").await;
     watch
         .send_list(2, false, &[endpoint("s", new.address(), "active")])
@@ -186,7 +189,8 @@
         revision += 1;
         let mut extreme = endpoint("s", backend.address(), "active");
         extreme[key] = value.clone();
-        // The entry is listed twice, beside a reasonable one and a removed one that was never listed.
+        // The extreme entry is listed twice, beside a reasonable one and a removed one that was
+        // never listed.
         let removed = json!({"id": "", "phase": "left"});
         watch
             .send_list(
@@ -342,8 +346,8 @@
     }
 }
 
-/// Pushed lists count as known to a process from its start, and the list of its configuration may
-/// be out of date. So a request that arrives first has to wait for the pushed list.
+/// A process must follow the pushed list from its start, and the list of its configuration may be
+/// out of date. So a request that arrives before the pushed list has to wait for it.
 #[tokio::test]
 async fn new_process_waits_for_the_pushed_list() {
     let (old, new) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -395,8 +399,8 @@
     client.expect_status(200).await;
 }
 
-/// Lists of thousands of endpoints are usable, and a line of the log stays of readable length under
-/// them.
+/// Lists of thousands of endpoints are usable, and a `stats` line of the log stays short enough to
+/// read under them.
 #[tokio::test]
 async fn list_of_thousands_of_endpoints_is_applied() {
     let backend = ScriptedServer::new().await;
@@ -463,8 +467,8 @@
     client.expect_status(200).await;
 }
 
-/// A list may name draining endpoints only, that of the configuration as well as one from
-/// discovery. The process must not report itself as ready until an active endpoint is listed.
+/// The list of the configuration, as well as one from discovery, may name draining endpoints only.
+/// The process must not report itself as ready until an active endpoint is listed.
 #[tokio::test]
 async fn process_without_active_endpoints_is_not_ready() {
     let backend = ScriptedServer::new().await;
--- a/crates/proxy/tests/start_beside_running_backends.rs
+++ b/crates/proxy/tests/start_beside_running_backends.rs
@@ -1,5 +1,5 @@
 //! Integration tests of a node's first seconds, above all of one that starts while its backends
-//! have been running for long.
+//! have been running for a long time.
 
 mod common;
 use common::*;
@@ -14,11 +14,12 @@
 const BACKENDS: usize = 6;
 /// Time between two requests, those of all clients taken together.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(8);
-/// Number of requests that the clients send. The slow start takes longer than they do.
+/// Number of requests that the clients send. Sending them takes less time than the slow start.
 const REQUESTS: usize = 360;
 /// Service time of a warm backend.
 const SERVICE_TIME: Duration = Duration::from_millis(21);
-/// Requests per second that a warm backend can serve, where its rate is limited.
+/// Requests per second that a warm backend counts as able to serve. Only [`Service::Warming`]
+/// enforces a rate derived from it.
 const WARM_RATE: f64 = 40.0;
 /// Length of the intervals over which the requests to a backend are compared with what it can
 /// serve; `overload_for_ns` in the settings.
@@ -31,8 +32,11 @@
 /// The settings of slow start.
 #[derive(Clone, Copy)]
 struct SlowStart {
+    /// Fraction of its full capacity that a backend has when it starts.
     initial_capacity: f64,
+    /// Time from its start until a backend has its full capacity.
     duration: Duration,
+    /// Multiple of its available capacity above which a backend is overloaded.
     overload_multiple: f64,
 }
 
@@ -65,6 +69,7 @@
         limit + 3.0 * limit.sqrt() + 3.0
     }
 
+    /// The default settings with this slow start.
     fn settings(self) -> Value {
         let mut settings = settings();
         let nanoseconds = |duration: Duration| json!(duration.as_nanos() as u64);
@@ -79,9 +84,9 @@
 /// How a backend serves requests.
 #[derive(Clone, Copy)]
 enum Service {
-    /// Any number of requests at a time, each within [`SERVICE_TIME`].
+    /// Any number of requests at a time, each in [`SERVICE_TIME`].
     Warm,
-    /// One request at a time, at the rate of a backend that is in slow start.
+    /// One request at a time, at the rate of a backend in slow start that started with the test.
     Warming(SlowStart),
 }
 
@@ -89,7 +94,7 @@
 struct ServingBackend {
     service: Service,
     started_at: Instant,
-    /// Held by the request that is being processed, where there is one at a time.
+    /// Held by the request that is being processed; used only under [`Service::Warming`].
     core: tokio::sync::Mutex<()>,
     /// When each request arrived.
     arrivals: Mutex<Vec<Instant>>,
@@ -116,6 +121,7 @@
         (backend, address)
     }
 
+    /// Serves the requests of one connection until it ends.
     async fn serve_connection(self: Arc<Self>, mut connection: Connection) {
         while connection.read().await.is_some() {
             let arrivals = self.arrivals.lock();
@@ -125,6 +131,7 @@
         }
     }
 
+    /// Waits as long as the service of one request takes.
     async fn work(&self) {
         match self.service {
             Service::Warm => sleep(SERVICE_TIME).await,
@@ -136,6 +143,7 @@
         }
     }
 
+    /// Number of requests received so far.
     fn requests(&self) -> usize {
         self.arrivals.lock().expect("no panic").len()
     }
@@ -161,13 +169,14 @@
 /// When a backend was last started.
 #[derive(Clone, Copy)]
 enum Start {
-    /// Long ago: its endpoint has no timestamp.
+    /// Long ago: its endpoint's timestamp is 0, which counts as none.
     LongAgo,
     /// This many seconds ago, by its endpoint's timestamp.
     Ago(i64),
 }
 
 impl Start {
+    /// The start in milliseconds of Unix time, as the endpoint list gives it.
     fn timestamp(self) -> u64 {
         match self {
             Start::LongAgo => 0,
@@ -187,7 +196,8 @@
     starts: [Start; BACKENDS],
     service: Service,
     slow_start: SlowStart,
-    /// How far the node's wall clock is ahead of the backends', in seconds; negative if behind.
+    /// How far the node's wall clock is ahead of the clock of the backends' timestamps, in seconds;
+    /// negative if it is behind.
     clock_offset: i64,
 }
 
@@ -269,8 +279,8 @@
     expect_all_served([Start::Ago(2 * HOUR); BACKENDS], 0).await;
 }
 
-/// By a wall clock that may have been stepped, these backends cannot be told from ones that have
-/// just started. The node must not shed load for that reason.
+/// Since wall clocks may have been stepped, the node cannot tell these backends from ones that have
+/// just started. It must not shed load for that reason.
 #[tokio::test]
 async fn backends_that_started_together_minutes_ago_are_used_in_full() {
     expect_all_served([Start::Ago(10 * MINUTE); BACKENDS], 0).await;
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -1,5 +1,5 @@
-//! Integration tests of system calls that fail or stall, as Linux documents it, and of requests and
-//! connections that have to wait.
+//! Integration tests of system calls that fail or stall, as Linux documents that they may, and of
+//! requests and connections that have to wait.
 
 mod common;
 use common::*;
@@ -127,7 +127,7 @@
     let faults = FaultInjection::new();
     let backend = ScriptedServer::new().await;
     let (proxy, _discovery, _watch) = serve_with_faults(&faults, &[("s", &backend)]).await;
-    // With a pause after each of the failures it would take nearly a minute.
+    // If the process paused after each of the failures, the request would take nearly a minute.
     let single_connection_errors = [
         libc::ECONNABORTED,
         libc::EINTR,
@@ -206,7 +206,8 @@
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    // The request has been read by then, and a connection for it is being opened.
+    // Once this call is answered, the request has been read and a connection for it is being
+    // opened.
     proxy.get("/health/live").await;
     watch
         .send_list(2, false, &[endpoint("s", address, "leaving")])
@@ -270,14 +271,14 @@
     }
 }
 
-/// A request arrives while its connection waits to be accepted. Its timeout runs from then on, and
-/// the backend is told what is left of it.
+/// A request arrives while its connection waits to be accepted. Its timeout runs from its arrival,
+/// and the backend is told what is left of it.
 #[tokio::test]
 async fn deadline_runs_while_a_connection_waits_to_be_accepted() {
     let (backend, discovery) = (ScriptedServer::new().await, ScriptedServer::new().await);
     let known = serde_json::json!({"revision": 1, "complete": true, "members": [endpoint("s", backend.address(), "active")]});
     let builder = ProxyBuilder::new(discovery.address()).config("known", known);
-    // Discovery never answers: the process waits 0.6 s for its list.
+    // Discovery never answers: the process waits 0.6 s for its list before it accepts connections.
     let proxy = builder.start().await;
     let _first = proxy.connect().await;
     let mut client = proxy.connect().await;
@@ -294,9 +295,9 @@
     client.expect_status(200).await;
 }
 
-/// The rest of each head arrives at the moment at which a connection is evicted to free its slot.
-/// Each request must get a response, or its connection must be reset with unread bytes, so that the
-/// client sends it again.
+/// Clients send the first half of a request head, and the rest at the moment at which one of their
+/// connections is evicted to free its slot. Each request must get a response, or its connection
+/// must be reset with unread bytes, so that the client sends it again.
 #[tokio::test]
 async fn rest_of_a_head_that_crosses_an_eviction_is_not_lost() {
     /// More clients than the process has connection slots.
--- a/crates/soak-test/src/clients/mod.rs
+++ b/crates/soak-test/src/clients/mod.rs
@@ -45,8 +45,8 @@
 const MALFORMED_PROBABILITY: f64 = 0.3;
 /// Timeout of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time beyond all allowances for which a client that does not disconnect early awaits its
-/// response.
+/// How long a client that does not disconnect early waits for its response beyond the request's
+/// timeout and all allowances.
 const EXTRA_WAIT: Duration = Duration::from_millis(200);
 /// Time within which a reset follows the close of a connection if the node left something on it
 /// unread.
@@ -154,7 +154,8 @@
         let mut tasks = Vec::new();
         while !clients.cluster.traffic_ended.get() {
             sleep(clients.draw_interarrival_time()).await;
-            // A load balancer sends nothing new to a node that has been down for a while.
+            // A load balancer sends nothing new to a node that has been down for a while. In plans
+            // with operations, clients still use their open connections to it.
             if !clients.node.receives_traffic() && !clients.use_connections_until_exit() {
                 continue;
             }
@@ -209,7 +210,8 @@
 
     /// Opens a new connection; `None` if it is not established in time. In plans with operations
     /// the node's listener outlives its processes, and a connection to a node without a process
-    /// would wait for the next one. None is opened then while the node receives no traffic.
+    /// would wait for the next one. So in these plans none is opened while the node receives no
+    /// traffic.
     async fn connect(&self) -> Option<Connection> {
         if self.use_connections_until_exit() && !self.node.receives_traffic() {
             return None;
@@ -261,8 +263,8 @@
             request.timeout + RESPONSE_ALLOWANCE + OBSERVER_ALLOWANCE + EXTRA_WAIT
         };
         match timeout(wait_limit, connection.read()).await {
-            // The request may have waited at the listener for the next process, which does not know
-            // how long it waited.
+            // The response is not checked: the request may have waited at the listener for the next
+            // process, which does not know how long it waited.
             Ok(Ok(_)) if self.use_connections_until_exit() && self.node.was_killed(generation) => {
                 self.cluster.checker().request_unanswered();
             }
@@ -364,8 +366,8 @@
         connection.write(second.as_bytes()).await
     }
 
-    /// Reports a complete response to the checker, and an altered or too short body of a success.
-    /// Returns whether the connection can be used again.
+    /// Reports a complete response to the checker, and, if it is a success, whether its body is
+    /// altered or too short. Returns whether the connection can be used again.
     fn response_received(
         &self,
         id: &str,
@@ -392,8 +394,8 @@
         }
     }
 
-    /// Reports that the connection ended within a large response, as the client can tell. That is
-    /// excused only by a killed node, a backend that restarted or a network failure.
+    /// Reports that the connection ended within a large response, which the client can detect. That
+    /// is excused only by a killed node, a backend that restarted or a network failure.
     fn response_ended_early(&self, id: &str, network_failed: bool, generation: u64) {
         let mut checker = self.cluster.checker();
         if self.node.was_killed(generation) {
--- a/crates/soak-test/src/cluster.rs
+++ b/crates/soak-test/src/cluster.rs
@@ -155,8 +155,8 @@
         self.checker.borrow_mut()
     }
 
-    /// Returns the address of the member at position `member` of a group, counted from 0. Its port
-    /// is 0, so that the system chooses a free one when the address is bound.
+    /// Returns the address of a group's member, by its index from 0. Its port is 0, so that the
+    /// system chooses a free one when the address is bound.
     ///
     /// # Panics
     ///
@@ -170,8 +170,8 @@
             .into()
     }
 
-    /// Lists a backend as draining, or removes it from the endpoint list, and tells the checker.
-    /// The backend itself goes on responding.
+    /// Lists a backend as draining, or removes it from the endpoint list, as `state` says, and
+    /// tells the checker. The backend itself goes on responding.
     pub fn withdraw_backend(&self, backend: BackendIndex, state: EndpointState) {
         self.checker().backend_withdrawn(backend);
         self.change_endpoint(backend, |backend| backend.state.set(state));
--- a/crates/soak-test/src/fault_injector.rs
+++ b/crates/soak-test/src/fault_injector.rs
@@ -29,11 +29,12 @@
 const STATE_WRITE_FAILURE_RATE: u64 = 500_000;
 /// Duration of one pause of a node.
 const PAUSE_DURATION: Duration = Duration::from_millis(150);
-/// Least time between two pauses of a node, since the allowances of the invariants cover only one.
+/// Least time between two pauses of a node, since the time that the invariant checks allow for
+/// delays covers only one.
 const MIN_PAUSE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Waits until a fault is due, counted from the call, injects it, and ends it after its duration.
-/// Must be called within a `LocalSet` when the traffic starts.
+/// Waits until a fault is due, injects it, and ends it after its duration. The time of the fault
+/// counts from this call, which must be made when the traffic starts, within a `LocalSet`.
 pub async fn inject(
     cluster: Rc<TestCluster>,
     nodes: Vec<Rc<ProxyNode>>,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Returns the nodes at these positions.
+    /// Returns the nodes at these indices, in the same order.
     fn nodes_at<'a>(&'a self, nodes: &'a [NodeIndex]) -> impl Iterator<Item = &'a Rc<ProxyNode>> {
         nodes.iter().map(|&node| &self.nodes[node.0])
     }
@@ -209,7 +210,8 @@
         .set_rate(PAUSE_RATE, PAUSE_DURATION, MIN_PAUSE_INTERVAL);
 }
 
-/// Makes system calls of a node fail at random, or move only a few bytes.
+/// Makes the system calls of this group fail at random in a node's processes. Under
+/// [`SystemCallFault::ShortIo`], reads and writes transfer only a few bytes instead.
 fn fail_system_calls(node: &ProxyNode, calls: SystemCallFault) {
     let set_failure_rate =
         |call, rate, errors: &[i32]| node.control.faults(call).set_rate(rate, errors);
--- a/crates/soak-test/src/proxy_node.rs
+++ b/crates/soak-test/src/proxy_node.rs
@@ -29,15 +29,15 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Timeout of the response to a single readiness check.
 const READY_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Clients still open connections this long after SIGTERM, as until a load balancer notices it.
+/// Clients open connections for this long after SIGTERM, as if a load balancer noticed it late.
 const TRAFFIC_STOP_DELAY: Duration = Duration::from_millis(300);
 /// Least time from SIGTERM to SIGKILL, beyond the longest deadline of any request class.
 const KILL_DELAY_BEYOND_DEADLINE: Duration = Duration::from_millis(700);
-/// Lower bound of the longest deadline in the computation of the shutdown timeout.
+/// Deadline that the shutdown timeout is computed with if all request classes have shorter ones.
 const MIN_LONGEST_DEADLINE: Duration = Duration::from_secs(3);
 /// Time that a process may take to exit at the end of the run, beyond the shutdown timeout.
 const FINAL_STOP_ALLOWANCE: Duration = Duration::from_secs(1);
-/// Wait at the beginning of a reload, so that none is signalled right after a node's start.
+/// Wait at the beginning of a reload, so that no SIGHUP is sent right after a node's start.
 const RELOAD_DELAY: Duration = Duration::from_millis(100);
 /// A node's previous discovery address accepts connections for this long after a reload.
 const OLD_DISCOVERY_LIFETIME: Duration = Duration::from_millis(1500);
@@ -58,7 +58,7 @@
 
 /// One proxy node: its process, and all that is needed to start it again.
 pub struct ProxyNode {
-    /// The node's position among the nodes of the run.
+    /// Index of the node among the nodes of the run.
     pub index: NodeIndex,
     /// Address at which the node accepts clients; every process of the node listens there.
     pub address: SocketAddr,
@@ -81,7 +81,7 @@
     has_stopped: Cell<bool>,
     /// Number of processes started so far; see [`ProxyNode::generation`].
     generation: Cell<u64>,
-    /// Generation of the last process that a fault killed; 0 if none was.
+    /// Generation, from 1, of the last process that a fault killed; 0 if none was.
     killed_generation: Cell<u64>,
     /// Whether a load balancer in front of the node would send it new requests.
     receives_traffic: Cell<bool>,
@@ -108,7 +108,7 @@
         let folder = folder.join(format!("n{index}"));
         std::fs::create_dir_all(folder.join("tmp"))?;
         let control = ControlFile::create(&folder.join("faults"))?;
-        // The system chooses a port once, and the node keeps it: nothing else uses the IP address.
+        // The node keeps the port that the system chooses here: nothing else uses the IP address.
         let listener = TcpListener::bind(cluster.address(AddressGroup::Nodes, index.0))?;
         let address = listener.local_addr()?;
         let inherits_listener = cluster.plan.scenario == Scenario::Operations;
@@ -177,7 +177,7 @@
             .sum()
     }
 
-    /// Returns how many connections of its processes were made to break so far.
+    /// Returns how many reads were made to fail so far, each of which breaks its connection.
     pub fn connections_broken(&self) -> u64 {
         self.control.faults(SystemCall::Receive).failure_count()
     }
@@ -202,7 +202,7 @@
         Ok(previous)
     }
 
-    /// Replaces the node's configuration file atomically.
+    /// Replaces the node's configuration file atomically by one with this address of discovery.
     fn write_config(&self, discovery: SocketAddr) -> io::Result<()> {
         let plan = &self.cluster.plan;
         let mut settings = plan.settings();
@@ -245,14 +245,15 @@
         let Some(listener) = &self.listener else {
             return command.spawn();
         };
-        // The system chooses a free port, as for the address for clients.
+        // The system chooses a free port. It is released at once, for the process to bind.
         let admin_address = self.cluster.address(AddressGroup::Admin, self.index.0);
         let admin_address = TcpListener::bind(admin_address)?.local_addr()?;
         self.admin_address.set(admin_address);
         command
             .env("GW_CONSOLE", admin_address.to_string())
             .env("GW_LISTEN_FD", listener.as_raw_fd().to_string());
-        // Processes of other nodes spawned meanwhile inherit the socket too, but do not use it.
+        // Other nodes' processes spawned before close-on-exec is set again inherit the socket too,
+        // but do not use it.
         let listener = SockRef::from(listener);
         listener.set_cloexec(false)?;
         let process = command.spawn();
@@ -326,7 +327,7 @@
         }
     }
 
-    /// Whether the current process runs. Records a violation if it has exited unasked.
+    /// Whether the current process runs. Records a violation if it has exited unexpectedly.
     pub fn check_running(&self) -> bool {
         let mut process = self.process.borrow_mut();
         let exit_status = process
@@ -359,8 +360,8 @@
         longest_deadline.max(MIN_LONGEST_DEADLINE) + KILL_DELAY_BEYOND_DEADLINE
     }
 
-    /// Sends SIGTERM, and SIGKILL after the shutdown timeout, and starts a new process afterwards.
-    /// Does nothing if the current process is already ending or being replaced.
+    /// Sends SIGTERM, also SIGKILL if the process outlives the shutdown timeout, and starts a new
+    /// one afterwards. Does nothing if the current process is already ending or being replaced.
     pub async fn restart(&self) {
         if self.ending.replace(true) {
             return;
