--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -27,7 +27,7 @@
     /// configuration and an inherited listener.
     pub variables: &'a [(String, String)],
     /// Limit on descriptors that the system enforces; `None` leaves the limit of the test.
-    pub descriptor_limit: Option<u32>,
+    pub system_descriptor_limit: Option<u32>,
     /// Listener for clients that the process inherits.
     pub inherited_listener: Option<&'a std::net::TcpListener>,
 }
@@ -68,7 +68,7 @@
     /// set.
     fn command(&self) -> Command {
         let program = env!("CARGO_BIN_EXE_balancer-proxy");
-        let Some(limit) = self.descriptor_limit else {
+        let Some(limit) = self.system_descriptor_limit else {
             return Command::new(program);
         };
         let mut shell = Command::new("/bin/sh");
@@ -98,11 +98,11 @@
     let options = SpawnOptions {
         config,
         variables: &variables,
-        descriptor_limit: None,
+        system_descriptor_limit: None,
         inherited_listener: None,
     };
     within(
-        "the process to exit",
+        "the exit of the process",
         options.spawn().child.wait_with_output(),
     )
     .await
@@ -179,7 +179,7 @@
                 tokio::time::sleep(STATE_POLL_INTERVAL).await;
             }
         };
-        within("the process to be ready", ready).await;
+        within("the readiness of the process", ready).await;
     }
 
     /// Waits until the process reports at its admin address that it is ready. Each call has a
@@ -198,7 +198,7 @@
                 tokio::time::sleep(STATE_POLL_INTERVAL).await;
             }
         };
-        within("the endpoint list to be applied", applied).await;
+        within("the application of the endpoint list", applied).await;
     }
 
     /// Changes one value of the configuration file, and signals a reload.
@@ -283,13 +283,13 @@
         let pid = self.child.id().expect("the process has exited").to_string();
         let spawn = || Command::new("kill").args(["-s", signal, &pid]).spawn();
         let mut kill = spawn_locked(spawn, Child::id).expect("kill could not be spawned");
-        let status = within("kill to exit", kill.wait()).await;
+        let status = within("the exit of kill", kill.wait()).await;
         assert!(status.expect("the exit status of kill").success());
     }
 
     /// Waits for the process to exit, and returns its exit status.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
-        within("the process to exit", self.child.wait())
+        within("the exit of the process", self.child.wait())
             .await
             .expect("the exit status of the process")
     }
--- a/crates/proxy/tests/start_beside_running_backends.rs
+++ b/crates/proxy/tests/start_beside_running_backends.rs
@@ -1,5 +1,5 @@
 //! Integration tests of a node's first seconds, above all of one that starts while its backends
-//! have been running for long.
+//! have been running for a long time.
 
 mod common;
 use common::*;
@@ -14,11 +14,12 @@
 const BACKENDS: usize = 6;
 /// Time between two requests, those of all clients taken together.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(8);
-/// Number of requests that the clients send. The slow start takes longer than they do.
+/// Number of requests that the clients send. Sending them takes less time than the slow start.
 const REQUESTS: usize = 360;
 /// Service time of a warm backend.
 const SERVICE_TIME: Duration = Duration::from_millis(21);
-/// Requests per second that a warm backend can serve, where its rate is limited.
+/// Requests per second that a warm backend counts as able to serve. Only [`Service::Warming`]
+/// enforces a rate derived from it.
 const WARM_RATE: f64 = 40.0;
 /// Length of the intervals over which the requests to a backend are compared with what it can
 /// serve; `overload_for_ns` in the settings.
@@ -31,8 +32,11 @@
 /// The settings of slow start.
 #[derive(Clone, Copy)]
 struct SlowStart {
+    /// Fraction of its full capacity that a backend has when it starts.
     initial_capacity: f64,
+    /// Time from its start until a backend has its full capacity.
     duration: Duration,
+    /// Multiple of its available capacity above which a backend is overloaded.
     overload_multiple: f64,
 }
 
@@ -65,6 +69,7 @@
         limit + 3.0 * limit.sqrt() + 3.0
     }
 
+    /// The default settings with this slow start.
     fn settings(self) -> Value {
         let mut settings = settings();
         let nanoseconds = |duration: Duration| json!(duration.as_nanos() as u64);
@@ -79,9 +84,9 @@
 /// How a backend serves requests.
 #[derive(Clone, Copy)]
 enum Service {
-    /// Any number of requests at a time, each within [`SERVICE_TIME`].
+    /// Any number of requests at a time, each in [`SERVICE_TIME`].
     Warm,
-    /// One request at a time, at the rate of a backend that is in slow start.
+    /// One request at a time, at the rate of a backend in slow start that started with the test.
     Warming(SlowStart),
 }
 
@@ -89,7 +94,7 @@
 struct ServingBackend {
     service: Service,
     started_at: Instant,
-    /// Held by the request that is being processed, where there is one at a time.
+    /// Held by the request that is being processed; used only under [`Service::Warming`].
     core: tokio::sync::Mutex<()>,
     /// When each request arrived.
     arrivals: Mutex<Vec<Instant>>,
@@ -109,13 +114,14 @@
         let serving = backend.clone();
         tokio::spawn(async move {
             loop {
-                let connection = server.accept_when_it_comes().await;
+                let connection = server.accept_without_timeout().await;
                 tokio::spawn(serving.clone().serve_connection(connection));
             }
         });
         (backend, address)
     }
 
+    /// Serves the requests of one connection until it ends.
     async fn serve_connection(self: Arc<Self>, mut connection: Connection) {
         while connection.read().await.is_some() {
             let arrivals = self.arrivals.lock();
@@ -125,6 +131,7 @@
         }
     }
 
+    /// Waits as long as the service of one request takes.
     async fn work(&self) {
         match self.service {
             Service::Warm => sleep(SERVICE_TIME).await,
@@ -136,6 +143,7 @@
         }
     }
 
+    /// Number of requests received so far.
     fn requests(&self) -> usize {
         self.arrivals.lock().expect("no panic").len()
     }
@@ -161,13 +169,14 @@
 /// When a backend was last started.
 #[derive(Clone, Copy)]
 enum Start {
-    /// Long ago: its endpoint has no timestamp.
+    /// Long ago: its endpoint's timestamp is 0, which counts as none.
     LongAgo,
     /// This many seconds ago, by its endpoint's timestamp.
     Ago(i64),
 }
 
 impl Start {
+    /// The start in milliseconds of Unix time, as the endpoint list gives it.
     fn timestamp(self) -> u64 {
         match self {
             Start::LongAgo => 0,
@@ -187,8 +196,9 @@
     starts: [Start; BACKENDS],
     service: Service,
     slow_start: SlowStart,
-    /// Step of the node's wall clock, in seconds.
-    clock_step: i64,
+    /// How far the node's wall clock is ahead of the clock of the backends' timestamps, in seconds;
+    /// negative if it is behind.
+    clock_offset: i64,
 }
 
 /// The outcome of a scenario.
@@ -202,7 +212,7 @@
     /// Starts the backends and the node, and sends the requests.
     async fn run(self) -> ScenarioOutcome {
         let faults = FaultInjection::new();
-        faults.control.step_wall_clock(self.clock_step);
+        faults.control.set_wall_clock_offset(self.clock_offset);
         let mut backends = Vec::new();
         let mut endpoints = Vec::new();
         for (number, start) in self.starts.into_iter().enumerate() {
@@ -248,17 +258,17 @@
 
 /// Runs a scenario with warm backends and the usual slow start, and asserts that every request was
 /// served.
-async fn expect_all_served(starts: [Start; BACKENDS], clock_step: i64) {
+async fn expect_all_served(starts: [Start; BACKENDS], clock_offset: i64) {
     let scenario = Scenario {
         starts,
         service: Service::Warm,
         slow_start: USUAL_SLOW_START,
-        clock_step,
+        clock_offset,
     };
     let outcome = scenario.run().await;
     assert_eq!(
         outcome.unserved, 0,
-        "of {REQUESTS} requests, at a clock step of {clock_step} s"
+        "of {REQUESTS} requests, at a clock offset of {clock_offset} s"
     );
 }
 
@@ -269,8 +279,8 @@
     expect_all_served([Start::Ago(2 * HOUR); BACKENDS], 0).await;
 }
 
-/// By a wall clock that may have been stepped, these backends cannot be told from ones that have
-/// just started. The node must not shed load for that reason.
+/// Since wall clocks may have been stepped, the node cannot tell these backends from ones that have
+/// just started. It must not shed load for that reason.
 #[tokio::test]
 async fn backends_that_started_together_minutes_ago_are_used_in_full() {
     expect_all_served([Start::Ago(10 * MINUTE); BACKENDS], 0).await;
@@ -314,22 +324,22 @@
 /// rest, so that every request is still served.
 #[tokio::test]
 async fn young_backend_is_held_back_beside_old_ones() {
-    for clock_step in [0, HOUR, -HOUR] {
+    for clock_offset in [0, HOUR, -HOUR] {
         let mut starts = [Start::Ago(2 * HOUR); BACKENDS];
         starts[0] = Start::Ago(0);
         let scenario = Scenario {
             starts,
             service: Service::Warm,
             slow_start: USUAL_SLOW_START,
-            clock_step,
+            clock_offset,
         };
         let outcome = scenario.run().await;
-        assert_eq!(outcome.unserved, 0, "at a clock step of {clock_step} s");
+        assert_eq!(outcome.unserved, 0, "at a clock offset of {clock_offset} s");
         let at_young = outcome.backends[0].requests();
         let mean_of_old = (REQUESTS - at_young) / (BACKENDS - 1);
         assert!(
             2 * at_young < mean_of_old,
-            "{at_young} requests, {mean_of_old} at an old one, at a clock step of {clock_step} s"
+            "{at_young} requests, {mean_of_old} at an old one, at a clock offset of {clock_offset} s"
         );
     }
 }
@@ -338,12 +348,12 @@
 /// requests than they can take.
 #[tokio::test]
 async fn fleet_that_has_just_started_is_not_overloaded() {
-    for clock_step in [0, HOUR, -HOUR] {
+    for clock_offset in [0, HOUR, -HOUR] {
         let scenario = Scenario {
             starts: [Start::Ago(0); BACKENDS],
             service: Service::Warming(COLD_SLOW_START),
             slow_start: COLD_SLOW_START,
-            clock_step,
+            clock_offset,
         };
         for backend in scenario.run().await.backends {
             backend.assert_not_overloaded(COLD_SLOW_START);
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -1,5 +1,5 @@
-//! Integration tests of system calls that fail or stall, as Linux documents it, and of requests and
-//! connections that have to wait.
+//! Integration tests of system calls that fail or stall, as Linux documents that they may, and of
+//! requests and connections that have to wait.
 
 mod common;
 use common::*;
@@ -86,14 +86,14 @@
     }
     client.send("safe", "20000m").await;
     assert!(
-        client.closed_over_unread_bytes().await,
+        client.closed_with_unread_bytes().await,
         "the request was read, and got no response"
     );
     // Nothing of it was forwarded, and it is served when sent again.
     let mut again = proxy.connect().await;
     again.send("safe", "20000m").await;
     let request = connection.read().await.expect("the repeated request");
-    assert!(request.start.starts_with("GET /safe"));
+    assert!(request.start_line.starts_with("GET /safe"));
     connection.respond("200 OK", "", "").await;
     again.expect_status(200).await;
 }
@@ -112,7 +112,7 @@
         .reconfigure("discovery", serde_json::json!(other.address().to_string()))
         .await;
     let (_, request) = other.accept_request().await;
-    assert!(request.start.starts_with("GET /registry/instances"));
+    assert!(request.start_line.starts_with("GET /registry/instances"));
     assert_eq!(
         faults
             .control
@@ -127,7 +127,7 @@
     let faults = FaultInjection::new();
     let backend = ScriptedServer::new().await;
     let (proxy, _discovery, _watch) = serve_with_faults(&faults, &[("s", &backend)]).await;
-    // With a pause after each of the failures it would take nearly a minute.
+    // If the process paused after each of the failures, the request would take nearly a minute.
     let single_connection_errors = [
         libc::ECONNABORTED,
         libc::EINTR,
@@ -206,14 +206,15 @@
         .await;
     let mut client = proxy.connect().await;
     client.send("unsafe", "20000m").await;
-    // The request has been read by then, and a connection for it is being opened.
+    // Once this call is answered, the request has been read and a connection for it is being
+    // opened.
     proxy.get("/health/live").await;
     watch
         .send_list(2, false, &[endpoint("s", address, "leaving")])
         .await;
     proxy.wait_for_revision(2).await;
     for _ in 0..queued_connections.len() {
-        within("a connection", listener.accept())
+        within("a queued connection", listener.accept())
             .await
             .expect("a connection");
     }
@@ -250,7 +251,7 @@
         .send_list(2, false, &[endpoint("two", two.address(), "active")])
         .await;
     client.expect_status(504).await;
-    assert!(two.is_untouched().await);
+    assert!(two.receives_no_connection().await);
 }
 
 /// Every read returns only a part of the bytes that have arrived. The rest of a list must not wait
@@ -270,14 +271,14 @@
     }
 }
 
-/// A request arrives while its connection waits to be accepted. Its timeout runs from then on, and
-/// the backend is told what is left of it.
+/// A request arrives while its connection waits to be accepted. Its timeout runs from its arrival,
+/// and the backend is told what is left of it.
 #[tokio::test]
 async fn deadline_runs_while_a_connection_waits_to_be_accepted() {
     let (backend, discovery) = (ScriptedServer::new().await, ScriptedServer::new().await);
     let known = serde_json::json!({"revision": 1, "complete": true, "members": [endpoint("s", backend.address(), "active")]});
     let builder = ProxyBuilder::new(discovery.address()).config("known", known);
-    // Discovery never answers: the process waits 0.6 s for its list.
+    // Discovery never answers: the process waits 0.6 s for its list before it accepts connections.
     let proxy = builder.start().await;
     let _first = proxy.connect().await;
     let mut client = proxy.connect().await;
@@ -294,9 +295,9 @@
     client.expect_status(200).await;
 }
 
-/// The rest of each head arrives at the moment at which a connection is evicted to free its slot.
-/// Each request must get a response, or its connection must be reset over unread bytes, so that the
-/// client sends it again.
+/// Clients send the first half of a request head, and the rest at the moment at which one of their
+/// connections is evicted to free its slot. Each request must get a response, or its connection
+/// must be reset with unread bytes, so that the client sends it again.
 #[tokio::test]
 async fn rest_of_a_head_that_crosses_an_eviction_is_not_lost() {
     /// More clients than the process has connection slots.
@@ -308,13 +309,13 @@
     let backend = ScriptedServer::new().await;
     let discovery = ScriptedServer::new().await;
     let (proxy, _watch) = ProxyBuilder::new(discovery.address())
-        .descriptors(64)
+        .configured_descriptors(64)
         .faults(&faults)
         .start_ready(&discovery, &[endpoint("s", backend.address(), "active")])
         .await;
     let backend_task = tokio::spawn(async move {
         loop {
-            let mut connection = backend.accept_when_it_comes().await;
+            let mut connection = backend.accept_without_timeout().await;
             tokio::spawn(async move {
                 while connection.read().await.is_some() {
                     connection.respond("200 OK", "", "").await;
@@ -344,11 +345,11 @@
             assert!(
                 [200, 503].contains(&response.status()),
                 "{}",
-                response.start
+                response.start_line
             );
         } else {
             assert!(
-                client.closed_over_unread_bytes().await,
+                client.closed_with_unread_bytes().await,
                 "the request was read, and lost"
             );
             reset_connections += 1;
