--- a/crates/balancer/examples/scripted_overload.rs
+++ b/crates/balancer/examples/scripted_overload.rs
@@ -94,7 +94,7 @@
 struct Phase {
     /// Its start, in milliseconds from the start of the script.
     start_ms: u64,
-    /// Requests per second.
+    /// Requests that arrive per second, at even intervals.
     rate: u64,
     /// Whether [`UNRELIABLE`] refuses connections.
     unreliable_fails: bool,
--- a/crates/balancer/src/actions.rs
+++ b/crates/balancer/src/actions.rs
@@ -42,7 +42,7 @@
     Reject {
         /// The request to be rejected.
         request: RequestId,
-        /// After which time the client should retry; `None` if it is not to be told.
+        /// After which time the client should retry; `None` if the rejection names no time.
         retry_after: Option<Duration>,
         /// Why the request is given up.
         reason: GiveUpReason,
--- a/crates/balancer/src/admission_tests.rs
+++ b/crates/balancer/src/admission_tests.rs
@@ -13,7 +13,7 @@
 };
 use std::time::Duration;
 
-/// Sends `count` requests, one every 20 ms; each attempt ends at once with the given outcome,
+/// Sends `count` requests, one every 20 ms; each attempt ends immediately with the given outcome,
 /// latency and load report. Returns the shed fraction after the last of them. `first_request` is
 /// both the id of the first request and the time of its arrival in milliseconds.
 fn shed_after(
--- a/crates/balancer/src/backend_table.rs
+++ b/crates/balancer/src/backend_table.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Applies an endpoint list, or the changed entries of a delta. After a whole list, backends
+    /// Applies an endpoint list, or the changed entries of a delta. After a complete list, backends
     /// that it does not name are removed. Removed backends stay in the table while they have
     /// attempts in flight. New and restarted backends start at `initial_price`.
     pub fn apply(
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -46,7 +46,7 @@
     pub(crate) admission: Admission,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) probing: LoadProbing,
-    /// Requests that are still owed a final response or that have an attempt in flight.
+    /// Requests whose client still waits for a final response or that have an attempt in flight.
     pub(crate) requests: FxHashMap<RequestId, Request>,
 }
 
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Removes a request if it is owed no response and has no attempt in flight.
+    /// Removes a request if its client no longer waits for a response and no attempt is in flight.
     fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self
             .requests
--- a/crates/balancer/src/balancer/attempts.rs
+++ b/crates/balancer/src/balancer/attempts.rs
@@ -21,7 +21,7 @@
 struct EndedAttempt {
     /// Where the attempt was sent.
     backend: BackendId,
-    /// The request's class.
+    /// The class of the request that the attempt served, an index into the settings' classes.
     class: ClassId,
     /// The request's work in seconds on a standard core, if known.
     work: Option<f64>,
@@ -117,8 +117,9 @@
         self.fleet.record_attempt(now, backend_id);
     }
 
-    /// Updates the estimates from the end of an attempt. Then retries the request if it is still
-    /// owed a response and has no other attempt in flight, or removes it once it is finished.
+    /// Updates the estimates from the end of an attempt. Then retries the request if its client
+    /// still waits for a response and it has no other attempt in flight, or removes it once it is
+    /// finished.
     ///
     /// The load report is recorded even if the request or the attempt is no longer known.
     pub(super) fn on_attempt_ended(
@@ -247,8 +248,8 @@
     }
 
     /// Ends a request without a backend's response: with a rejection if the client may repeat it
-    /// harmlessly, otherwise with a failure. Does nothing if a response has started or is no longer
-    /// owed.
+    /// harmlessly, otherwise with a failure. Does nothing if a response has started or the client
+    /// no longer waits for one.
     pub(super) fn give_up(
         &mut self,
         id: RequestId,
--- a/crates/balancer/src/balancer/probes.rs
+++ b/crates/balancer/src/balancer/probes.rs
@@ -12,8 +12,8 @@
 
 impl Balancer {
     /// Draws candidates by share and probes those whose load is not known. If no answer has to be
-    /// awaited, the attempt starts at once. Returns whether there are any candidates; otherwise the
-    /// request has been given up.
+    /// awaited, the attempt starts immediately. Returns whether there are any candidates; otherwise
+    /// the request has been given up.
     pub(super) fn probe_candidates(
         &mut self,
         now: Time,
--- a/crates/balancer/src/balancer_tests.rs
+++ b/crates/balancer/src/balancer_tests.rs
@@ -167,7 +167,8 @@
     };
     assert_eq!(handle(&mut balancer, at(5000), body_received), []);
     assert_eq!(backend_state(&balancer, id).in_flight, [at(5000)]);
-    // The first backend rejects the request at once, so all of its time is left for a retry.
+    // The first backend rejects the request 1 ms later, so nearly all of its time is left for a
+    // retry.
     let actions = end_attempt(&mut balancer, at(5001), 1, id, AttemptOutcome::Rejected);
     assert!(
         matches!(actions[..], [Action::StartAttempt { .. }]),
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -108,7 +108,7 @@
 
     /// Returns the longest wait, in seconds, after a failed call. Consecutive failures double it.
     /// The time that the latest call took is subtracted, down to the shortest backoff: a call that
-    /// was given up as unanswered has already been a pause.
+    /// timed out without an answer has already been a pause.
     fn backoff(&self, now: Time) -> f64 {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let max_wait = (MIN_BACKOFF * f64::from(1u32 << doublings)).min(MAX_BACKOFF);
--- a/crates/balancer/src/endpoint_list_tests.rs
+++ b/crates/balancer/src/endpoint_list_tests.rs
@@ -65,16 +65,16 @@
 }
 
 /// Changes missed by failing calls count as notified 6 s after discovery had them and could be
-/// reached. At that moment a call may be in flight that will be given up as unanswered, the next
-/// may fail as well, and the one after that has to bring the list. This holds whatever failed
-/// before, however long the poll interval is, and also at the first start.
+/// reached. At that moment a call may be in flight that will time out unanswered, the next may fail
+/// as well, and the one after that has to bring the list. This holds whatever failed before,
+/// however long the poll interval is, and also at the first start.
 #[test]
 fn two_more_calls_fit_in_before_a_change_counts_as_notified() {
-    /// Time after which the node gives up a call that is not answered.
+    /// Time after which the node abandons a call that is not answered.
     const CALL_TIMEOUT: Duration = ms(2500);
     /// Time that is left for the call that brings the list.
     const SUCCESSFUL_CALL: Duration = ms(500);
-    /// Duration of a call that fails at once.
+    /// Duration of a call that fails immediately.
     const NO_TIME: Duration = Duration::ZERO;
     let durations_of_failing_calls = [
         [NO_TIME, NO_TIME],
@@ -141,7 +141,7 @@
         nodes: NODES,
         ..settings()
     };
-    // 600 slots are 30 s, during which every call fails at once.
+    // 600 slots are 30 s, during which every call fails immediately.
     let mut calls_per_slot = [0u32; 600];
     for seed in 0..u64::from(NODES) {
         let mut balancer = Balancer::new(settings.clone(), seed, at(0)).expect("valid settings");
--- a/crates/balancer/src/estimators.rs
+++ b/crates/balancer/src/estimators.rs
@@ -11,7 +11,7 @@
 
 /// An exponentially weighted mean of samples.
 pub struct ExponentialMean {
-    /// The present mean.
+    /// The present mean, in the unit of the samples.
     value: f64,
     /// Weight of each new sample, between 0 and 1.
     gain: f64,
@@ -23,7 +23,7 @@
         ExponentialMean { value, gain }
     }
 
-    /// Records a sample.
+    /// Moves the mean towards `sample` by the fraction `gain` of their difference.
     pub fn record(&mut self, sample: f64) {
         self.value += (sample - self.value) * self.gain;
     }
--- a/crates/balancer/src/events.rs
+++ b/crates/balancer/src/events.rs
@@ -8,7 +8,7 @@
 /// The state of a backend according to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It takes new requests.
     Active,
     /// It finishes the requests that it has and takes no new ones.
     Draining,
@@ -44,11 +44,11 @@
 /// reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// The whole list as last known, which may be out of date.
+    /// The complete list as last known, which may be out of date.
     Cached,
     /// Only the entries that changed.
     Delta,
-    /// The whole current list; backends that it does not name are removed.
+    /// The complete current list; backends that it does not name are removed.
     Snapshot,
     /// A call to discovery failed or the watch broke. The entries are not applied: the list known
     /// so far stays valid.
@@ -117,7 +117,7 @@
     pub outcome: AttemptOutcome,
     /// Time from the attempt's start to its end.
     pub latency: Duration,
-    /// Whether the client is owed no response any more, so that the request is not retried.
+    /// Whether the client no longer waits for a response, so that the request is not retried.
     pub request_closed: bool,
     /// The load report that the backend sent with its response, if any.
     pub load_report: Option<LoadReport>,
@@ -141,9 +141,9 @@
 pub enum Event {
     /// The endpoint list or a delta arrived, or the attempt to get one failed.
     EndpointList {
-        /// What the entries are: a whole list or changes to it.
+        /// What the entries are: a complete list or changes to it.
         update: ListUpdate,
-        /// The entries of the whole list, or those that changed.
+        /// The entries of the complete list, or those that changed.
         endpoints: Vec<Endpoint>,
     },
     /// A client's request arrived; it expects a final response.
@@ -164,7 +164,7 @@
     },
     /// An attempt ended, with or without a response.
     AttemptEnded(AttemptResult),
-    /// The client disconnected and is owed nothing any more.
+    /// The client disconnected and no longer waits for a response.
     ClientDisconnected {
         /// The request that it had sent.
         request: RequestId,
--- a/crates/balancer/src/fleet.rs
+++ b/crates/balancer/src/fleet.rs
@@ -198,7 +198,7 @@
             self.pricing.update_price(now, backend, typical_latency);
             mean_price += backend.price / count;
             // Past their lifetime, reports lose weight in the mean load exponentially rather than
-            // at once: a fleet that sheds much load receives few reports.
+            // in one step: a fleet that sheds much load receives few reports.
             if let Some(reported_load) = backend.reported.load {
                 let age = (now - backend.reported.reported_at).as_secs_f64();
                 let report_weight = (self.pricing.report_lifetime() - age).min(0.0).exp();
--- a/crates/balancer/src/load_probing.rs
+++ b/crates/balancer/src/load_probing.rs
@@ -50,7 +50,7 @@
 
 /// How long a request is expected to wait at a candidate before it is served.
 struct ExpectedWait {
-    /// The candidate.
+    /// The candidate, one of the backends drawn for the request.
     backend: BackendId,
     /// The expected wait in seconds. It includes the time to open a connection, but not the
     /// request's own work.
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,5 +1,5 @@
-//! The state of one client request: its timing, what the client is owed, its attempts, and the
-//! candidates that are probed for the next one.
+//! The state of one client request: its timing, how far its response has progressed, its attempts,
+//! and the candidates that are probed for the next one.
 
 use crate::events::RequestArrival;
 use crate::ids::{BackendId, CellId, ClassId, ZoneId};
@@ -49,11 +49,11 @@
 /// How far the response to the client has progressed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ResponseState {
-    /// The client is owed a response, and none has started.
+    /// The client waits for a response, and none has started.
     Pending,
     /// A response is being streamed to the client.
     Streaming,
-    /// The client is no longer owed anything.
+    /// The client no longer waits for a response.
     Closed {
         /// Whether a streamed response had started.
         was_streaming: bool,
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Returns the state once the client is owed nothing; keeps whether a streamed response had
-    /// started.
+    /// Returns the state once the client no longer waits for a response; keeps whether a streamed
+    /// response had started.
     pub fn closed(self) -> Self {
         ResponseState::Closed {
             was_streaming: self.has_started(),
@@ -111,8 +111,8 @@
     pub load: CandidateLoad,
 }
 
-/// A client request, kept from its arrival until the client is owed nothing and no attempt is in
-/// flight.
+/// A client request, kept from its arrival until the client no longer waits for a response and no
+/// attempt is in flight.
 pub struct Request {
     /// Its class, which is among those of the settings.
     pub class: ClassId,
@@ -125,7 +125,7 @@
     pub work: Option<f64>,
     /// Whether part of its body has not been received yet.
     pub body_pending: bool,
-    /// How far the response has progressed, and whether the client is still owed one.
+    /// How far the response has progressed, and whether the client still waits for one.
     pub response: ResponseState,
     /// Its attempts, in the order in which they started.
     pub attempts: Vec<Attempt>,
@@ -154,7 +154,7 @@
         !self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether the client is no longer owed anything.
+    /// Whether the client no longer waits for a response.
     pub fn is_closed(&self) -> bool {
         matches!(self.response, ResponseState::Closed { .. })
     }
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -12,7 +12,7 @@
 /// The set of backends among which requests with the same idempotency key are deduplicated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All backends together.
+    /// All backends together, whatever their zone and cell.
     All,
     /// The backends of the same zone.
     Zone,
--- a/crates/balancer/src/share_allocation.rs
+++ b/crates/balancer/src/share_allocation.rs
@@ -93,7 +93,7 @@
 }
 
 impl ShareAllocation {
-    /// Creates an allocation without any shares; they are due at once.
+    /// Creates an allocation without any shares; they are due to be solved immediately.
     pub fn new(settings: Arc<Settings>, now: Time) -> Self {
         let classes = settings.classes.iter().map(|_| ClassAllocation::new(now));
         ShareAllocation {
--- a/crates/balancer/src/share_allocation_tests.rs
+++ b/crates/balancer/src/share_allocation_tests.rs
@@ -158,7 +158,7 @@
             let id = first_request + position;
             let now = at(first_request + position * interval);
             let backend = send_request(balancer, now, id).expect("an idle backend");
-            // The backend responds at once: one without responses would be replaced by others.
+            // The backend responds immediately: one without responses would be replaced by others.
             let result = attempt_result(id, backend, AttemptOutcome::Success);
             handle(balancer, now, Event::AttemptEnded(result));
         }
@@ -203,7 +203,7 @@
 }
 
 /// Load reports arrive late. A backend at which this node has more attempts in flight than usual
-/// gets more expensive at once, before any report shows it.
+/// gets more expensive immediately, before any report shows it.
 #[test]
 fn own_attempts_in_flight_count_before_reports_do() {
     let mut balancer = balancer_of_unknown_capacity();
--- a/crates/balancer/tests/common/observer.rs
+++ b/crates/balancer/tests/common/observer.rs
@@ -43,11 +43,11 @@
 
 /// What the observer knows of a request.
 pub struct ObservedRequest {
-    /// Its request class.
+    /// Its request class, an index into the settings' classes.
     pub class: ClassId,
     /// When its client stops waiting.
     pub deadline: Time,
-    /// Whether its client is still owed a response.
+    /// Whether its client still waits for a response.
     pub is_open: bool,
     /// Its attempts in the order of their numbers, from 0.
     pub attempts: Vec<ObservedAttempt>,
@@ -64,7 +64,7 @@
 
 /// A timer that the balancer has set and that has not fired.
 struct ObservedTimer {
-    /// When it fires.
+    /// Time at which its event is due.
     at: Time,
     /// The id that its event carries.
     timer: TimerId,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Records an endpoint list. A whole list counts as the drain of each known backend that it
+    /// Records an endpoint list. A complete list counts as the drain of each known backend that it
     /// does not name; a drain that is already known keeps its start.
     fn on_endpoint_list(&mut self, now: Time, update: ListUpdate, endpoints: &[Endpoint]) {
         if matches!(update, ListUpdate::Snapshot | ListUpdate::Cached) {
--- a/crates/balancer/tests/protocol_rules.rs
+++ b/crates/balancer/tests/protocol_rules.rs
@@ -383,7 +383,8 @@
     }
 }
 
-/// Rejects a request.
+/// Returns the action that rejects a request for lack of an eligible backend, without a
+/// Retry-After.
 fn reject(request: u64) -> Action {
     Action::Reject {
         request: RequestId(request),
--- a/crates/balancer/tests/slow_start_across_nodes.rs
+++ b/crates/balancer/tests/slow_start_across_nodes.rs
@@ -56,7 +56,7 @@
 struct Scenario {
     /// Whether backends are replaced.
     backend_setup: BackendSetup,
-    /// Number of nodes.
+    /// Number of nodes, which all send to the same backends.
     nodes: u32,
     /// Number of backends that are listed at any one time.
     backends: u32,
@@ -381,7 +381,7 @@
     backend: BackendId,
     /// Its start, in milliseconds from the start of the run.
     from: u64,
-    /// Number of attempts.
+    /// Number of attempts that all nodes start at the backend within the window.
     attempts: usize,
     /// Number of attempts that the backend can take without being overloaded.
     limit: f64,
--- a/crates/balancer/tests/source_size.rs
+++ b/crates/balancer/tests/source_size.rs
@@ -1,4 +1,5 @@
-//! Limits the size of the workspace's source files and functions, so that each can be read at once.
+//! Limits the size of the workspace's source files and functions, so that each can be read as a
+//! whole.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/settings/src/document.rs
+++ b/crates/settings/src/document.rs
@@ -66,7 +66,7 @@
 /// Whether a class's priority weight counts per request or per unit of work: `worth_by`.
 #[derive(Deserialize, Default)]
 pub(crate) enum WeightUnit {
-    /// Per request.
+    /// Once per request, whatever the request's work.
     #[default]
     #[serde(rename = "request")]
     Request,
@@ -85,7 +85,7 @@
     /// execution.
     #[serde(rename = "guarded")]
     Keyed,
-    /// At most once.
+    /// At most once: a request is repeated only if no earlier attempt can have been executed.
     #[serde(rename = "single_shot")]
     NonIdempotent,
 }
@@ -106,13 +106,13 @@
 /// How load reports reach a node, if at all.
 #[derive(Deserialize)]
 pub(crate) enum WireLoadReporting {
-    /// With every response.
+    /// Backends send one with every response.
     #[serde(rename = "piggyback")]
     WithResponses,
     /// In answers to load probes.
     #[serde(rename = "pull")]
     OnProbe,
-    /// Not at all.
+    /// Backends never report their load.
     #[serde(rename = "silent")]
     Absent,
 }
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -46,7 +46,7 @@
     },
 }
 
-/// A running instance.
+/// A running instance: the balancer of one simulated node, and how its load reports are laid out.
 struct Instance {
     balancer: Balancer,
     /// The fields of load reports in its events, in their order.
--- a/crates/simulator-adapter/src/wire/codes.rs
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -18,7 +18,7 @@
     pub(in crate::wire) const CLIENT_DISCONNECTED: u8 = 22;
     /// A message from another instance arrived, `note_from`.
     pub(in crate::wire) const PEER_MESSAGE: u8 = 23;
-    /// The instance starts.
+    /// The instance starts, with a seed and settings.
     pub(in crate::wire) const INIT: u8 = 24;
     /// A response started, `begun`.
     pub(in crate::wire) const RESPONSE_STARTED: u8 = 25;
@@ -34,7 +34,7 @@
     pub(in crate::wire) const CANCEL_ATTEMPT: u8 = 19;
     /// Ask discovery for changes of the endpoint list, `keep_informed`.
     pub(in crate::wire) const REFRESH_ENDPOINT_LIST: u8 = 20;
-    /// Reject a request.
+    /// Answer a request with a rejection, after which the client may repeat it harmlessly.
     pub(in crate::wire) const REJECT: u8 = 21;
     /// Answer a request with a failure, `lose`.
     pub(in crate::wire) const FAIL: u8 = 22;
--- a/crates/simulator-adapter/src/wire/errors.rs
+++ b/crates/simulator-adapter/src/wire/errors.rs
@@ -31,7 +31,7 @@
     UnknownEvent {
         /// Position of the record.
         record: usize,
-        /// The unknown code.
+        /// The record's first byte, which is no known event code.
         code: u8,
     },
     /// A field holds a value without a meaning, or the number of values in a load report is too
--- a/crates/simulator-adapter/src/wire/event_layout.rs
+++ b/crates/simulator-adapter/src/wire/event_layout.rs
@@ -38,7 +38,7 @@
     pub const MESSAGE: usize = 5;
 }
 
-/// An endpoint list.
+/// An endpoint list or changes to it, with its entries in the frame's tail.
 pub mod endpoint_list {
     /// Kind of the list update.
     pub const UPDATE: usize = 1;
@@ -70,7 +70,7 @@
     pub const ID: usize = 1;
 }
 
-/// A request's arrival.
+/// A request's arrival: its tenant, class, remaining time and further properties.
 pub mod arrival {
     /// Position of its tenant.
     pub const TENANT: usize = 9;
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -26,7 +26,7 @@
 pub struct EventFrame<'a> {
     /// Time on the simulator's clock at which all events of the frame happen.
     pub now: Time,
-    /// Number of records.
+    /// Number of event records in the frame.
     count: usize,
     /// The records, each of [`EVENT_RECORD_BYTES`].
     records: &'a [u8],
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -28,7 +28,7 @@
 /// Size of an endpoint's entry in the tail, in bytes.
 pub const ENDPOINT_BYTES: usize = 21;
 /// Largest accepted length of an event frame, in bytes. It is far above that of any real frame, so
-/// that a corrupt length fails at once.
+/// that a corrupt length fails immediately.
 pub const MAX_FRAME_BYTES: usize = 1 << 30;
 /// Largest number of values in a load report.
 const MAX_LOAD_REPORT_FIELDS: usize = 4;
