--- a/crates/proxy/src/admin/operator_control.rs
+++ b/crates/proxy/src/admin/operator_control.rs
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Puts a restriction into force at once. It stays in force, stored or not, until the returned
-    /// value is dropped.
+    /// Puts a restriction into force immediately. It stays in force, stored or not, until the
+    /// returned value is dropped.
     fn restrict(&self, restriction: Restriction) -> PendingRestriction<'_> {
         self.pending.borrow_mut().push(restriction.clone());
         self.apply();
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -48,7 +48,7 @@
     InvalidSettings {
         /// Path of the file.
         path: String,
-        /// What is wrong.
+        /// The contradiction, or the value that is out of range.
         source: balancer::SettingsError,
     },
     /// A required value is given neither by an environment variable nor in the file.
@@ -97,7 +97,7 @@
 
 /// The addresses that a process listens on.
 pub struct ListenConfig {
-    /// Address for clients.
+    /// Address at which clients connect.
     pub clients: SocketAddr,
     /// Number of the inherited descriptor of the listener for clients, not parsed yet. `None` if
     /// the process opens the listener itself.
@@ -136,7 +136,7 @@
 #[derive(Deserialize)]
 #[serde(default)]
 struct FileLimits {
-    /// Memory in MiB.
+    /// Memory for all processes of the node together, in MiB.
     memory_mb: usize,
     #[serde(rename = "sockets")]
     descriptors: usize,
--- a/crates/proxy/src/discovery/json_objects.rs
+++ b/crates/proxy/src/discovery/json_objects.rs
@@ -24,10 +24,10 @@
 /// The kind of JSON text that a byte belongs to, which decides how a quote or a brace is read.
 #[derive(Clone, Copy, Default)]
 enum Context {
-    /// Outside strings.
+    /// Outside strings: a quote begins a string, and braces and brackets nest.
     #[default]
     Structure,
-    /// Inside a string.
+    /// Inside a string: a quote ends it, and braces and brackets are text.
     String,
     /// Inside a string, directly after a backslash.
     Escape,
--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -23,7 +23,7 @@
 
 /// A connection taken from the accept queue.
 pub struct QueuedConnection {
-    /// The accepted connection.
+    /// The accepted connection; nothing has been read from it yet.
     pub stream: TcpStream,
     /// The earliest instant at which the connection may have entered the queue.
     pub queued_since: Instant,
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Accepts the next connection. One that is available at once may have entered the queue at any
-    /// time since the queue was last known to be empty; one that had to be waited for entered it
-    /// just now.
+    /// Accepts the next connection. One that is available immediately may have entered the queue at
+    /// any time since the queue was last known to be empty; one that had to be waited for entered
+    /// it just now.
     ///
     /// # Errors
     ///
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -58,11 +58,11 @@
 /// which arrive in time keep it open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResumableState {
-    /// See [`ConnectionState::AwaitingFirstRequest`].
+    /// No bytes have been received yet, as in [`ConnectionState::AwaitingFirstRequest`].
     AwaitingFirstRequest,
-    /// See [`ConnectionState::ReadingHead`].
+    /// The head of a request is not complete, as in [`ConnectionState::ReadingHead`].
     ReadingHead,
-    /// See [`ConnectionState::Idle`].
+    /// The next request has not begun, as in [`ConnectionState::Idle`].
     Idle,
 }
 
--- a/crates/proxy/src/downstream/lingering_close.rs
+++ b/crates/proxy/src/downstream/lingering_close.rs
@@ -21,9 +21,9 @@
 /// Reads and discards what the client still sends, if it was sent a response before all of its
 /// request was read. The caller closes the connection afterwards.
 ///
-/// Returns at once for any other connection, whose close then resets it if it has unread bytes: the
-/// client sent them before it noticed the close. They were not processed, and the client may send
-/// them again.
+/// Returns immediately for any other connection, whose close then resets it if it has unread bytes:
+/// the client sent them before it noticed the close. They were not processed, and the client may
+/// send them again.
 pub async fn linger(connection: &ClientConnection) {
     let socket = connection.socket();
     if connection.last_request_rejected() {
--- a/crates/proxy/src/downstream/request_handler.rs
+++ b/crates/proxy/src/downstream/request_handler.rs
@@ -46,7 +46,7 @@
 pub struct RequestHandler {
     dispatcher: Rc<Dispatcher>,
     endpoint_updates: Rc<EndpointUpdates>,
-    /// Indexed by class.
+    /// Idempotency of each request class, indexed by class.
     idempotency_by_class: Vec<Idempotency>,
     phase: watch::Receiver<ShutdownPhase>,
 }
--- a/crates/proxy/src/http1/limits.rs
+++ b/crates/proxy/src/http1/limits.rs
@@ -17,5 +17,5 @@
 /// Maximum number of header lines in a head.
 pub const MAX_HEADERS: usize = 100;
 
-/// A streamed message is given up if no byte of it is read or written for this long.
+/// A streamed message is aborted if no byte of it is read or written for this long.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/proxy/src/operator_state/file_lock.rs
+++ b/crates/proxy/src/operator_state/file_lock.rs
@@ -18,8 +18,8 @@
 const PRESENCE_FILES: [&str; 2] = ["birchswitch.0", "birchswitch.1"];
 
 /// Names of the files that show which processes are serving. Each process of a node locks the one
-/// at the index of its presence file in [`PRESENCE_FILES`], until it is told to end. Earlier
-/// versions lock none.
+/// at the index of its presence file in [`PRESENCE_FILES`], until it receives SIGTERM or SIGINT.
+/// Earlier versions lock none.
 const SERVING_FILES: [&str; 2] = ["birchswitch.0.serving", "birchswitch.1.serving"];
 
 /// An exclusive lock on a file. Dropping the value releases the lock.
@@ -88,16 +88,16 @@
 }
 
 /// The locks that show a peer process of the same node that this process runs and whether it has
-/// been told to end, and the checks for the peer's locks.
+/// received SIGTERM or SIGINT, and the checks for the peer's locks.
 #[derive(Default)]
 pub struct Presence {
     /// Index of this process's file in [`PRESENCE_FILES`] and the lock on it, once one was
     /// acquired.
     own: Option<(usize, FileLock)>,
     /// Lock on the file of the same index in [`SERVING_FILES`], once it was acquired and until this
-    /// process is told to end.
+    /// process receives SIGTERM or SIGINT.
     serving: Option<FileLock>,
-    /// Whether this process has been told to end.
+    /// Whether this process has received SIGTERM or SIGINT.
     has_stopped_serving: bool,
 }
 
@@ -121,13 +121,13 @@
         if self.serving.is_none() && !self.has_stopped_serving {
             self.serving = try_lock(&directory.join(SERVING_FILES[own_index])).ok();
         }
-        // A lock of another process's file that can be acquired is released at once.
+        // A lock of another process's file that can be acquired is released immediately.
         (0..paths.len()).any(|index| index != own_index && try_lock(&paths[index]).is_err())
     }
 
-    /// Returns whether another process of the node runs that has not been told to end. An earlier
-    /// version counts as told to end, since it locks no serving file; if this process holds no
-    /// presence file, the answer is always yes.
+    /// Returns whether another process of the node runs that has not received SIGTERM or SIGINT.
+    /// An earlier version counts as having received one, since it locks no serving file; if this
+    /// process holds no presence file, the answer is always yes.
     pub fn peer_process_serving(&mut self, directory: &Path) -> bool {
         if !self.peer_process_running(directory) {
             return false;
@@ -140,7 +140,8 @@
         })
     }
 
-    /// Releases the lock that shows the peer process that this one has not been told to end.
+    /// Releases the lock that shows the peer process that this one has not received SIGTERM or
+    /// SIGINT.
     pub fn stop_serving(&mut self) {
         self.has_stopped_serving = true;
         self.serving = None;
--- a/crates/proxy/src/operator_state/store.rs
+++ b/crates/proxy/src/operator_state/store.rs
@@ -285,15 +285,15 @@
         })
     }
 
-    /// Returns whether another process of this node runs and has not been told to end, so that it
-    /// accepts the connections to a shared listener. Always false without a directory.
+    /// Returns whether another process of this node runs and has not received SIGTERM or SIGINT,
+    /// so that it accepts the connections to a shared listener. Always false without a directory.
     pub fn peer_process_serving(&self) -> bool {
         self.directory
             .as_ref()
             .is_some_and(|directory| self.presence.borrow_mut().peer_process_serving(directory))
     }
 
-    /// Shows a peer process that this one has been told to end.
+    /// Shows a peer process that this one has received SIGTERM or SIGINT.
     pub fn stop_serving(&self) {
         self.presence.borrow_mut().stop_serving();
     }
--- a/crates/proxy/src/requests/attempts.rs
+++ b/crates/proxy/src/requests/attempts.rs
@@ -206,7 +206,7 @@
     ///
     /// # Cancellation
     ///
-    /// Dropping the future closes the connection. The observer is not told.
+    /// Dropping the future closes the connection. The observer is not notified.
     pub async fn run(self) {
         let AttemptTask {
             id,
--- a/crates/proxy/src/requests/class_policies.rs
+++ b/crates/proxy/src/requests/class_policies.rs
@@ -15,7 +15,7 @@
 
 /// The idempotency and latency objective of each request class, and whether hedging is allowed.
 pub struct ClassPolicies {
-    /// Indexed by [`ClassId`].
+    /// Policies of all request classes, indexed by [`ClassId`].
     classes: Vec<ClassPolicy>,
     hedging_allowed: bool,
 }
--- a/crates/proxy/src/requests/dispatcher.rs
+++ b/crates/proxy/src/requests/dispatcher.rs
@@ -2,7 +2,7 @@
 //!
 //! Tasks report what happened; the dispatcher passes these events to the balancer one by one and
 //! turns the actions into I/O. It runs on one thread and never waits, so only those events have to
-//! be queued that executing an action causes at once.
+//! be queued that an action causes while it is being executed.
 
 use super::attempts::{
     Attempt, AttemptEnd, AttemptId, AttemptObserver, AttemptTask, FinishedAttempt,
--- a/crates/proxy/src/requests/request_log.rs
+++ b/crates/proxy/src/requests/request_log.rs
@@ -15,12 +15,13 @@
 /// The final response to a request that is given up, without a response from a backend.
 #[derive(Clone, Copy, Debug)]
 pub enum GivenUpResponse {
-    /// Sent as [`FinalResponse::Rejected`].
+    /// The request was not executed, or repeating it is harmless. Sent as
+    /// [`FinalResponse::Rejected`].
     Rejected {
         /// How long the client should wait before it retries; `None` gives no advice.
         retry_after: Option<Duration>,
     },
-    /// Sent as [`FinalResponse::Failed`].
+    /// The request may have been executed. Sent as [`FinalResponse::Failed`].
     Failed,
 }
 
--- a/crates/proxy/src/requests/responder.rs
+++ b/crates/proxy/src/requests/responder.rs
@@ -15,7 +15,7 @@
 pub struct Responder {
     /// Class policies, which decide whether a response counts as late.
     pub classes: Rc<ClassPolicies>,
-    /// Counters of responses.
+    /// Counters to which each final response is added.
     pub metrics: Rc<Metrics>,
     /// Log that receives a line for each request that is given up, as far as
     /// [`Metrics::may_log_request`] allows.
--- a/crates/proxy/src/resizable_semaphore.rs
+++ b/crates/proxy/src/resizable_semaphore.rs
@@ -68,7 +68,7 @@
         self.excess.set(self.excess.get() - withdrawn);
     }
 
-    /// Acquires a permit, or returns `None` if none is available at once.
+    /// Acquires a permit, or returns `None` if none is available immediately.
     pub fn try_acquire(&self) -> Option<OwnedSemaphorePermit> {
         self.withdraw_excess();
         self.semaphore.clone().try_acquire_owned().ok()
--- a/crates/proxy/src/resource_limits.rs
+++ b/crates/proxy/src/resource_limits.rs
@@ -26,7 +26,7 @@
 /// Largest numbers of connections at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolSizes {
-    /// Connections from clients.
+    /// Connections from all clients together.
     pub client_connections: usize,
     /// Connections to all backends together.
     pub upstream_connections: usize,
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Whether a call on a socket has to be repeated: at once if it was interrupted, or once the socket
-/// is ready.
+/// Whether a call on a socket has to be repeated: immediately if it was interrupted, or once the
+/// socket is ready.
 pub fn is_retryable(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -29,7 +29,7 @@
     /// A listener on a configured address could not be opened.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The configured address.
+        /// The configured address on which listening failed.
         address: SocketAddr,
         /// The error of the system call.
         source: io::Error,
@@ -87,7 +87,7 @@
 
 /// The sockets that the process listens on.
 pub struct Listeners {
-    /// Listener for clients.
+    /// Listener for clients, opened by the process or inherited.
     pub clients: TcpListener,
     /// When the process opened or inherited the listener for clients. Connections may have entered
     /// its accept queue since then.
--- a/crates/proxy/src/transient_errors.rs
+++ b/crates/proxy/src/transient_errors.rs
@@ -40,8 +40,8 @@
 }
 
 /// Returns whether `accept` reported the failure of a single connection or was interrupted, so that
-/// the next connection can be accepted at once. Linux reports network errors that are pending on a
-/// new socket as errors of `accept`.
+/// the next connection can be accepted immediately. Linux reports network errors that are pending
+/// on a new socket as errors of `accept`.
 pub fn is_single_connection_error(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -111,8 +111,9 @@
         self.permits.in_use()
     }
 
-    /// Changes the limit on connections. Idle connections beyond the new limit are closed at once.
-    /// Those in use are not closed; no connection is opened until their number is below the limit.
+    /// Changes the limit on connections. Idle connections beyond the new limit are closed
+    /// immediately. Those in use are not closed; no connection is opened until their number
+    /// is below the limit.
     pub fn resize(&self, max_connections: usize) {
         let excess = self.permits.in_use().saturating_sub(max_connections);
         self.permits.resize(max_connections);
@@ -156,7 +157,8 @@
             .push(idle_connection);
     }
 
-    /// Closes the idle connections to a backend at once, and those in use when they are released.
+    /// Closes the idle connections to a backend immediately, and those in use when they are
+    /// released.
     pub fn invalidate_connections(&self, backend: &Backend) {
         backend.advance_generation();
         self.idle.borrow_mut().remove(&backend.id());
--- a/crates/proxy/tests/admin_api.rs
+++ b/crates/proxy/tests/admin_api.rs
@@ -158,9 +158,9 @@
     }
 }
 
-/// While the node drains, `/health/ready` fails at once, a kept connection is closed with its next
-/// response and an idle one without a further request, and new connections are served for as long
-/// as they arrive. After the drain, connections are kept again.
+/// While the node drains, `/health/ready` fails immediately, a kept connection is closed with its
+/// next response and an idle one without a further request, and new connections are served for as
+/// long as they arrive. After the drain, connections are kept again.
 #[tokio::test]
 async fn drain_closes_client_connections_until_it_ends() {
     let a = ScriptedServer::new().await;
--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -114,7 +114,7 @@
     child: Child,
     /// Its standard error; `None` once the test has closed it.
     log: Option<BufReader<ChildStderr>>,
-    /// Where clients connect.
+    /// Address at which clients connect.
     pub address: SocketAddr,
     /// Address of the admin server, if one is configured.
     admin_address: Option<SocketAddr>,
--- a/crates/proxy/tests/configuration_reload.rs
+++ b/crates/proxy/tests/configuration_reload.rs
@@ -188,8 +188,8 @@
     proxy.wait_for_revision(3).await;
 }
 
-/// Where lists are polled, the process calls a new discovery address at once, although the balancer
-/// has not asked for a list.
+/// Where lists are polled, the process calls a new discovery address immediately, although the
+/// balancer has not asked for a list.
 #[tokio::test]
 async fn polled_discovery_address_is_replaced() {
     let backend = ScriptedServer::new().await;
--- a/crates/proxy/tests/connection_limits.rs
+++ b/crates/proxy/tests/connection_limits.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Connections that arrive at once, while the process is stopped, fill every slot before the
+/// Connections that arrive in one burst, while the process is stopped, fill every slot before the
 /// process has run. Some of them must be evicted all the same.
 #[tokio::test]
 async fn burst_of_idle_connections_does_not_block_new_clients() {
@@ -111,8 +111,8 @@
     client.expect_status(200).await;
 }
 
-/// More clients than there are slots send a request at once. Eviction must close connections
-/// without a request only, not those whose request is still to be read.
+/// More clients than there are slots send a request at the same time. Eviction must close
+/// connections without a request only, not those whose request is still to be read.
 #[tokio::test]
 async fn burst_of_requests_beyond_the_connection_limit_is_served() {
     let backend = ScriptedServer::new().await;
--- a/crates/proxy/tests/discovery_watch.rs
+++ b/crates/proxy/tests/discovery_watch.rs
@@ -6,15 +6,15 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// A process must follow every list that discovery has sent it, also on a call that it has given up
-/// as unanswered. So a late response has to be read and applied.
+/// A process must follow every list that discovery has sent it, also on a call that it has
+/// abandoned as unanswered. So a late response has to be read and applied.
 #[tokio::test]
 async fn late_response_to_an_unanswered_call_is_applied() {
     let backend = ScriptedServer::new().await;
     let (proxy, discovery, watch) = serve(&[("s", &backend)]).await;
     drop(watch);
     let (mut late, _) = discovery.accept_request().await;
-    // The second call is made only once the first has been given up.
+    // The second call is made only once the first has timed out.
     let (_second, _) = discovery.accept_request().await;
     late.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .await;
@@ -34,7 +34,7 @@
     );
 }
 
-/// The response to a call that was given up has to be read even once the next watch is open, since
+/// The response to a call that was abandoned has to be read even once the next watch is open, since
 /// that watch may end without a list.
 #[tokio::test]
 async fn late_response_is_applied_although_the_next_watch_is_open() {
@@ -116,7 +116,7 @@
 }
 
 /// The watch that replaces a silent one may receive nothing either, or not be answered at all. Each
-/// of them has to be given up and followed by another one.
+/// of them has to be abandoned and followed by another one.
 #[tokio::test]
 async fn unanswered_watch_is_given_up() {
     let backend = ScriptedServer::new().await;
@@ -140,7 +140,7 @@
         last.send_list(2, false, &[endpoint("s", backend.address(), "leaving")])
             .await;
         proxy.wait_for_revision(2).await;
-        // Calls that were given up are read until a later one has received a list, and no longer.
+        // Calls that were abandoned are read until a later one has received a list, and no longer.
         first.0.expect_closed().await;
         silent.0.expect_closed().await;
         unanswered.expect_closed().await;
@@ -265,7 +265,7 @@
 }
 
 /// Rejections have made the backoff long. The time that a call went unanswered counts as a pause,
-/// so the next call must follow at once.
+/// so the next call must follow immediately.
 #[tokio::test]
 async fn unanswered_call_is_retried_at_once() {
     let discovery = ScriptedServer::new().await;
@@ -289,8 +289,8 @@
     let _ = discovery.accept_request().await;
 }
 
-/// A list that begins and does not end has to be given up and requested again, even if the watch
-/// goes on to receive empty lines.
+/// A list that begins and does not end has to be abandoned and requested again, even if the
+/// watch goes on to receive empty lines.
 #[tokio::test]
 async fn unterminated_list_is_requested_again() {
     let backend = ScriptedServer::new().await;
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -154,8 +154,9 @@
     assert!(proxy.wait_for_exit().await.success());
 }
 
-/// A process that replaces a killed one must be able to listen on its address at once, although the
-/// kernel still holds connections of the old process, and must request a whole endpoint list.
+/// A process that replaces a killed one must be able to listen on its address immediately, although
+/// the kernel still holds connections of the old process, and must request a complete endpoint
+/// list.
 #[tokio::test]
 async fn killed_process_restarts_on_the_same_address() {
     let backend = ScriptedServer::new().await;
--- a/crates/proxy/tests/large_messages.rs
+++ b/crates/proxy/tests/large_messages.rs
@@ -184,7 +184,7 @@
 }
 
 /// A streamed response without progress for 10 s, because the backend sends no more or because the
-/// client does not read, must be given up: it would hold its connections forever.
+/// client does not read, must be aborted: it would hold its connections forever.
 #[tokio::test]
 async fn stalled_transfer_is_aborted() {
     let backend = ScriptedServer::new().await;
@@ -301,7 +301,8 @@
 }
 
 /// A malformed, oversized or incomplete body, which may show only while it is forwarded, must not
-/// reach the backend as a complete request. A client that still listens is told what is wrong.
+/// reach the backend as a complete request. A client that still reads receives a
+/// response that says what is wrong.
 #[tokio::test]
 async fn malformed_large_body_is_not_forwarded_as_a_request() {
     let backend = ScriptedServer::new().await;
@@ -501,8 +502,8 @@
     assert_eq!(client.read().await.expect("a response").body, b"done");
 }
 
-/// A large response that takes longer than any deadline must not be cut off when the process is
-/// told to shut down.
+/// A large response that takes longer than any deadline must not be cut off when the process
+/// receives SIGTERM.
 #[tokio::test]
 async fn large_response_is_finished_after_sigterm() {
     let backend = ScriptedServer::new().await;
--- a/crates/proxy/tests/listener_inheritance.rs
+++ b/crates/proxy/tests/listener_inheritance.rs
@@ -135,9 +135,9 @@
     assert_eq!(new.admin_call("GET", "/healthcheck").await, 200);
 }
 
-/// Two processes are told to shut down, one soon after the other. The second has no process to hand
-/// over to, since its peer is shutting down as well: if it stopped accepting connections at once,
-/// as for a handover, nobody would accept them.
+/// Two processes receive SIGTERM, one soon after the other. The second has no process to hand over
+/// to, since its peer is shutting down as well: if it stopped accepting connections immediately, as
+/// for a handover, nobody would accept them.
 #[tokio::test]
 async fn process_beside_one_that_shuts_down_accepts_connections_during_shutdown() {
     let (discovery, backend) = (ScriptedServer::new().await, ScriptedServer::new().await);
@@ -153,7 +153,7 @@
     old.wait_for_log("shutting down handing_over=true").await;
     new.signal("TERM").await;
     new.wait_for_log("shutting down handing_over=false").await;
-    // Accepted although the process has been told to shut down, as without a peer process.
+    // Accepted although the process has received SIGTERM, as without a peer process.
     let mut client = new.connect().await;
     assert_eq!(request_served_by(&mut client, &backend).await.status(), 200);
     in_flight.respond("200 OK", "", "").await;
@@ -219,8 +219,8 @@
     }
 }
 
-/// Requests whose head, body, attempt or response is incomplete when the old process is told to
-/// shut down must be finished by it; otherwise an upgrade would fail them.
+/// Requests whose head, body, attempt or response is incomplete when the old process receives
+/// SIGTERM must be finished by it; otherwise an upgrade would fail them.
 #[tokio::test]
 async fn requests_at_every_stage_are_finished_by_the_old_process_of_an_upgrade() {
     /// Size of a body, in bytes; more than the process buffers.
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -47,7 +47,7 @@
 }
 
 /// The process stalls for longer than it waits for data on a watch. An update that arrived
-/// meanwhile must be read before the watch is given up as silent.
+/// meanwhile must be read before the watch is abandoned as silent.
 #[tokio::test]
 async fn list_update_received_during_a_stall_is_applied() {
     let faults = FaultInjection::new();
@@ -272,7 +272,7 @@
 }
 
 /// A request arrives while its connection waits to be accepted. Its timeout runs from its arrival,
-/// and the backend is told what is left of it.
+/// and the backend is sent what is left of it.
 #[tokio::test]
 async fn deadline_runs_while_a_connection_waits_to_be_accepted() {
     let (backend, discovery) = (ScriptedServer::new().await, ScriptedServer::new().await);
--- a/crates/proxy/tests/upstream_attempts.rs
+++ b/crates/proxy/tests/upstream_attempts.rs
@@ -302,7 +302,7 @@
 }
 
 /// A malformed or oversized response must fail the attempt as possibly executed. The connection
-/// must be closed at once: what is kept of an endless response would grow without a bound.
+/// must be closed immediately: what is kept of an endless response would grow without a bound.
 #[tokio::test]
 async fn malformed_responses_end_the_attempt() {
     let backend = ScriptedServer::new().await;
--- a/crates/soak-test/src/cluster.rs
+++ b/crates/soak-test/src/cluster.rs
@@ -77,7 +77,7 @@
     Nodes,
     /// Addresses of the nodes' admin servers.
     Admin,
-    /// Addresses of backends.
+    /// Addresses at which backends accept connections.
     Backends,
     /// Addresses of discovery. A node whose discovery address changes gets one of the next
     /// generation.
--- a/crates/soak-test/src/discovery.rs
+++ b/crates/soak-test/src/discovery.rs
@@ -91,7 +91,7 @@
     path.split_once("follow=1&since=")?.1.parse().ok()
 }
 
-/// Responds to a poll with the whole list.
+/// Responds to a poll with the complete list.
 async fn serve_snapshot(
     cluster: &TestCluster,
     node: NodeIndex,
@@ -135,8 +135,8 @@
     }
 }
 
-/// Returns the whole list, or its changes after revision `since`, and tells the checker that the
-/// node is notified now of the list's current state.
+/// Returns the complete list, or its changes after revision `since`, and informs the checker that
+/// the node is notified now of the list's current state.
 fn endpoint_list(cluster: &TestCluster, node: NodeIndex, since: Option<u64>) -> Value {
     let mut checker = cluster.checker();
     let mut members = Vec::new();
--- a/crates/soak-test/src/discovery_mode.rs
+++ b/crates/soak-test/src/discovery_mode.rs
@@ -17,7 +17,7 @@
 }
 
 impl DiscoveryMode {
-    /// Responds without delay.
+    /// Responds to each request without delay.
     pub const PROMPT: DiscoveryMode = DiscoveryMode::Responding(Duration::ZERO);
 
     /// Whether a request gets a response, after whatever delay.
--- a/crates/soak-test/src/fault_injector.rs
+++ b/crates/soak-test/src/fault_injector.rs
@@ -49,7 +49,7 @@
     injector.inject(&scheduled.fault).await;
 }
 
-/// Injects one fault.
+/// Injects one fault into the test cluster.
 struct FaultInjector {
     cluster: Rc<TestCluster>,
     /// All nodes of the run, by [`NodeIndex`].
--- a/crates/soak-test/src/http.rs
+++ b/crates/soak-test/src/http.rs
@@ -24,7 +24,7 @@
     pub first_byte_at: Instant,
 }
 
-/// One header field.
+/// One header field of a message.
 struct Header {
     name: String,
     value: String,
--- a/crates/soak-test/src/invariants/drain.rs
+++ b/crates/soak-test/src/invariants/drain.rs
@@ -24,8 +24,8 @@
 /// responds.
 const MIN_REACHABLE_PERIOD: Duration = Duration::from_millis(250);
 
-/// What a node was told by discovery since its process started, and the events that affect when it
-/// counts as notified.
+/// What discovery sent to a node since its process started, and the events that affect when the
+/// node counts as notified.
 #[derive(Clone)]
 pub(super) struct NodeNotifications {
     /// When the node's process was last started, upgrades excluded.
@@ -60,7 +60,8 @@
 }
 
 impl NodeNotifications {
-    /// Creates the record of a process that starts at `process_started` and was told nothing yet.
+    /// Creates the record of a process that starts at `process_started` and has received
+    /// nothing from discovery yet.
     pub(super) fn new(process_started: Instant) -> Self {
         NodeNotifications {
             process_started,
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Returns when the node counts as notified of what it was told at `at`: at once, unless an
-    /// upgrade had begun by then. `None` while the new process of that upgrade is not ready.
+    /// Returns when the node counts as notified of what it received at `at`: at `at` itself, unless
+    /// an upgrade had begun by then. `None` while the new process of that upgrade is not ready.
     fn effective_at(&self, at: Instant) -> Option<Instant> {
         match self.upgrade {
             Some(upgrade) if at >= upgrade.began => upgrade.effective_at(at),
@@ -94,7 +95,8 @@
 }
 
 impl InvariantChecker {
-    /// Records that a node's process is started, and forgets what its predecessor was told.
+    /// Records that a node's process is started, and forgets what its predecessor received from
+    /// discovery.
     pub fn node_started(&mut self, node: NodeIndex) {
         self.nodes[node.0] = NodeNotifications::new(Instant::now());
     }
--- a/crates/soak-test/src/operator.rs
+++ b/crates/soak-test/src/operator.rs
@@ -59,14 +59,15 @@
 
 /// Makes an admin call and checks its response. Reports to the checker a response that is missing
 /// or late, and a rejection, other than 404 for a backend that is not listed, without a failed
-/// write of operator state. Checks nothing if the process was replaced or told to exit meanwhile.
+/// write of operator state. Checks nothing if the process was replaced or signalled to exit
+/// meanwhile.
 async fn call_admin_server(node: &Rc<ProxyNode>, path: &str) -> CallOutcome {
     let generation = node.generation();
     let writes_failed_before = node.state_writes_failed();
     let started_at = Instant::now();
     let status = timeout(ADMIN_CALL_LIMIT + EXTRA_WAIT, post(node, path)).await;
     let response_time = started_at.elapsed();
-    // A process that was told to exit meanwhile need only close the connection.
+    // A process that was signalled to exit meanwhile need only close the connection.
     if node.generation() != generation || node.is_ending() {
         return status
             .ok()
--- a/crates/soak-test/src/plan/fault.rs
+++ b/crates/soak-test/src/plan/fault.rs
@@ -70,7 +70,7 @@
 pub enum Fault {
     /// These nodes get SIGTERM, and are started again once they have exited.
     TerminateNodes(Vec<NodeIndex>),
-    /// These nodes get SIGKILL, and are started again at once.
+    /// These nodes get SIGKILL, and are started again immediately.
     KillNodes(Vec<NodeIndex>),
     /// These nodes get a configuration with another address of discovery, and SIGHUP to reload it.
     ReloadNodes(Vec<NodeIndex>),
@@ -124,6 +124,6 @@
     pub at: Duration,
     /// How long it lasts. Ignored for faults that happen at one moment.
     pub duration: Duration,
-    /// What goes wrong.
+    /// What goes wrong, and where.
     pub fault: Fault,
 }
--- a/crates/soak-test/src/plan/request_class.rs
+++ b/crates/soak-test/src/plan/request_class.rs
@@ -18,7 +18,7 @@
 /// The backends that together deduplicate requests with the same idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All backends.
+    /// All backends, whatever their zone and cell.
     All,
     /// The backends of the same zone.
     Zone,
--- a/crates/soak-test/src/proxy_node.rs
+++ b/crates/soak-test/src/proxy_node.rs
@@ -50,7 +50,7 @@
 /// Paths of the program and the library that a run executes.
 #[derive(Clone, Copy)]
 pub struct Programs<'a> {
-    /// The proxy program.
+    /// The proxy program that each process of a node executes.
     pub proxy: &'a Path,
     /// The fault injection library that is preloaded into each proxy process.
     pub fault_library: &'a Path,
@@ -245,7 +245,7 @@
         let Some(listener) = &self.listener else {
             return command.spawn();
         };
-        // The system chooses a free port. It is released at once, for the process to bind.
+        // The system chooses a free port. It is released immediately, for the process to bind.
         let admin_address = self.cluster.address(AddressGroup::Admin, self.index.0);
         let admin_address = TcpListener::bind(admin_address)?.local_addr()?;
         self.admin_address.set(admin_address);
--- a/crates/soak-test/src/run.rs
+++ b/crates/soak-test/src/run.rs
@@ -146,8 +146,8 @@
     }
 }
 
-/// Checks regularly whether a node's process has exited without being told to, and records that as
-/// a violation. Runs until it is dropped.
+/// Checks regularly whether a node's process has exited without being signalled to, and records
+/// that as a violation. Runs until it is dropped.
 async fn watch_for_crashes(nodes: Vec<Rc<ProxyNode>>) {
     loop {
         sleep(OBSERVATION_INTERVAL).await;
